--- a/core/search/bench_test.go
+++ b/core/search/bench_test.go
@@ -10,19 +10,19 @@
 	"laburnumvane/core/view"
 )
 
-// firstFree picks the first server that was not tried.
-type firstFree struct{}
+// firstUntried picks the first replica that is not in tried.
+type firstUntried struct{}
 
-func (firstFree) Pick(replicas, tried []view.ServerID) (view.ServerID, bool) {
+func (firstUntried) Pick(replicas, tried []view.ServerID) (view.ServerID, bool) {
 	for _, id := range replicas {
-		if !among(tried, id) {
+		if !contains(tried, id) {
 			return id, true
 		}
 	}
 	return 0, false
 }
 
-func among(ids []view.ServerID, id view.ServerID) bool {
+func contains(ids []view.ServerID, id view.ServerID) bool {
 	for _, other := range ids {
 		if other == id {
 			return true
@@ -31,7 +31,7 @@
 	return false
 }
 
-// snapshotOf makes a map of n shards with three servers each.
+// snapshotOf returns a snapshot of n shards with three servers each.
 func snapshotOf(version uint64, n int) view.Snapshot {
 	replicas := make([][]view.ServerID, n)
 	for i := range replicas {
@@ -42,8 +42,8 @@
 	return view.Snapshot{Version: version, Replicas: replicas}
 }
 
-// BenchmarkMachine is the cost of one whole search by its number of shards; the
-// last tenth of the shards is hedged and answered late.
+// BenchmarkMachine measures the cost of one search by its number of shards. The
+// last tenth of the shards is hedged and answers late.
 func BenchmarkMachine(b *testing.B) {
 	for _, n := range []int{10, 30, 90, 270} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -66,7 +66,7 @@
 			Hard:          2 * time.Second,
 			MinCoverage:   1,
 			HitLimit:      100,
-			Chooser:       firstFree{},
+			Chooser:       firstUntried{},
 			HedgeDelay:    10 * time.Millisecond,
 			HedgeBudget:   hedges,
 			RetryBudget:   retries,
--- a/core/search/config.go
+++ b/core/search/config.go
@@ -6,55 +6,57 @@
 	"laburnumvane/core/view"
 )
 
-// Chooser picks a server for a shard, none of tried. It must not keep tried.
+// Chooser picks one of the replicas that is not in tried; false if there is none.
+// It must not retain tried.
 type Chooser interface {
 	Pick(replicas, tried []view.ServerID) (view.ServerID, bool)
 }
 
-// Budget allows or denies extra work.
+// Budget is a token bucket that limits hedges and retries.
 type Budget interface {
-	// Earn credits n primaries.
+	// Earn credits the budget for n primary sub-requests.
 	Earn(n int)
-	// Spend takes one token and tells whether there was one.
+	// Spend takes one token and reports whether there was one.
 	Spend() bool
-	// Refund returns the token of work that was not sent after all.
+	// Refund returns the token of a sub-request that was not sent after all.
 	Refund()
-	// Charge takes n tokens, also where that leaves a debt.
+	// Charge takes n tokens even if the balance becomes negative.
 	Charge(n int)
 }
 
-// Config sets one search. All fields are required but Newer and those that
-// name a value which turns them off.
+// Config configures one search. All fields are required except Newer and those
+// whose comment names a value that turns them off.
 type Config struct {
-	// Number is unique over the life of the process.
+	// Number identifies the search; it is unique for the life of the process.
 	Number uint64
-	// Snapshot is the one pinned.
+	// Snapshot is the pinned snapshot: the one that shards are asked for.
 	Snapshot view.Snapshot
-	// Newer returns a whole snapshot newer than the one given, for a restart.
+	// Newer returns a complete snapshot newer than version, for a restart; false
+	// if none is known.
 	Newer func(version uint64) (view.Snapshot, bool)
-	// Soft and Hard are the times at which the answer goes out: with enough
-	// coverage, or with what there is.
+	// Soft is the time at which an answer with at least MinCoverage is given.
+	// Hard is the time at which an answer is given whatever its coverage.
 	Soft        time.Duration
 	Hard        time.Duration
 	MinCoverage float64
-	// Once means that no shard may run the search twice.
+	// Once forbids any shard to run the search twice.
 	Once     bool
 	HitLimit int
 	Chooser  Chooser
-	// HedgeDelay is how long an attempt may take before it is hedged; 0 turns
+	// HedgeDelay is how long an attempt may take before a hedge is sent; 0 turns
 	// hedging off.
 	HedgeDelay time.Duration
-	// LostDelay is how long an attempt may take before a hedge may use a
-	// retry's token; 0 means never. It is meant for a server that went silent
-	// and takes a large part of the shards with it.
+	// LostDelay is how long an attempt may take before its hedge may spend a
+	// token of RetryBudget; 0 means never. It is meant for a server that no
+	// longer answers and holds a large part of the shards.
 	LostDelay   time.Duration
 	HedgeBudget Budget
 	RetryBudget Budget
-	// RetryPerShard bounds the attempts on one shard that follow one which
-	// may have cost a server work. Attempts after one that cost nothing are
-	// bounded by the number of replicas.
+	// RetryPerShard limits the retries of one shard after attempts that may have
+	// cost a server work. Retries after attempts that cost nothing are limited
+	// by the number of replicas.
 	RetryPerShard int
-	// LeastTime is the time below which nothing is sent any more: a reply
-	// could not be back before the deadline.
+	// LeastTime is the time that must remain until Hard for a sub-request to be
+	// sent: with less, its reply could not arrive before the deadline.
 	LeastTime time.Duration
 }
--- a/core/search/doc.go
+++ b/core/search/doc.go
@@ -1,7 +1,7 @@
-// Package search takes one search over the shards of one snapshot. A Machine
-// decides what to send, to which server, when to try again, and when and what
-// to answer; it does no I/O and knows no clock, so that any harness can drive it
-// and a session replays to the byte.
+// Package search runs one search over the shards of one snapshot. A Machine
+// decides what to send, to which server, when to retry, and when and what to
+// answer. It does no I/O and reads no clock, so that any harness can drive it
+// and a recorded sequence of events always gives the same actions.
 //
 // # Usage
 //
@@ -15,29 +15,31 @@
 //		}
 //	}
 //
-// The actions returned are valid until the next call. Once ActAnswer was
-// returned no other answer follows; later events only settle sub-requests.
+// The actions returned are valid until the next call. There is exactly one
+// ActAnswer; events after it only end the remaining sub-requests.
 //
-// # What it promises
+// # Guarantees
 //
-// Coverage counts the shards whose reply under one snapshot is in the answer,
-// over the shards of that snapshot's own map. Outcome notRun is given only if
-// no sub-request can have run: none left this VM, or each one that did was
-// refused by its server. In doubt the outcome is unknown.
+// Coverage is the number of shards whose reply under one snapshot is part of the
+// answer, divided by the number of shards in that snapshot's own map. The outcome
+// notRun is given only if no sub-request can have run: none left this VM, or each
+// one that did was refused by its server. If that is not certain, the outcome is
+// unknown.
 //
 // # Snapshots
 //
-// The snapshot asked for is a wish; the version on a reply is the fact. Replies
-// are grouped by that version, and an answer is made of one group. A shard that
-// answered another version is asked again on a replica not tried yet. Where the
-// newer version is ahead of the pinned one, a repeatable search starts over on
-// it, once, and keeps what was already found under it.
+// A server may answer from another snapshot than the one requested; the version
+// in the reply is authoritative. Replies are grouped by that version, and an
+// answer is made of one group only. A shard that answered with another version is
+// retried on a replica not yet tried. If a newer version covers more shards than
+// the pinned one, a repeatable search restarts on it, once, and keeps the replies
+// already received under it.
 //
-// # Extra work
+// # Retries and hedges
 //
 // Each attempt after the first goes to a server not yet asked for that shard
-// under that snapshot. Attempts after one that cost no server any work are free:
-// nothing was sent, or the server is leaving. All others spend a token, those
-// after a shed included, so that a service without room is not asked the more
-// the less room it has.
+// under that snapshot. An attempt needs no token if the one before it cost no
+// server any work: nothing was sent, or the server is leaving. All others spend a
+// token, also those after a server shed the request. Otherwise an overloaded
+// service would receive more requests the more it sheds.
 package search
--- a/core/search/event.go
+++ b/core/search/event.go
@@ -8,108 +8,109 @@
 	"laburnumvane/core/view"
 )
 
-// SubID names one sub-request; it is unique over the life of the process.
+// SubID identifies one sub-request; it is unique for the life of the process.
 type SubID struct {
-	// Search is the search's own number within the process.
+	// Search is Config.Number of its search.
 	Search uint64
-	// Attempt counts the sub-requests of that search.
+	// Attempt is the index of the sub-request within its search, from 0.
 	Attempt uint32
 }
 
-// String is the form used on the wire and in golden sessions.
+// String returns the form that is used on the wire and in golden files.
 func (id SubID) String() string {
 	return fmt.Sprintf("%d.%d", id.Search, id.Attempt)
 }
 
-// EventKind tells the kinds of events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// EvReply brings a shard's hits.
+	// EvReply is a server's reply with the hits of a shard.
 	EvReply EventKind = iota + 1
-	// EvRefused brings a server's word that the sub-request did not run.
+	// EvRefused is a server's statement that it did not run the sub-request.
 	EvRefused
-	// EvFailed tells that no reply will come; Sent tells whether any byte of
-	// the request left this VM.
+	// EvFailed means that no reply will arrive; Sent is set if any byte of the
+	// request left this VM.
 	EvFailed
-	// EvWake comes at the time that ActWake named, or later.
+	// EvWake is the timer set by ActWake. It may fire late.
 	EvWake
-	// EvCancel tells that the caller is gone.
+	// EvCancel means that the caller has disconnected.
 	EvCancel
 )
 
-// Event is what happened to a search.
+// Event is an input of a Machine.
 type Event struct {
 	Kind EventKind
 	Sub  SubID
-	// Shard, Snapshot and Shards are the reply's own account.
+	// Shard, Snapshot and Shards are those that the reply states.
 	Shard    int
 	Snapshot uint64
 	Shards   int
 	Hits     []merge.Hit
 	More     bool
-	// Reason of a refusal or failure, for the answer's reason.
+	// Reason is the reason of a refusal or failure; it may become the answer's.
 	Reason string
-	// Sent is set on EvFailed if the request may have reached the server.
+	// Sent is set on EvFailed if the server may have received the request.
 	Sent bool
 	// SnapshotGone is set on EvRefused if the server no longer holds the
-	// snapshot asked for.
+	// requested snapshot.
 	SnapshotGone bool
 	// Elsewhere is set on EvRefused if the server is leaving or does not hold
-	// the shard: it had room, so that another try adds no load to a service
-	// that has none.
+	// the shard. The server was not overloaded, so that a retry adds no load to
+	// an overloaded service.
 	Elsewhere bool
-	// RetryAfter is when a server that refused wants to be asked again; 0 if
-	// it gave no hint.
+	// RetryAfter is how long a server that refused asks to wait before a retry;
+	// 0 if it did not say.
 	RetryAfter time.Duration
 }
 
-// ActionKind tells the kinds of actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
 	// ActSend sends a sub-request.
 	ActSend ActionKind = iota + 1
-	// ActCancel gives up a sub-request that was sent.
+	// ActCancel cancels a sub-request that was sent.
 	ActCancel
-	// ActWake asks for EvWake at the time At. A later one replaces it.
+	// ActWake sets the timer for EvWake to the time At, in place of any earlier
+	// setting.
 	ActWake
 	// ActAnswer gives the final answer.
 	ActAnswer
 )
 
-// Attempt says why a sub-request is sent.
+// Attempt is why a sub-request is sent.
 type Attempt uint8
 
-// Reasons to send.
+// Kinds of attempts.
 const (
 	AttemptPrimary Attempt = iota + 1
 	AttemptHedge
 	AttemptRetry
 )
 
-// Action is what a search wants done.
+// Action is an output of a Machine, for the driver to carry out.
 type Action struct {
 	Kind     ActionKind
 	Sub      SubID
 	Server   view.ServerID
 	Shard    int
 	Snapshot uint64
-	// Deadline is when the reply is of no use any more.
+	// Deadline is the time after which the reply is not used.
 	Deadline time.Duration
 	Attempt  Attempt
-	// Reason of a retry: what became of the attempt before.
+	// Reason of a retry is how the previous attempt ended.
 	Reason string
-	// Started is when a sub-request that is given up was sent: what it took
-	// so far is a latency that would otherwise never show.
+	// Started is set on ActCancel: when the sub-request was sent. The time since
+	// then is a lower bound of its latency, which is otherwise never measured.
 	Started time.Duration
 	At      time.Duration
 	Answer  *Answer
 }
 
-// Outcome says what became of a search.
+// Outcome is the result of a search.
 type Outcome uint8
 
 // Outcomes.
@@ -120,11 +121,11 @@
 	OutcomeUnknown
 )
 
-// Reasons of an answer that is not complete, beside those of refusals and
-// failures.
+// Reasons of an answer that is not complete, in addition to those of refusals
+// and failures.
 const (
 	ReasonDeadline      = "deadline"
-	ReasonSoft          = "softDeadline"
+	ReasonSoftDeadline  = "softDeadline"
 	ReasonCancelled     = "cancelled"
 	ReasonNoReplica     = "noReplica"
 	ReasonRetryBudget   = "retryBudget"
@@ -144,9 +145,9 @@
 	Primaries int
 	Hedges    int
 	Retries   int
-	// Restarted is set where the search began anew on a newer snapshot.
+	// Restarted is set if the search was restarted on a newer snapshot.
 	Restarted bool
-	// RetryAfter is when the servers that refused want to be asked again,
-	// counted from the answer; 0 where the answer is complete or none said.
+	// RetryAfter is how long after the answer the servers that refused ask to
+	// wait before a retry; 0 if the answer is complete or no server said.
 	RetryAfter time.Duration
 }
--- a/core/search/example_test.go
+++ b/core/search/example_test.go
@@ -9,8 +9,8 @@
 	"laburnumvane/core/view"
 )
 
-// A search over two shards, driven by hand: one answers, the other is silent
-// until the soft deadline, at which half of the register is enough.
+// A search over two shards. One shard answers; the other has not answered by the
+// soft deadline, when half of the shards are enough.
 func Example() {
 	mc := search.New(search.Config{
 		Number: 1,
@@ -22,7 +22,7 @@
 		Hard:        time.Second,
 		MinCoverage: 0.5,
 		HitLimit:    10,
-		Chooser:     firstFree{},
+		Chooser:     firstUntried{},
 		HedgeBudget: budget.New(budget.Config{}),
 		RetryBudget: budget.New(budget.Config{}),
 	})
--- a/core/search/golden_test.go
+++ b/core/search/golden_test.go
@@ -15,12 +15,11 @@
 	"laburnumvane/internal/golden"
 )
 
-// outPrefix marks the lines of a session that the machine wrote.
+// outPrefix marks the lines of a golden file that are actions of the machine.
 const outPrefix = "< "
 
-// Each file is a whole session: what happened, and under it what the machine did
-// about it. Lines that begin with # tell the story; a line of events is a time, a
-// kind and its fields.
+// Each file is one search: each event is followed by the actions of the machine.
+// Lines that begin with # are comments. An event line is a time, a kind and fields.
 func TestGoldenSessions(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.golden")
 	if err != nil || len(files) == 0 {
@@ -39,17 +38,17 @@
 	}
 }
 
-// script is a session under replay.
+// script is the state of the replay of one golden file.
 type script struct {
 	cfg    search.Config
 	newer  view.Snapshot
-	tokens *tokens
+	tokens *countingBudget
 	mc     *search.Machine
 	out    strings.Builder
 }
 
-// replay runs the events of a session and returns it with the actions that they
-// lead to.
+// replay runs the events in text and returns text with the actions that follow
+// from them.
 func replay(text string) (string, error) {
 	sc := &script{}
 	for line := range strings.Lines(text) {
@@ -74,11 +73,11 @@
 		return sc.config(words[1:])
 	case "newer":
 		fs, err := parseFields(words[1:])
-		sc.newer = snapshotOf(uint64(fs.num("version")), fs.num("shards"))
+		sc.newer = snapshotOf(uint64(fs.number("version")), fs.number("shards"))
 		return err
 	case "tokens":
 		fs, err := parseFields(words[1:])
-		sc.tokens.have += fs.num("add")
+		sc.tokens.available += fs.number("add")
 		return err
 	}
 	now, err := time.ParseDuration(words[0])
@@ -100,23 +99,23 @@
 
 func (sc *script) config(words []string) error {
 	fs, err := parseFields(words)
-	sc.tokens = &tokens{have: fs.num("tokens")}
+	sc.tokens = &countingBudget{available: fs.number("tokens")}
 	sc.cfg = search.Config{
 		Number:        1,
-		Snapshot:      snapshotOf(uint64(fs.num("version")), fs.num("shards")),
+		Snapshot:      snapshotOf(uint64(fs.number("version")), fs.number("shards")),
 		Newer:         sc.newerThan,
-		Soft:          fs.span("soft"),
-		Hard:          fs.span("hard"),
-		MinCoverage:   float64(fs.num("leastPercent")) / 100,
+		Soft:          fs.duration("soft"),
+		Hard:          fs.duration("hard"),
+		MinCoverage:   float64(fs.number("leastPercent")) / 100,
 		Once:          fs.has("once"),
-		HitLimit:      fs.num("limit"),
-		Chooser:       firstFree{},
-		HedgeDelay:    fs.span("hedgeDelay"),
-		LostDelay:     fs.span("lostDelay"),
+		HitLimit:      fs.number("limit"),
+		Chooser:       firstUntried{},
+		HedgeDelay:    fs.duration("hedgeDelay"),
+		LostDelay:     fs.duration("lostDelay"),
 		HedgeBudget:   sc.tokens,
 		RetryBudget:   sc.tokens,
-		RetryPerShard: fs.num("perShard"),
-		LeastTime:     fs.span("leastTime"),
+		RetryPerShard: fs.number("perShard"),
+		LeastTime:     fs.duration("leastTime"),
 	}
 	return err
 }
--- a/core/search/group.go
+++ b/core/search/group.go
@@ -5,57 +5,60 @@
 )
 
 const (
-	// maxGroups bounds the versions followed by one search: the pinned one,
-	// the one before and two newer. A fleet that answers more is in no state
-	// in which another group could become whole.
+	// maxGroups limits the versions that one search tracks: the pinned one,
+	// the one before it and two newer ones. If servers answer with more versions
+	// than that, no further group could become complete.
 	maxGroups = 4
-	// maxShards bounds the shard count that a reply may claim, so that a
-	// garbled reply cannot claim memory.
+	// maxShards limits the shard count in a reply, so that a corrupt reply
+	// cannot cause a large allocation.
 	maxShards = 1 << 16
 )
 
-// group is the replies of one snapshot. Groups never mix: an answer made of two
-// snapshots could show a member twice or not at all while it moves.
+// group holds the replies of one snapshot. Groups are never combined: an answer
+// made of two snapshots could contain a member twice, or not at all, if the
+// member moved between shards.
 type group struct {
 	version  uint64
 	shards   int
-	got      []bool
+	received []bool
 	answered int
 	merger   merge.Merger
 }
 
 func newGroup(version uint64, shards, limit int) *group {
 	return &group{
-		version: version,
-		shards:  shards,
-		got:     make([]bool, shards),
-		merger:  merge.Make(merge.Config{Limit: limit}),
+		version:  version,
+		shards:   shards,
+		received: make([]bool, shards),
+		merger:   merge.Make(merge.Config{Limit: limit}),
 	}
 }
 
-// add takes a reply under the group's version, unless the shard has one.
+// add adds a reply under the group's version. It ignores a second reply of a
+// shard.
 func (gr *group) add(ev Event) {
-	if gr.got[ev.Shard] {
+	if gr.received[ev.Shard] {
 		return
 	}
-	gr.got[ev.Shard] = true
+	gr.received[ev.Shard] = true
 	gr.answered++
 	gr.merger.Add(ev.Hits, ev.More)
 }
 
-func (gr *group) whole() bool {
+func (gr *group) complete() bool {
 	return gr.shards > 0 && gr.answered == gr.shards
 }
 
-func (gr *group) share() float64 {
+func (gr *group) coverage() float64 {
 	if gr.shards == 0 {
 		return 0
 	}
 	return float64(gr.answered) / float64(gr.shards)
 }
 
-// groupFor finds or makes the group of a reply. It returns nil for a reply that
-// contradicts what is known of its version or lies outside its own map.
+// groupFor returns the group of a reply and creates it if necessary. It returns
+// nil for a reply whose shard count contradicts that of its version, or whose
+// shard lies outside its own map.
 func (mc *Machine) groupFor(ev Event) *group {
 	if ev.Shard < 0 || ev.Shard >= ev.Shards || ev.Shards > maxShards {
 		return nil
@@ -77,8 +80,9 @@
 	return gr
 }
 
-// pin makes the group of a snapshot the one that the search works for. What
-// replies said of its shard count gives way to the snapshot's own map.
+// pin makes the group of a snapshot the pinned one. If replies stated another
+// shard count than the snapshot's own map, the group and its replies are
+// discarded.
 func (mc *Machine) pin(version uint64, shards int) {
 	for i, gr := range mc.groups {
 		if gr.version != version {
@@ -94,11 +98,11 @@
 	mc.groups = append(mc.groups, mc.pinned)
 }
 
-// best is the group with the largest share; the pinned one on a tie.
+// best returns the group with the highest coverage; the pinned one on a tie.
 func (mc *Machine) best() *group {
 	best := mc.pinned
 	for _, gr := range mc.groups {
-		if gr.share() > best.share() {
+		if gr.coverage() > best.coverage() {
 			best = gr
 		}
 	}
--- a/core/search/internal/qsim/event.go
+++ b/core/search/internal/qsim/event.go
@@ -7,24 +7,25 @@
 const (
 	// evArrive: a caller's search arrives.
 	evArrive eventKind = iota + 1
-	// evReach: a sub-request reaches its server.
-	evReach
-	// evWorked: a slot is done with a sub-request.
-	evWorked
+	// evDelivered: a sub-request reaches its server.
+	evDelivered
+	// evServed: a server has finished a sub-request.
+	evServed
 	// evCancel: a cancellation reaches its server.
 	evCancel
-	// evTold: the end of a sub-request reaches the sender.
-	evTold
-	// evWake: a search asked to be woken.
+	// evResult: the reply, refusal or failure of a sub-request reaches the
+	// sender.
+	evResult
+	// evWake: the timer of a search fires.
 	evWake
-	// evCall: something of the plan of faults.
-	evCall
+	// evPlanned: a scheduled fault or change of the view takes place.
+	evPlanned
 )
 
 type event struct {
-	kind eventKind
-	fl   *flight
-	rn   *run
-	what search.Event
-	call func()
+	kind   eventKind
+	sub    *subRequest
+	run    *run
+	result search.Event
+	call   func()
 }
--- a/core/search/internal/qsim/plan.go
+++ b/core/search/internal/qsim/plan.go
@@ -7,68 +7,71 @@
 )
 
 const (
-	firstVersion = 1
-	changeEvery  = time.Second
-	// rollout is the time within which all servers take a new snapshot up.
-	rollout = 300 * time.Millisecond
-	// holdLag is how long the sender's view takes to show what servers hold.
-	holdLag    = 100 * time.Millisecond
-	keep       = 2
-	drainEvery = 300 * time.Millisecond
-	drainFor   = time.Second
+	firstVersion     = 1
+	snapshotInterval = time.Second
+	// rolloutTime is the time within which all servers load a new snapshot.
+	rolloutTime = 300 * time.Millisecond
+	// holdingLag is how long the sender's view takes to show which snapshots
+	// servers hold.
+	holdingLag    = 100 * time.Millisecond
+	keptSnapshots = 2
+	drainInterval = 300 * time.Millisecond
+	drainFor      = time.Second
 )
 
-func (sm *sim) build() {
-	pl := sm.cfg.Plant
-	for i := range pl.Services * pl.Servers {
+func (sm *sim) buildServers() {
+	tp := sm.cfg.Topology
+	for i := range tp.Services * tp.Servers {
 		sm.servers = append(sm.servers, &server{
 			id:      view.ServerID(i),
-			service: i / pl.Servers,
+			service: i / tp.Servers,
 			held:    []uint64{firstVersion},
 		})
 	}
 	sm.version = firstVersion
-	sm.servers[0].slow = sm.cfg.Fault.SlowServer
-	sm.look()
+	sm.servers[0].slow = sm.cfg.Fault.SlowServerFactor
+	sm.updateView()
 }
 
-// plan puts the faults into the run.
-func (sm *sim) plan() {
+// scheduleFaults schedules the first event of each fault.
+func (sm *sim) scheduleFaults() {
 	ft := sm.cfg.Fault
 	if ft.LoseAt > 0 {
-		sm.After(ft.LoseAt, event{kind: evCall, call: sm.loseOneOfEach})
+		sm.After(ft.LoseAt, event{kind: evPlanned, call: sm.loseOneOfEach})
 	}
 	if ft.Drain {
-		sm.After(drainEvery, event{kind: evCall, call: func() { sm.drain(0) }})
+		sm.After(drainInterval, event{kind: evPlanned, call: func() { sm.drain(0) }})
 	}
 	if ft.Change {
-		sm.After(changeEvery, event{kind: evCall, call: sm.change})
+		sm.After(snapshotInterval, event{kind: evPlanned, call: sm.changeSnapshot})
 	}
 }
 
-// over tells that all searches have arrived: the plan must not go on for ever.
-func (sm *sim) over() bool {
+// allArrived reports whether all searches have arrived. Recurring faults then stop,
+// since the run would not end otherwise.
+func (sm *sim) allArrived() bool {
 	return sm.arrived >= sm.cfg.Searches
 }
 
 func (sm *sim) loseOneOfEach() {
-	working := map[*server][]*flight{}
-	for _, fl := range sm.working() {
-		working[fl.server] = append(working[fl.server], fl)
+	working := map[*server][]*subRequest{}
+	for _, sr := range sm.working() {
+		working[sr.server] = append(working[sr.server], sr)
 	}
-	for i := 0; i < len(sm.servers); i += sm.cfg.Plant.Servers {
+	for i := 0; i < len(sm.servers); i += sm.cfg.Topology.Servers {
 		sv := sm.servers[i]
-		sv.die(sm, working[sv])
-		sm.After(viewLag, event{kind: evCall, call: func() { sv.out = true }})
+		sv.crash(sm, working[sv])
+		sm.After(viewLag, event{kind: evPlanned, call: func() { sv.excluded = true }})
 	}
 }
 
-// working lists the sub-requests in slots and queues, in the order of events.
-func (sm *sim) working() []*flight {
-	var out []*flight
+// working returns the sub-requests in slots, in the order of their events, and then
+// those in queues.
+func (sm *sim) working() []*subRequest {
+	var out []*subRequest
 	for ev := range sm.All() {
-		if ev.kind == evWorked {
-			out = append(out, ev.fl)
+		if ev.kind == evServed {
+			out = append(out, ev.sub)
 		}
 	}
 	for _, sv := range sm.servers {
@@ -77,51 +80,52 @@
 	return out
 }
 
-// drain makes one server of a service leave, and come back later.
+// drain makes one server of a service leave and return after drainFor, and
+// schedules the same for the next service.
 func (sm *sim) drain(service int) {
-	if sm.over() {
+	if sm.allArrived() {
 		return
 	}
-	sv := sm.servers[service*sm.cfg.Plant.Servers]
+	sv := sm.servers[service*sm.cfg.Topology.Servers]
 	sv.draining = true
-	sm.After(drainFor, event{kind: evCall, call: func() { sv.draining, sv.out = false, false }})
-	next := (service + 1) % sm.cfg.Plant.Services
-	sm.After(drainEvery, event{kind: evCall, call: func() { sm.drain(next) }})
+	sm.After(drainFor, event{kind: evPlanned, call: func() { sv.draining, sv.excluded = false, false }})
+	next := (service + 1) % sm.cfg.Topology.Services
+	sm.After(drainInterval, event{kind: evPlanned, call: func() { sm.drain(next) }})
 }
 
-// sign takes a server that said it is leaving out of the view.
-func (sm *sim) sign(sv *server) {
-	sm.After(signLag, event{kind: evCall, call: func() { sv.out = sv.draining || sv.dead }})
+// excludeLeaving removes a server that refused because it is leaving from the view.
+func (sm *sim) excludeLeaving(sv *server) {
+	sm.After(leavingLag, event{kind: evPlanned, call: func() { sv.excluded = sv.draining || sv.dead }})
 }
 
-// change brings a new snapshot, which servers take up one by one.
-func (sm *sim) change() {
-	if sm.over() {
+// changeSnapshot publishes a new snapshot, which the servers load one by one.
+func (sm *sim) changeSnapshot() {
+	if sm.allArrived() {
 		return
 	}
 	sm.version++
 	version := sm.version
 	for _, sv := range sm.servers {
-		after := time.Duration(sm.rnd.Int64N(int64(rollout)))
-		sm.After(after, event{kind: evCall, call: func() { sv.hold(version) }})
-		sm.After(after+holdLag, event{kind: evCall, call: sm.look})
+		after := time.Duration(sm.rnd.Int64N(int64(rolloutTime)))
+		sm.After(after, event{kind: evPlanned, call: func() { sv.hold(version) }})
+		sm.After(after+holdingLag, event{kind: evPlanned, call: sm.updateView})
 	}
-	sm.After(changeEvery, event{kind: evCall, call: sm.change})
+	sm.After(snapshotInterval, event{kind: evPlanned, call: sm.changeSnapshot})
 }
 
 func (sv *server) hold(version uint64) {
 	sv.held = append([]uint64{version}, sv.held...)
-	sv.held = sv.held[:min(keep, len(sv.held))]
+	sv.held = sv.held[:min(keptSnapshots, len(sv.held))]
 }
 
-// look renews what the sender knows of who holds what. A server that answers
-// only its newest is known to.
-func (sm *sim) look() {
+// updateView updates the sender's view of the snapshots that servers hold. With
+// ReportOnly it lists a server only under its newest snapshot.
+func (sm *sim) updateView() {
 	sm.register = view.Register{}
-	for version := sm.version; version > 0 && version+keep > sm.version; version-- {
-		sn := view.Snapshot{Version: version, Replicas: make([][]view.ServerID, sm.cfg.Plant.Shards)}
+	for version := sm.version; version > 0 && version+keptSnapshots > sm.version; version-- {
+		sn := view.Snapshot{Version: version, Replicas: make([][]view.ServerID, sm.cfg.Topology.Shards)}
 		for i := range sn.Replicas {
-			sn.Replicas[i] = sm.holders(i%sm.cfg.Plant.Services, version)
+			sn.Replicas[i] = sm.holders(i%sm.cfg.Topology.Services, version)
 		}
 		sm.register.Snapshots = append(sm.register.Snapshots, sn)
 	}
@@ -129,8 +133,8 @@
 
 func (sm *sim) holders(service int, version uint64) []view.ServerID {
 	var out []view.ServerID
-	first := service * sm.cfg.Plant.Servers
-	for _, sv := range sm.servers[first : first+sm.cfg.Plant.Servers] {
+	first := service * sm.cfg.Topology.Servers
+	for _, sv := range sm.servers[first : first+sm.cfg.Topology.Servers] {
 		newest := sv.held[0] == version
 		if newest || !sm.cfg.Fault.ReportOnly && holds(sv.held, version) {
 			out = append(out, sv.id)
@@ -140,17 +144,18 @@
 }
 
 func (sm *sim) live(id view.ServerID) bool {
-	return !sm.servers[id].out
+	return !sm.servers[id].excluded
 }
 
-// Pick takes the better of two at random by work in flight and latency.
+// Pick chooses two servers at random and returns the one with the lower product of
+// sub-requests in flight and latency.
 func (sm *sim) Pick(replicas, tried []view.ServerID) (view.ServerID, bool) {
-	var free [8]*server
+	var candidates [8]*server
 	n := 0
 	for _, id := range replicas {
 		sv := sm.servers[id]
-		if !sv.out && !among(tried, id) && n < len(free) {
-			free[n] = sv
+		if !sv.excluded && !contains(tried, id) && n < len(candidates) {
+			candidates[n] = sv
 			n++
 		}
 	}
@@ -158,23 +163,23 @@
 	case 0:
 		return 0, false
 	case 1:
-		return free[0].id, true
+		return candidates[0].id, true
 	}
 	i, k := sm.rnd.IntN(n), sm.rnd.IntN(n-1)
 	if k >= i {
 		k++
 	}
-	if free[k].cost() < free[i].cost() {
-		return free[k].id, true
+	if candidates[k].cost() < candidates[i].cost() {
+		return candidates[k].id, true
 	}
-	return free[i].id, true
+	return candidates[i].id, true
 }
 
 func (sv *server) cost() time.Duration {
-	return time.Duration(sv.flying+1) * max(sv.latency, 1)
+	return time.Duration(sv.inFlight+1) * max(sv.latency, 1)
 }
 
-func among(ids []view.ServerID, id view.ServerID) bool {
+func contains(ids []view.ServerID, id view.ServerID) bool {
 	for _, other := range ids {
 		if other == id {
 			return true
--- a/core/search/internal/qsim/qsim_test.go
+++ b/core/search/internal/qsim/qsim_test.go
@@ -11,12 +11,12 @@
 
 func config(fault qsim.Fault, policy qsim.Policy, load float64) qsim.Config {
 	return qsim.Config{
-		Plant: qsim.Pettigrew(), Fault: fault, Policy: policy, Seed: 1, Searches: 4000, Load: load,
+		Topology: qsim.Pettigrew(), Fault: fault, Policy: policy, Seed: 1, Searches: 4000, Load: load,
 		Soft: time.Second, Hard: time.Second, MinCoverage: 1,
 	}
 }
 
-// The same seed gives the same figures, another one others.
+// Runs with the same seed give the same figures; another seed gives others.
 func TestRunReplays(t *testing.T) {
 	is := is.New(t)
 	cfg := config(qsim.Faults()[1], qsim.Tracked(), 0.6)
@@ -28,8 +28,7 @@
 	is.True(a.Ran != other.Ran)
 }
 
-// Every admitted search is answered, whatever goes wrong, and no answer comes
-// after its hard deadline.
+// Every admitted search is answered by its hard deadline, whatever the fault.
 func TestRunAnswersEverySearch(t *testing.T) {
 	for _, fault := range qsim.Faults() {
 		t.Run(fault.Name, func(t *testing.T) {
@@ -42,14 +41,14 @@
 	}
 }
 
-// Twice as much arrives as the servers can take, and nothing limits admission.
-// Servers shed most of it; a retry for each shed would double the load again.
-// What is sent stays within the budgets' shares and bursts.
+// The load is twice the capacity and admission is not limited. Servers shed most
+// sub-requests; a retry after each refusal would double the load once more. The
+// extra sub-requests must stay within the shares and bursts of the budgets.
 func TestRunOverloadStaysWithinBudgets(t *testing.T) {
 	is := is.New(t)
 	cfg := config(qsim.Fault{}, qsim.Tracked(), 2)
 	rs := qsim.Run(cfg)
-	needed := float64(rs.Admitted * cfg.Plant.Shards)
+	needed := float64(rs.Admitted * cfg.Topology.Shards)
 	po := cfg.Policy
 	is.True(rs.Extra()*needed <= (po.Share+po.RetryShare)*needed+po.Burst+po.RetryBurst)
 	is.True(rs.Extra() < 0.05)
--- a/core/search/internal/qsim/result.go
+++ b/core/search/internal/qsim/result.go
@@ -10,36 +10,36 @@
 
 // Result is what a run measured.
 type Result struct {
-	// Latency of answers to admitted searches, in microseconds.
+	// Latency is the latency of admitted searches, in microseconds.
 	Latency *hdrhistogram.Histogram
-	// Offered and Admitted count searches; Good those answered with the
-	// coverage asked for, Whole those complete.
-	Offered, Admitted, Good, Whole int
-	NotRun, Restarted              int
-	// Primaries, Hedges and Retries count sub-requests that were sent to a
-	// server that took connections; Ran those that took a slot.
+	// Offered and Admitted count searches; Good counts those answered with at
+	// least Config.MinCoverage, Complete those with all shards.
+	Offered, Admitted, Good, Complete int
+	NotRun, Restarted                 int
+	// Primaries, Hedges and Retries count the sub-requests sent to a server that
+	// accepted connections; Ran counts those that a server began to serve.
 	Primaries, Hedges, Retries, Ran int
-	// Span is the time of the last arrival.
-	Span time.Duration
-	// Reasons counts the answers that are not complete.
-	Reasons map[string]int
-	share   float64
-	shards  int
+	// LastArrival is the virtual time at which the last search arrived.
+	LastArrival time.Duration
+	// Reasons counts the answers that are not complete by their reason.
+	Reasons     map[string]int
+	coverageSum float64
+	shards      int
 }
 
-func (rs *Result) add(took time.Duration, an *search.Answer, least float64) {
-	// Hard deadlines lie within the histogram's range: there is no error.
+func (rs *Result) add(took time.Duration, an *search.Answer, minCoverage float64) {
+	// The histogram's range covers all hard deadlines, so that this cannot fail.
 	_ = rs.Latency.RecordValue(took.Microseconds())
-	share := 0.0
+	coverage := 0.0
 	if an.Shards > 0 {
-		share = float64(an.Answered) / float64(an.Shards)
+		coverage = float64(an.Answered) / float64(an.Shards)
 	}
-	rs.share += share
-	if share >= least {
+	rs.coverageSum += coverage
+	if coverage >= minCoverage {
 		rs.Good++
 	}
 	if an.Outcome == search.OutcomeComplete {
-		rs.Whole++
+		rs.Complete++
 	} else {
 		rs.Reasons[an.Reason]++
 	}
@@ -62,18 +62,18 @@
 	}
 }
 
-// Coverage is the mean share of shards in an admitted search's answer, 0 to 1.
+// Coverage is the mean coverage of the answers to admitted searches, 0 to 1.
 func (rs *Result) Coverage() float64 {
-	return rs.share / float64(rs.Admitted)
+	return rs.coverageSum / float64(rs.Admitted)
 }
 
-// Extra is the sub-requests that reached a server over the one for each shard
-// that an answer needs, as a share of these.
+// Extra is the number of sub-requests sent beyond one for each shard of each
+// admitted search, as a share of the latter.
 func (rs *Result) Extra() float64 {
 	return float64(rs.Primaries+rs.Hedges+rs.Retries)/rs.needed() - 1
 }
 
-// Hedged is the share of hedges alone.
+// Hedged is the number of hedges, as the same share.
 func (rs *Result) Hedged() float64 {
 	return float64(rs.Hedges) / rs.needed()
 }
@@ -82,12 +82,12 @@
 	return float64(rs.Admitted * rs.shards)
 }
 
-// Goodput is the searches per second answered with the coverage asked for.
+// Goodput is the searches per second answered with at least Config.MinCoverage.
 func (rs *Result) Goodput() float64 {
-	return float64(rs.Good) / rs.Span.Seconds()
+	return float64(rs.Good) / rs.LastArrival.Seconds()
 }
 
-// Quantile is a latency in milliseconds; q is a percentage.
+// Quantile returns a quantile of the latency in milliseconds; q is a percentage.
 func (rs *Result) Quantile(q float64) float64 {
 	return float64(rs.Latency.ValueAtQuantile(q)) / 1000
 }
--- a/core/search/internal/qsim/server.go
+++ b/core/search/internal/qsim/server.go
@@ -9,145 +9,147 @@
 
 const (
 	retryAfter = 20 * time.Millisecond
-	// costWeight is the weight of the newest latency in the moving average.
+	// costWeight is the divisor of the moving average: the newest latency has
+	// weight 1/costWeight.
 	costWeight = 8
 )
 
-// server is one upstream server, and what the sender knows of it.
+// server is one upstream server. The last fields are what the sender knows of it.
 type server struct {
 	id       view.ServerID
 	service  int
 	slow     float64
 	running  int
-	queue    []*flight
+	queue    []*subRequest
 	held     []uint64 // newest first
 	dead     bool
 	draining bool
 
-	// out is set while the sender's view leaves the server out.
-	out     bool
-	flying  int
-	latency time.Duration
+	// excluded is set while the server is not in the sender's view.
+	excluded bool
+	inFlight int
+	latency  time.Duration
 }
 
-// take handles a sub-request that has arrived.
-func (sv *server) take(sm *sim, fl *flight) {
+// receive handles a sub-request that has arrived.
+func (sv *server) receive(sm *sim, sr *subRequest) {
 	switch {
-	case fl.ended:
+	case sr.ended:
 	case sv.dead:
-		sv.lose(sm, fl)
+		sv.failLost(sm, sr)
 	case sv.draining:
-		sv.refuse(sm, fl, search.Event{Reason: "draining", Elsewhere: true})
-	case !sm.cfg.Fault.ReportOnly && !holds(sv.held, fl.ac.Snapshot):
-		sv.refuse(sm, fl, search.Event{Reason: "snapshotGone", SnapshotGone: true})
-	case sv.running < sm.cfg.Plant.Slots:
-		sv.work(sm, fl)
-	case len(sv.queue) < sm.cfg.Plant.Queue:
-		sv.queue = append(sv.queue, fl)
+		sv.refuse(sm, sr, search.Event{Reason: "draining", Elsewhere: true})
+	case !sm.cfg.Fault.ReportOnly && !holds(sv.held, sr.ac.Snapshot):
+		sv.refuse(sm, sr, search.Event{Reason: "snapshotGone", SnapshotGone: true})
+	case sv.running < sm.cfg.Topology.Slots:
+		sv.serve(sm, sr)
+	case len(sv.queue) < sm.cfg.Topology.QueueLimit:
+		sv.queue = append(sv.queue, sr)
 	default:
-		sv.refuse(sm, fl, search.Event{Reason: "shed", RetryAfter: retryAfter})
+		sv.refuse(sm, sr, search.Event{Reason: "shed", RetryAfter: retryAfter})
 	}
 }
 
-func (sv *server) refuse(sm *sim, fl *flight, ev search.Event) {
-	fl.ended = true
+func (sv *server) refuse(sm *sim, sr *subRequest, ev search.Event) {
+	sr.ended = true
 	ev.Kind = search.EvRefused
-	sm.After(sm.hop(), event{kind: evTold, fl: fl, what: ev})
+	sm.After(sm.hop(), event{kind: evResult, sub: sr, result: ev})
 }
 
-// lose ends a sub-request whose server is gone.
-func (sv *server) lose(sm *sim, fl *flight) {
-	fl.ended = true
+// failLost makes a sub-request to a crashed server fail.
+func (sv *server) failLost(sm *sim, sr *subRequest) {
+	sr.ended = true
 	after := sm.hop()
 	if sm.cfg.Fault.Silent {
-		after = silentFor
+		after = silentDetectTime
 	}
-	sm.After(after, event{kind: evTold, fl: fl, what: search.Event{Kind: search.EvFailed, Reason: "reset", Sent: true}})
+	sm.After(after, event{kind: evResult, sub: sr, result: search.Event{Kind: search.EvFailed, Reason: "reset", Sent: true}})
 }
 
-func (sv *server) work(sm *sim, fl *flight) {
+func (sv *server) serve(sm *sim, sr *subRequest) {
 	sv.running++
-	fl.running = true
+	sr.running = true
 	sm.res.Ran++
-	took := sm.cfg.Plant.Base + time.Duration(sm.rnd.ExpFloat64()*float64(sm.cfg.Plant.Mean))
+	took := sm.cfg.Topology.Base + time.Duration(sm.rnd.ExpFloat64()*float64(sm.cfg.Topology.Mean))
 	if sm.rnd.Float64() < sm.cfg.Fault.SlowShare {
-		took = time.Duration(float64(took) * sm.cfg.Fault.SlowTimes)
+		took = time.Duration(float64(took) * sm.cfg.Fault.SlowFactor)
 	}
 	if sv.slow > 0 {
 		took = time.Duration(float64(took) * sv.slow)
 	}
-	sm.After(took, event{kind: evWorked, fl: fl})
+	sm.After(took, event{kind: evServed, sub: sr})
 }
 
-func (sv *server) worked(sm *sim, fl *flight) {
-	if fl.ended {
+func (sv *server) served(sm *sim, sr *subRequest) {
+	if sr.ended {
 		return
 	}
-	fl.ended = true
-	version := fl.ac.Snapshot
+	sr.ended = true
+	version := sr.ac.Snapshot
 	if sm.cfg.Fault.ReportOnly {
 		version = sv.held[0]
 	}
-	sm.After(sm.hop(), event{kind: evTold, fl: fl, what: search.Event{
+	sm.After(sm.hop(), event{kind: evResult, sub: sr, result: search.Event{
 		Kind:     search.EvReply,
-		Shard:    fl.ac.Shard,
+		Shard:    sr.ac.Shard,
 		Snapshot: version,
-		Shards:   sm.cfg.Plant.Shards,
+		Shards:   sm.cfg.Topology.Shards,
 	}})
-	sv.next(sm)
+	sv.serveNext(sm)
 }
 
-// next frees a slot and gives it to the first that is still wanted.
-func (sv *server) next(sm *sim) {
+// serveNext frees a slot and serves the first queued sub-request that has not
+// ended or expired.
+func (sv *server) serveNext(sm *sim) {
 	sv.running--
 	for len(sv.queue) > 0 {
-		fl := sv.queue[0]
+		sr := sv.queue[0]
 		sv.queue = sv.queue[1:]
-		if fl.ended {
+		if sr.ended {
 			continue
 		}
-		if sm.Now() >= fl.ac.Deadline {
-			sv.refuse(sm, fl, search.Event{Reason: "expired"})
+		if sm.Now() >= sr.ac.Deadline {
+			sv.refuse(sm, sr, search.Event{Reason: "expired"})
 			continue
 		}
-		sv.work(sm, fl)
+		sv.serve(sm, sr)
 		return
 	}
 }
 
-func (sv *server) giveUp(sm *sim, fl *flight) {
-	if fl.ended {
+func (sv *server) cancelWork(sm *sim, sr *subRequest) {
+	if sr.ended {
 		return
 	}
-	fl.ended = true
-	if fl.running {
-		sv.next(sm)
+	sr.ended = true
+	if sr.running {
+		sv.serveNext(sm)
 		return
 	}
 	for i, other := range sv.queue {
-		if other == fl {
+		if other == sr {
 			sv.queue = append(sv.queue[:i], sv.queue[i+1:]...)
 			return
 		}
 	}
 }
 
-// die cuts off all work.
-func (sv *server) die(sm *sim, working []*flight) {
+// crash makes all sub-requests at the server fail.
+func (sv *server) crash(sm *sim, working []*subRequest) {
 	sv.dead = true
-	for _, fl := range working {
-		if !fl.ended {
-			sv.lose(sm, fl)
+	for _, sr := range working {
+		if !sr.ended {
+			sv.failLost(sm, sr)
 		}
 	}
 	sv.running = 0
 	sv.queue = nil
 }
 
-// observe keeps the latency that the choice goes by. That of work given up is
-// only a lower bound.
-func (sv *server) observe(took time.Duration, whole bool) {
-	if !whole && took < sv.latency {
+// observe updates the average latency that Pick uses. For a cancelled sub-request,
+// took is only a lower bound of the latency.
+func (sv *server) observe(took time.Duration, replied bool) {
+	if !replied && took < sv.latency {
 		return
 	}
 	if sv.latency == 0 {
--- a/core/search/internal/qsim/sim.go
+++ b/core/search/internal/qsim/sim.go
@@ -15,22 +15,24 @@
 )
 
 const (
-	// viewLag is how long the sender's view takes to show a lost server.
+	// viewLag is how long the sender's view takes to exclude a crashed server.
 	viewLag = time.Second
-	// signLag is how long it takes to show a sign that came with a reply.
-	signLag = 50 * time.Millisecond
-	// silentFor is how long a silent connection goes unnoticed.
-	silentFor = 1500 * time.Millisecond
-	// dialHops is the time of a refused dial, in hops.
-	dialHops   = 2
-	hedgeFloor = 2 * time.Millisecond
-	leastTime  = time.Millisecond
-	hitLimit   = 20
-	longest    = int64(time.Minute / time.Microsecond)
-	digits     = 3
+	// leavingLag is how long the view takes to exclude a server that refused a
+	// sub-request because it is leaving.
+	leavingLag = 50 * time.Millisecond
+	// silentDetectTime is how long it takes to detect a connection to a server
+	// that no longer answers.
+	silentDetectTime = 1500 * time.Millisecond
+	// dialHops is how long a refused dial takes, in multiples of Topology.Hop.
+	dialHops          = 2
+	hedgeFloor        = 2 * time.Millisecond
+	leastTime         = time.Millisecond
+	hitLimit          = 20
+	maxLatencyMicros  = int64(time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
 	vtime.Agenda[event]
 	cfg      Config
@@ -47,26 +49,27 @@
 	res      Result
 }
 
-// run is one search under way.
+// run is one search.
 type run struct {
 	mc      *search.Machine
-	begun   time.Duration
+	started time.Duration
 	wake    time.Duration
-	flights []*flight
+	subs    []*subRequest
 	done    bool
 }
 
-// flight is one sub-request under way.
-type flight struct {
-	rn     *run
+// subRequest is one sub-request.
+type subRequest struct {
+	run    *run
 	ac     search.Action
 	server *server
-	// ended is set once the server has nothing more to do with it.
+	// ended is set once the server has finished, refused or lost it, or has
+	// processed its cancellation.
 	ended   bool
 	running bool
 }
 
-// Run measures one configuration.
+// Run simulates one configuration until all searches are answered.
 func Run(cfg Config) Result {
 	po := cfg.Policy
 	sm := &sim{
@@ -80,13 +83,13 @@
 		hedges:  budget.New(budget.Config{Share: po.Share, Burst: po.Burst, Rounds: po.HedgeRounds}),
 		retries: budget.New(budget.Config{Share: po.RetryShare, Burst: po.RetryBurst, Rounds: po.RetryRounds}),
 		res: Result{
-			Latency: hdrhistogram.New(1, longest, digits),
+			Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 			Reasons: map[string]int{},
-			shards:  cfg.Plant.Shards,
+			shards:  cfg.Topology.Shards,
 		},
 	}
-	sm.build()
-	sm.plan()
+	sm.buildServers()
+	sm.scheduleFaults()
 	sm.After(0, event{kind: evArrive})
 	for ev := range sm.Until(math.MaxInt64) {
 		sm.handle(ev)
@@ -98,50 +101,50 @@
 	switch ev.kind {
 	case evArrive:
 		sm.arrive()
-	case evReach:
-		ev.fl.server.take(sm, ev.fl)
-	case evWorked:
-		ev.fl.server.worked(sm, ev.fl)
+	case evDelivered:
+		ev.sub.server.receive(sm, ev.sub)
+	case evServed:
+		ev.sub.server.served(sm, ev.sub)
 	case evCancel:
-		ev.fl.server.giveUp(sm, ev.fl)
-	case evTold:
-		sm.told(ev.fl, ev.what)
+		ev.sub.server.cancelWork(sm, ev.sub)
+	case evResult:
+		sm.onResult(ev.sub, ev.result)
 	case evWake:
-		if !ev.rn.done && ev.rn.wake == sm.Now() {
-			sm.perform(ev.rn, ev.rn.mc.Step(sm.Now(), search.Event{Kind: search.EvWake}))
+		if !ev.run.done && ev.run.wake == sm.Now() {
+			sm.perform(ev.run, ev.run.mc.Step(sm.Now(), search.Event{Kind: search.EvWake}))
 		}
-	case evCall:
+	case evPlanned:
 		ev.call()
 	}
 }
 
 func (sm *sim) hop() time.Duration {
-	hop := sm.cfg.Plant.Hop
+	hop := sm.cfg.Topology.Hop
 	return hop + time.Duration(sm.rnd.ExpFloat64()*float64(hop)/4)
 }
 
-// arrive starts a search and plans the next one.
+// arrive starts a search and schedules the next arrival.
 func (sm *sim) arrive() {
 	sm.arrived++
 	if sm.arrived < sm.cfg.Searches {
-		mean := float64(time.Second) / (sm.cfg.Plant.rate() * sm.cfg.Load)
+		mean := float64(time.Second) / (sm.cfg.Topology.rate() * sm.cfg.Load)
 		sm.After(time.Duration(sm.rnd.ExpFloat64()*mean), event{kind: evArrive})
 	}
 	sm.res.Offered++
-	sm.res.Span = sm.Now()
+	sm.res.LastArrival = sm.Now()
 	if sm.cfg.MaxInFlight > 0 && sm.inFlight >= sm.cfg.MaxInFlight {
 		return
 	}
 	sm.res.Admitted++
 	sm.inFlight++
 	sm.runs++
-	rn := &run{begun: sm.Now()}
-	rn.mc = search.New(sm.planOf())
+	rn := &run{started: sm.Now()}
+	rn.mc = search.New(sm.searchConfig())
 	sm.perform(rn, rn.mc.Start(sm.Now()))
 }
 
-// planOf is the configuration of one search, as the driver makes it.
-func (sm *sim) planOf() search.Config {
+// searchConfig returns the configuration of one search, as io/drive sets it.
+func (sm *sim) searchConfig() search.Config {
 	po := sm.cfg.Policy
 	delay := po.Fixed
 	if delay == 0 && po.Quantile > 0 {
@@ -158,10 +161,10 @@
 		HitLimit:      hitLimit,
 		Chooser:       sm,
 		HedgeDelay:    delay,
-		LostDelay:     time.Duration(po.LostTimes * float64(delay)),
+		LostDelay:     time.Duration(po.LostFactor * float64(delay)),
 		HedgeBudget:   sm.hedges,
 		RetryBudget:   sm.retries,
-		RetryPerShard: perShard,
+		RetryPerShard: retriesPerShard,
 		LeastTime:     leastTime,
 	}
 }
@@ -172,57 +175,57 @@
 		case search.ActSend:
 			sm.send(rn, ac)
 		case search.ActCancel:
-			sm.cancel(rn.flights[ac.Sub.Attempt])
+			sm.cancel(rn.subs[ac.Sub.Attempt])
 		case search.ActWake:
 			rn.wake = ac.At
-			sm.After(max(0, ac.At-sm.Now()), event{kind: evWake, rn: rn})
+			sm.After(max(0, ac.At-sm.Now()), event{kind: evWake, run: rn})
 		case search.ActAnswer:
 			rn.done = true
 			sm.inFlight--
-			sm.res.add(sm.Now()-rn.begun, ac.Answer, sm.cfg.MinCoverage)
+			sm.res.add(sm.Now()-rn.started, ac.Answer, sm.cfg.MinCoverage)
 		}
 	}
 }
 
 func (sm *sim) send(rn *run, ac search.Action) {
 	sv := sm.servers[ac.Server]
-	fl := &flight{rn: rn, ac: ac, server: sv}
-	fl.ac.Started = sm.Now()
-	rn.flights = append(rn.flights, fl)
-	sv.flying++
+	sr := &subRequest{run: rn, ac: ac, server: sv}
+	sr.ac.Started = sm.Now()
+	rn.subs = append(rn.subs, sr)
+	sv.inFlight++
 	if sv.dead && !sm.cfg.Fault.Silent {
-		sm.After(dialHops*sm.cfg.Plant.Hop, event{kind: evTold, fl: fl, what: search.Event{Kind: search.EvFailed, Reason: "dial"}})
+		sm.After(dialHops*sm.cfg.Topology.Hop, event{kind: evResult, sub: sr, result: search.Event{Kind: search.EvFailed, Reason: "dial"}})
 		return
 	}
 	sm.res.sent(ac.Attempt)
-	sm.After(sm.hop(), event{kind: evReach, fl: fl})
+	sm.After(sm.hop(), event{kind: evDelivered, sub: sr})
 }
 
-func (sm *sim) cancel(fl *flight) {
-	took := sm.Now() - fl.ac.Started
-	fl.server.flying--
-	fl.server.observe(took, false)
+func (sm *sim) cancel(sr *subRequest) {
+	took := sm.Now() - sr.ac.Started
+	sr.server.inFlight--
+	sr.server.observe(took, false)
 	sm.tracker.GaveUp(took)
-	fl.rn.flights[fl.ac.Sub.Attempt] = nil
-	sm.After(sm.hop(), event{kind: evCancel, fl: fl})
+	sr.run.subs[sr.ac.Sub.Attempt] = nil
+	sm.After(sm.hop(), event{kind: evCancel, sub: sr})
 }
 
-// told hands the end of a sub-request to its search.
-func (sm *sim) told(fl *flight, what search.Event) {
-	rn := fl.rn
-	if rn.flights[fl.ac.Sub.Attempt] == nil {
-		return // given up before
+// onResult passes the result of a sub-request to its search.
+func (sm *sim) onResult(sr *subRequest, ev search.Event) {
+	rn := sr.run
+	if rn.subs[sr.ac.Sub.Attempt] == nil {
+		return // cancelled before
 	}
-	rn.flights[fl.ac.Sub.Attempt] = nil
-	fl.server.flying--
-	what.Sub = fl.ac.Sub
-	if what.Kind == search.EvReply {
-		took := sm.Now() - fl.ac.Started
-		fl.server.observe(took, true)
+	rn.subs[sr.ac.Sub.Attempt] = nil
+	sr.server.inFlight--
+	ev.Sub = sr.ac.Sub
+	if ev.Kind == search.EvReply {
+		took := sm.Now() - sr.ac.Started
+		sr.server.observe(took, true)
 		sm.tracker.Observe(took)
 	}
-	if what.Elsewhere {
-		sm.sign(fl.server)
+	if ev.Elsewhere {
+		sm.excludeLeaving(sr.server)
 	}
-	sm.perform(rn, rn.mc.Step(sm.Now(), what))
+	sm.perform(rn, rn.mc.Step(sm.Now(), ev))
 }
--- a/core/search/machine.go
+++ b/core/search/machine.go
@@ -6,7 +6,7 @@
 	"laburnumvane/core/view"
 )
 
-// Machine takes one search from Start to its answer.
+// Machine is the state of one search. It is not safe for concurrent use.
 type Machine struct {
 	cfg      Config
 	snapshot view.Snapshot
@@ -14,48 +14,53 @@
 	subs     []sub
 	groups   []*group
 	pinned   *group
-	begun    time.Duration
-	// active counts the shards with an attempt under way.
+	started  time.Duration
+	// active counts the shards with an open sub-request.
 	active int
-	// open counts the sub-requests under way.
+	// open counts the sub-requests that have not ended.
 	open int
-	// ran counts the sub-requests that ran or may have run.
-	ran int
-	// deferred counts the shards that answered a newer version and wait for
-	// the decision which version to go for.
-	deferred int
-	line     line
-	// gone is set once a reply or refusal showed that the pin is being retired.
-	gone      bool
-	restarted bool
-	full      bool
-	answered  bool
-	reason    string
-	comeBack  time.Duration
+	// mayHaveRun counts the sub-requests that ran or may have run.
+	mayHaveRun int
+	// deferred counts the shards that answered with a newer version and are
+	// not retried until it is decided which version the search is to use.
+	deferred   int
+	hedgeQueue hedgeQueue
+	// pinRetired is set once a reply or refusal showed that servers are
+	// dropping the pinned snapshot.
+	pinRetired bool
+	restarted  bool
+	// groupComplete is set once a group has the replies of all its shards.
+	groupComplete bool
+	answered      bool
+	reason        string
+	// retryAt is the latest time before which a server asked not to be retried.
+	retryAt   time.Duration
 	primaries int
 	hedges    int
 	retries   int
-	wake      time.Duration
-	tried     []view.ServerID
-	actions   []Action
+	// wake is the time that the timer is set to; 0 if it is not set.
+	wake time.Duration
+	// tried is the buffer of serversAsked.
+	tried   []view.ServerID
+	actions []Action
 }
 
-// spareRoom is the share of extra sub-requests, one in spareRoom, for which a
-// search makes room beforehand.
-const spareRoom = 8
+// headroomDivisor sets the capacity that a search allocates for hedges and
+// retries: one for every headroomDivisor shards.
+const headroomDivisor = 8
 
-// New makes the machine of one search; it does nothing until Start.
+// New returns the machine of one search; it does nothing until Start.
 func New(cfg Config) *Machine {
 	return &Machine{cfg: cfg}
 }
 
-// Start sends the primaries.
+// Start sends the primary sub-request of each shard.
 func (mc *Machine) Start(now time.Duration) []Action {
 	sn := mc.cfg.Snapshot
-	mc.begun = now
+	mc.started = now
 	mc.snapshot = sn
 	mc.shards = make([]shard, sn.Shards())
-	mc.subs = make([]sub, 0, sn.Shards()+sn.Shards()/spareRoom+1)
+	mc.subs = make([]sub, 0, sn.Shards()+sn.Shards()/headroomDivisor+1)
 	mc.actions = make([]Action, 0, sn.Shards()+2)
 	mc.pin(sn.Version, sn.Shards())
 	for i := range mc.shards {
@@ -63,11 +68,11 @@
 	}
 	mc.cfg.RetryBudget.Earn(mc.primaries)
 	mc.cfg.HedgeBudget.Earn(mc.primaries)
-	mc.settle(now)
+	mc.advance(now)
 	return mc.actions
 }
 
-// Step takes one event. Events that match no sub-request are dropped.
+// Step processes one event. Events that match no open sub-request are ignored.
 func (mc *Machine) Step(now time.Duration, ev Event) []Action {
 	mc.actions = mc.actions[:0]
 	switch ev.Kind {
@@ -80,15 +85,15 @@
 	case EvCancel:
 		mc.onCancel(now)
 	case EvWake:
-		// The time itself is the event; settle looks at it. A timer that
-		// fired early has to be set again.
+		// advance compares the time with the deadlines. The timer has to be
+		// set again even if it fired early.
 		mc.wake = 0
 	}
-	mc.settle(now)
+	mc.advance(now)
 	return mc.actions
 }
 
-// Settled tells whether every sub-request was answered, refused, failed or
+// Settled reports whether every sub-request was answered, refused, failed or
 // cancelled.
 func (mc *Machine) Settled() bool {
 	return mc.open == 0
@@ -98,18 +103,19 @@
 	if mc.answered {
 		return
 	}
-	mc.fail(ReasonCancelled)
+	mc.setReason(ReasonCancelled)
 	mc.answer(now)
 }
 
-// fail keeps the latest reason for an answer that will not be complete.
-func (mc *Machine) fail(reason string) {
+// setReason sets the reason for an answer that is not complete; the latest one is
+// used.
+func (mc *Machine) setReason(reason string) {
 	mc.reason = reason
 }
 
-// excuse keeps a reason that only says why a failure was not mended: the
-// failure itself tells the caller more.
-func (mc *Machine) excuse(reason string) {
+// setReasonIfNone sets a reason that only explains why there was no retry. The
+// reason of the failure itself is more useful to the caller and takes precedence.
+func (mc *Machine) setReasonIfNone(reason string) {
 	if mc.reason == "" {
 		mc.reason = reason
 	}
--- a/core/search/measure_test.go
+++ b/core/search/measure_test.go
@@ -8,79 +8,80 @@
 	"laburnumvane/core/search/internal/qsim"
 )
 
-// deadline is both soft and hard, so that no policy looks fast by giving up.
+// deadline is both the soft and the hard deadline, so that no policy looks fast by
+// answering without the slow shards.
 const deadline = time.Second
 
-// BenchmarkPolicy sets the product's policy beside two baselines in one run, in
-// virtual time: the time per operation is that of the simulation and says
-// nothing, the metrics do. Figures go into docs/measures/search.md.
+// BenchmarkPolicy compares the policy in use with two baselines in virtual time.
+// Only the reported metrics are meaningful: the time per operation is that of the
+// simulation. The figures are recorded in docs/measures/search.md.
 func BenchmarkPolicy(b *testing.B) {
-	plants := []struct {
+	topologies := []struct {
 		name     string
-		plant    qsim.Plant
+		topology qsim.Topology
 		searches int
 	}{
 		{"pettigrew", qsim.Pettigrew(), 20000},
 		{"kalimba", qsim.Kalimba(), 20000},
 	}
-	for _, pl := range plants {
+	for _, tp := range topologies {
 		for _, fault := range qsim.Faults() {
 			for _, load := range []float64{0.3, 0.6, 0.85, 1.2} {
-				name := fmt.Sprintf("%s/%s/load%.0f", pl.name, fault.Name, 100*load)
-				benchPolicies(b, name, qsim.Config{Plant: pl.plant, Fault: fault, Load: load, Searches: pl.searches})
+				name := fmt.Sprintf("%s/%s/load%.0f", tp.name, fault.Name, 100*load)
+				benchPolicies(b, name, qsim.Config{Topology: tp.topology, Fault: fault, Load: load, Searches: tp.searches})
 			}
 		}
 	}
 }
 
-// BenchmarkWide is a search over 270 shards.
+// BenchmarkWide compares the policies for searches over 270 shards.
 func BenchmarkWide(b *testing.B) {
 	for _, fault := range qsim.Faults() {
 		for _, load := range []float64{0.3, 0.6} {
 			name := fmt.Sprintf("%s/load%.0f", fault.Name, 100*load)
-			benchPolicies(b, name, qsim.Config{Plant: qsim.Wide(), Fault: fault, Load: load, Searches: 4000})
+			benchPolicies(b, name, qsim.Config{Topology: qsim.Wide(), Fault: fault, Load: load, Searches: 4000})
 		}
 	}
 }
 
-// BenchmarkOverload compares goodput at 1.0 and 1.2 of the capacity, with and
-// without a bound on searches in flight such as admission sets.
+// BenchmarkOverload measures goodput at 1.0, 1.2 and 2 times the capacity, with and
+// without a limit on searches in flight such as admission control sets.
 func BenchmarkOverload(b *testing.B) {
 	for _, inFlight := range []int{0, 12, 24, 36} {
 		for _, load := range []float64{1, 1.2, 2} {
 			name := fmt.Sprintf("inFlight%d/load%.0f", inFlight, 100*load)
 			benchPolicies(b, name, qsim.Config{
-				Plant: qsim.Pettigrew(), Load: load, Searches: 20000, MaxInFlight: inFlight,
+				Topology: qsim.Pettigrew(), Load: load, Searches: 20000, MaxInFlight: inFlight,
 			})
 		}
 	}
 }
 
-// BenchmarkLostWithBound loses one replica of each shard while searches in flight
-// are bounded, as admission would do.
+// BenchmarkLostWithBound crashes one replica of each shard while the searches in
+// flight are limited as by admission control.
 func BenchmarkLostWithBound(b *testing.B) {
-	plants := []struct {
-		name  string
-		plant qsim.Plant
+	topologies := []struct {
+		name     string
+		topology qsim.Topology
 	}{
 		{"pettigrew", qsim.Pettigrew()},
 		{"kalimba", qsim.Kalimba()},
 	}
-	for _, pl := range plants {
+	for _, tp := range topologies {
 		for _, inFlight := range []int{0, 8, 12, 18, 24} {
-			name := fmt.Sprintf("%s/load60/inFlight%d", pl.name, inFlight)
+			name := fmt.Sprintf("%s/load60/inFlight%d", tp.name, inFlight)
 			benchPolicies(b, name, qsim.Config{
-				Plant: pl.plant, Fault: qsim.Faults()[3], Load: 0.6, Searches: 20000, MaxInFlight: inFlight,
+				Topology: tp.topology, Fault: qsim.Faults()[3], Load: 0.6, Searches: 20000, MaxInFlight: inFlight,
 			})
 		}
 	}
 }
 
-// BenchmarkSeeds runs one case with other seeds, to show what of a difference is
-// chance.
+// BenchmarkSeeds runs one case with several seeds, to show how much of a difference
+// is due to chance.
 func BenchmarkSeeds(b *testing.B) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		cfg := qsim.Config{Plant: qsim.Pettigrew(), Fault: qsim.Faults()[1], Load: 0.6, Searches: 20000, Seed: seed}
+		cfg := qsim.Config{Topology: qsim.Pettigrew(), Fault: qsim.Faults()[1], Load: 0.6, Searches: 20000, Seed: seed}
 		benchPolicies(b, fmt.Sprintf("stragglers/load60/seed%d", seed), cfg)
 	}
 }
@@ -106,7 +107,7 @@
 	b.ReportMetric(rs.Quantile(99), "p99ms")
 	b.ReportMetric(rs.Quantile(99.9), "p99.9ms")
 	b.ReportMetric(100*rs.Coverage(), "coverage%")
-	b.ReportMetric(100*float64(rs.Whole)/float64(rs.Admitted), "whole%")
+	b.ReportMetric(100*float64(rs.Complete)/float64(rs.Admitted), "whole%")
 	b.ReportMetric(100*rs.Hedged(), "hedges%")
 	b.ReportMetric(100*rs.Extra(), "extra%")
 	b.ReportMetric(rs.Goodput(), "good/s")
--- a/core/search/model_test.go
+++ b/core/search/model_test.go
@@ -11,178 +11,179 @@
 	"laburnumvane/core/view"
 )
 
-// fate is what really becomes of a sub-request, whatever its sender hears.
-type fate uint8
+// outcome is what happens to a sub-request at the server and on its way back.
+type outcome uint8
 
 const (
-	fateReply fate = iota + 1
-	fateOther
-	fateRefused
-	fateGone
-	fateLeaving
-	fateUnsent
-	fateLostBefore
-	fateLostAfter
-	fateSilent
-	fateWrongShard
-	fateWrongMap
+	outcomeReply outcome = iota + 1
+	outcomeOtherVersion
+	outcomeShed
+	outcomeSnapshotGone
+	outcomeLeaving
+	outcomeUnsent
+	outcomeLostBeforeRun
+	outcomeLostAfterRun
+	outcomeSilent
+	outcomeWrongShard
+	outcomeWrongMap
 )
 
-// flight is one sub-request in the model.
-type flight struct {
+// subRequest is one sub-request in the model.
+type subRequest struct {
 	ac        search.Action
-	fate      fate
+	outcome   outcome
 	event     search.Event
 	ran       bool
-	told      bool
+	delivered bool
 	cancelled bool
 }
 
-// world is the model: what the upstreams really did, and what the machine was
-// told of it. It shares no code and no counts with the machine.
-type world struct {
+// model records what the upstream servers did and which events the machine
+// received. It shares no code and no counts with the machine.
+type model struct {
 	rt    *rapid.T
 	cfg   search.Config
 	maps  map[uint64]int
 	newer uint64
-	// force is the newest snapshot that the machine has been given.
-	force   uint64
-	now     time.Duration
-	wake    time.Duration
-	mc      *search.Machine
-	flights []*flight
-	// used are the replies delivered in time, by version and shard.
+	// newestGiven is the newest version that Newer returned to the machine.
+	newestGiven uint64
+	now         time.Duration
+	wake        time.Duration
+	mc          *search.Machine
+	subs        []*subRequest
+	// used holds the replies delivered in time, by version and shard.
 	used   map[uint64]map[int]bool
-	tokens *tokens
+	tokens *countingBudget
 	answer *search.Answer
-	// callerGone is set once the caller cancelled.
+	// callerGone is set once the caller has cancelled.
 	callerGone bool
-	// dropped is set if the last actions gave up work that was under way for a
-	// shard which was still missing.
-	dropped bool
+	// cancelledMissing is set if the last actions cancelled a sub-request for a
+	// shard that was still missing.
+	cancelledMissing bool
 }
 
-// tokens is a budget that counts.
-type tokens struct {
-	have, spent int
+// countingBudget is a budget that counts the tokens spent.
+type countingBudget struct {
+	available, spent int
 }
 
-func (tk *tokens) Earn(int) {}
+func (cb *countingBudget) Earn(int) {}
 
-func (tk *tokens) Spend() bool {
-	if tk.have <= 0 {
+func (cb *countingBudget) Spend() bool {
+	if cb.available <= 0 {
 		return false
 	}
-	tk.have--
-	tk.spent++
+	cb.available--
+	cb.spent++
 	return true
 }
 
-func (tk *tokens) Refund() {
-	tk.have++
-	tk.spent--
+func (cb *countingBudget) Refund() {
+	cb.available++
+	cb.spent--
 }
 
-func (tk *tokens) Charge(n int) {
-	tk.have -= n
-	tk.spent += n
+func (cb *countingBudget) Charge(n int) {
+	cb.available -= n
+	cb.spent += n
 }
 
-// mapOf is the shard map of a version in the model.
-func (wd *world) mapOf(version uint64) view.Snapshot {
-	return snapshotOf(version, wd.maps[version])
+// mapOf returns the snapshot of a version in the model.
+func (md *model) mapOf(version uint64) view.Snapshot {
+	return snapshotOf(version, md.maps[version])
 }
 
-func (wd *world) newerThan(version uint64) (view.Snapshot, bool) {
-	if wd.newer <= version {
+func (md *model) newerThan(version uint64) (view.Snapshot, bool) {
+	if md.newer <= version {
 		return view.Snapshot{}, false
 	}
-	wd.force = wd.newer
-	return wd.mapOf(wd.newer), true
+	md.newestGiven = md.newer
+	return md.mapOf(md.newer), true
 }
 
-// must fails the property unless ok.
-func (wd *world) must(ok bool, format string, args ...any) {
+// require fails the test unless ok.
+func (md *model) require(ok bool, format string, args ...any) {
 	if !ok {
-		wd.rt.Fatalf("%s (answer %+v)", fmt.Sprintf(format, args...), wd.answer)
+		md.rt.Fatalf("%s (answer %+v)", fmt.Sprintf(format, args...), md.answer)
 	}
 }
 
-func (wd *world) step(ev search.Event) {
+func (md *model) step(ev search.Event) {
 	if ev.Kind == search.EvWake {
-		// The timer is used up, also where it fired too early.
-		wd.wake = 0
+		// The timer is no longer set, even if it fired too early.
+		md.wake = 0
 	}
-	wd.perform(wd.mc.Step(wd.now, ev))
+	md.perform(md.mc.Step(md.now, ev))
 }
 
-func (wd *world) perform(actions []search.Action) {
-	wd.dropped = false
+func (md *model) perform(actions []search.Action) {
+	md.cancelledMissing = false
 	for _, ac := range actions {
-		wd.must(wd.answer == nil, "action %d after the answer", ac.Kind)
+		md.require(md.answer == nil, "action %d after the answer", ac.Kind)
 		switch ac.Kind {
 		case search.ActSend:
-			wd.send(ac)
+			md.send(ac)
 		case search.ActCancel:
-			wd.cancel(ac)
+			md.cancel(ac)
 		case search.ActWake:
-			wd.must(ac.At <= wd.cfg.Hard, "asks to be woken after the hard deadline")
-			wd.wake = ac.At
+			md.require(ac.At <= md.cfg.Hard, "set a timer after the hard deadline")
+			md.wake = ac.At
 		case search.ActAnswer:
-			wd.answer = ac.Answer
-			wd.judge(ac.Answer)
+			md.answer = ac.Answer
+			md.checkAnswer(ac.Answer)
 		}
 	}
-	wd.judgeState()
+	md.checkState()
 }
 
-func (wd *world) send(ac search.Action) {
-	wd.must(int(ac.Sub.Attempt) == len(wd.flights), "attempt %v is out of order", ac.Sub)
-	wd.must(wd.cfg.Hard-wd.now >= wd.cfg.LeastTime, "sent too late for its deadline")
-	wd.must(ac.Deadline <= wd.cfg.Hard, "handed down a later deadline")
-	wd.must(ac.Shard < wd.maps[ac.Snapshot], "shard %d lies outside the map of %d", ac.Shard, ac.Snapshot)
-	wd.must(among(wd.mapOf(ac.Snapshot).Replicas[ac.Shard], ac.Server), "server %d does not hold shard %d", ac.Server, ac.Shard)
-	wd.must(!wd.used[ac.Snapshot][ac.Shard], "shard %d of %d is there already", ac.Shard, ac.Snapshot)
-	for _, fl := range wd.flights {
-		first, now := wd.flights[0].ac.Snapshot, ac.Snapshot
-		wd.must(fl.ac.Snapshot == first || fl.ac.Snapshot == now, "a third snapshot: %d", now)
-		if fl.ac.Shard != ac.Shard {
+func (md *model) send(ac search.Action) {
+	md.require(int(ac.Sub.Attempt) == len(md.subs), "attempt %v is out of order", ac.Sub)
+	md.require(md.cfg.Hard-md.now >= md.cfg.LeastTime, "sent too late for its deadline")
+	md.require(ac.Deadline <= md.cfg.Hard, "sent with a deadline after the hard deadline")
+	md.require(ac.Shard < md.maps[ac.Snapshot], "shard %d lies outside the map of %d", ac.Shard, ac.Snapshot)
+	md.require(contains(md.mapOf(ac.Snapshot).Replicas[ac.Shard], ac.Server), "server %d does not hold shard %d", ac.Server, ac.Shard)
+	md.require(!md.used[ac.Snapshot][ac.Shard], "shard %d of snapshot %d is already answered", ac.Shard, ac.Snapshot)
+	for _, sr := range md.subs {
+		first, now := md.subs[0].ac.Snapshot, ac.Snapshot
+		md.require(sr.ac.Snapshot == first || sr.ac.Snapshot == now, "sent for a third snapshot: %d", now)
+		if sr.ac.Shard != ac.Shard {
 			continue
 		}
-		again := fl.ac.Server == ac.Server && (fl.ac.Snapshot == ac.Snapshot || fl.open())
-		back := fl.lost() && ac.Attempt == search.AttemptRetry && wd.askedAll(ac)
-		wd.must(!again || back, "server %d is asked twice for shard %d", ac.Server, ac.Shard)
-		if wd.cfg.Once {
-			wd.must(fl.told && !fl.ran, "shard %d may run twice", ac.Shard)
+		again := sr.ac.Server == ac.Server && (sr.ac.Snapshot == ac.Snapshot || sr.open())
+		back := sr.lost() && ac.Attempt == search.AttemptRetry && md.askedAll(ac)
+		md.require(!again || back, "server %d is asked twice for shard %d", ac.Server, ac.Shard)
+		if md.cfg.Once {
+			md.require(sr.delivered && !sr.ran, "shard %d may run twice", ac.Shard)
 		}
 	}
-	wd.flights = append(wd.flights, wd.draw(ac))
+	md.subs = append(md.subs, md.drawOutcome(ac))
 }
 
-func (wd *world) cancel(ac search.Action) {
-	fl := wd.flights[ac.Sub.Attempt]
-	wd.must(!fl.told && !fl.cancelled, "cancels %v, which is settled", ac.Sub)
-	wd.must(fl.ac.Server == ac.Server, "cancels %v at another server", ac.Sub)
-	fl.cancelled = true
+func (md *model) cancel(ac search.Action) {
+	sr := md.subs[ac.Sub.Attempt]
+	md.require(!sr.delivered && !sr.cancelled, "cancelled %v, which has ended", ac.Sub)
+	md.require(sr.ac.Server == ac.Server, "cancelled %v at another server", ac.Sub)
+	sr.cancelled = true
 	there := false
-	for _, shards := range wd.used {
+	for _, shards := range md.used {
 		there = there || shards[ac.Shard]
 	}
-	wd.dropped = wd.dropped || !there
+	md.cancelledMissing = md.cancelledMissing || !there
 }
 
-// lost tells whether the sender heard that a reply was lost.
-func (fl *flight) lost() bool {
-	return fl.told && fl.event.Kind == search.EvFailed && fl.event.Sent
+// lost reports whether the machine was informed that the reply was lost.
+func (sr *subRequest) lost() bool {
+	return sr.delivered && sr.event.Kind == search.EvFailed && sr.event.Sent
 }
 
-// askedAll tells whether all servers of a shard were asked, or still are.
-func (wd *world) askedAll(ac search.Action) bool {
-	for _, id := range wd.mapOf(ac.Snapshot).Replicas[ac.Shard] {
+// askedAll reports whether all servers of a shard were asked under the snapshot or
+// have an open sub-request for the shard.
+func (md *model) askedAll(ac search.Action) bool {
+	for _, id := range md.mapOf(ac.Snapshot).Replicas[ac.Shard] {
 		asked := false
-		for _, fl := range wd.flights {
-			same := fl.ac.Server == id && fl.ac.Shard == ac.Shard
-			asked = asked || same && (fl.ac.Snapshot == ac.Snapshot || fl.open())
+		for _, sr := range md.subs {
+			same := sr.ac.Server == id && sr.ac.Shard == ac.Shard
+			asked = asked || same && (sr.ac.Snapshot == ac.Snapshot || sr.open())
 		}
 		if !asked {
 			return false
@@ -191,88 +192,89 @@
 	return true
 }
 
-func (fl *flight) open() bool {
-	return !fl.told && !fl.cancelled
+func (sr *subRequest) open() bool {
+	return !sr.delivered && !sr.cancelled
 }
 
-// draw decides what becomes of a sub-request.
-func (wd *world) draw(ac search.Action) *flight {
-	fl := &flight{ac: ac, fate: rapid.SampledFrom(wd.fates()).Draw(wd.rt, "fate")}
-	fl.event = search.Event{Kind: search.EvReply, Sub: ac.Sub, Shard: ac.Shard}
-	fl.ran = true
-	switch fl.fate {
-	case fateReply:
-		wd.fill(&fl.event, ac.Snapshot)
-	case fateOther:
-		wd.fill(&fl.event, wd.otherThan(ac.Snapshot))
-	case fateWrongShard:
-		wd.fill(&fl.event, ac.Snapshot)
-		fl.event.Shard++
-	case fateWrongMap:
-		wd.fill(&fl.event, ac.Snapshot)
-		fl.event.Shards += 3
-	case fateRefused:
-		fl.ran = false
-		fl.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "shed", RetryAfter: time.Millisecond}
-	case fateGone:
-		fl.ran = false
-		fl.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "snapshotGone", SnapshotGone: true}
-	case fateLeaving:
-		fl.ran = false
-		fl.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "draining", Elsewhere: true}
-	case fateUnsent:
-		fl.ran = false
-		fl.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "dial"}
-	case fateLostBefore:
-		fl.ran = false
-		fl.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "reset", Sent: true}
-	case fateLostAfter, fateSilent:
-		fl.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "timeout", Sent: true}
+// drawOutcome draws the outcome of a sub-request and its event.
+func (md *model) drawOutcome(ac search.Action) *subRequest {
+	sr := &subRequest{ac: ac, outcome: rapid.SampledFrom(md.outcomes()).Draw(md.rt, "outcome")}
+	sr.event = search.Event{Kind: search.EvReply, Sub: ac.Sub, Shard: ac.Shard}
+	sr.ran = true
+	switch sr.outcome {
+	case outcomeReply:
+		md.fillReply(&sr.event, ac.Snapshot)
+	case outcomeOtherVersion:
+		md.fillReply(&sr.event, md.otherThan(ac.Snapshot))
+	case outcomeWrongShard:
+		md.fillReply(&sr.event, ac.Snapshot)
+		sr.event.Shard++
+	case outcomeWrongMap:
+		md.fillReply(&sr.event, ac.Snapshot)
+		sr.event.Shards += 3
+	case outcomeShed:
+		sr.ran = false
+		sr.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "shed", RetryAfter: time.Millisecond}
+	case outcomeSnapshotGone:
+		sr.ran = false
+		sr.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "snapshotGone", SnapshotGone: true}
+	case outcomeLeaving:
+		sr.ran = false
+		sr.event = search.Event{Kind: search.EvRefused, Sub: ac.Sub, Reason: "draining", Elsewhere: true}
+	case outcomeUnsent:
+		sr.ran = false
+		sr.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "dial"}
+	case outcomeLostBeforeRun:
+		sr.ran = false
+		sr.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "reset", Sent: true}
+	case outcomeLostAfterRun, outcomeSilent:
+		sr.event = search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "timeout", Sent: true}
 	}
-	return fl
+	return sr
 }
 
-func (wd *world) fates() []fate {
-	return []fate{
-		fateReply, fateReply, fateReply, fateReply, fateReply, fateOther, fateRefused, fateGone,
-		fateLeaving, fateUnsent, fateLostBefore, fateLostAfter, fateSilent, fateWrongShard, fateWrongMap,
+func (md *model) outcomes() []outcome {
+	return []outcome{
+		outcomeReply, outcomeReply, outcomeReply, outcomeReply, outcomeReply, outcomeOtherVersion, outcomeShed, outcomeSnapshotGone,
+		outcomeLeaving, outcomeUnsent, outcomeLostBeforeRun, outcomeLostAfterRun, outcomeSilent, outcomeWrongShard, outcomeWrongMap,
 	}
 }
 
-func (wd *world) otherThan(version uint64) uint64 {
-	versions := make([]uint64, 0, len(wd.maps))
-	for v := firstVersion; v < firstVersion+uint64(len(wd.maps)); v++ {
+func (md *model) otherThan(version uint64) uint64 {
+	versions := make([]uint64, 0, len(md.maps))
+	for v := firstVersion; v < firstVersion+uint64(len(md.maps)); v++ {
 		if v != version {
 			versions = append(versions, v)
 		}
 	}
-	return rapid.SampledFrom(versions).Draw(wd.rt, "otherVersion")
+	return rapid.SampledFrom(versions).Draw(md.rt, "otherVersion")
 }
 
-// fill makes a reply under a version; its only hit names version and shard, so
-// that an answer shows by itself what it was made of.
-func (wd *world) fill(ev *search.Event, version uint64) {
+// fillReply fills in a reply under a version. Its only hit names version and shard,
+// so that an answer shows which replies it contains.
+func (md *model) fillReply(ev *search.Event, version uint64) {
 	ev.Snapshot = version
-	ev.Shards = wd.maps[version]
+	ev.Shards = md.maps[version]
 	ev.Hits = []merge.Hit{{
 		Member: fmt.Sprintf("%d/%04d", version, ev.Shard),
 		Key:    fmt.Sprintf("%04d", ev.Shard),
 	}}
 }
 
-// deliver tells the machine the end of a flight, perhaps not for the first time.
-func (wd *world) deliver(fl *flight) {
-	first := !fl.told && !fl.cancelled && wd.answer == nil
-	fl.told = fl.told || !fl.cancelled
-	if first && (fl.fate == fateReply || fl.fate == fateOther) && fl.event.Shard < fl.event.Shards {
-		wd.use(fl.event.Snapshot, fl.event.Shard)
+// deliver passes the event of a sub-request to the machine, possibly as a
+// duplicate.
+func (md *model) deliver(sr *subRequest) {
+	first := !sr.delivered && !sr.cancelled && md.answer == nil
+	sr.delivered = sr.delivered || !sr.cancelled
+	if first && (sr.outcome == outcomeReply || sr.outcome == outcomeOtherVersion) && sr.event.Shard < sr.event.Shards {
+		md.markUsed(sr.event.Snapshot, sr.event.Shard)
 	}
-	wd.step(fl.event)
+	md.step(sr.event)
 }
 
-func (wd *world) use(version uint64, shard int) {
-	if wd.used[version] == nil {
-		wd.used[version] = map[int]bool{}
+func (md *model) markUsed(version uint64, shard int) {
+	if md.used[version] == nil {
+		md.used[version] = map[int]bool{}
 	}
-	wd.used[version][shard] = true
+	md.used[version][shard] = true
 }
--- a/core/search/reply.go
+++ b/core/search/reply.go
@@ -3,47 +3,48 @@
 import "time"
 
 func (mc *Machine) onReply(now time.Duration, ev Event) {
-	sb := mc.close(ev.Sub, subAnswered)
+	sb := mc.endSub(ev.Sub, subAnswered)
 	if sb == nil || mc.answered {
 		return
 	}
 	i := int(sb.shard)
 	gr := mc.groupFor(ev)
 	if gr == nil || ev.Shard != i {
-		// A reply for another shard than was asked, or under a map that
-		// cannot be, is not ours to count; the server ran something.
+		// A reply for another shard than requested, or with an impossible
+		// map, is not counted. The server did run something, so that the
+		// retry needs a token.
 		mc.retry(now, i, Event{Reason: ReasonWrongReply})
 		return
 	}
 	gr.add(ev)
-	if gr.whole() {
-		mc.full = true
+	if gr.complete() {
+		mc.groupComplete = true
 	}
 	if gr == mc.pinned {
-		mc.finish(i)
+		mc.finishShard(i)
 		return
 	}
-	mc.onOther(now, i, gr)
+	mc.onOtherVersion(now, i, gr)
 }
 
-func (mc *Machine) finish(i int) {
+func (mc *Machine) finishShard(i int) {
 	sh := &mc.shards[i]
 	sh.done = true
-	mc.cancel(i)
+	mc.cancelShard(i)
 }
 
-// onOther handles a reply under another version than the pinned one. While the
-// pin is ahead the shard is asked again elsewhere. Once the newer version is
-// ahead, asking again for the old one would be work for an answer that is on its
-// way out: the search starts over, or waits with the shard until it is clear
-// which version can be had.
-func (mc *Machine) onOther(now time.Duration, i int, gr *group) {
+// onOtherVersion handles a reply under another version than the pinned one.
+// While the pinned version has at least as many replies, the shard is retried on
+// another server. Once a newer version has more, retrying for the old one would
+// probably be wasted: the search restarts, or defers the shard until it is clear
+// which version can be completed.
+func (mc *Machine) onOtherVersion(now time.Duration, i int, gr *group) {
 	if gr.version > mc.pinned.version {
-		mc.gone = true
+		mc.pinRetired = true
 		if !mc.cfg.Once && gr.answered > mc.pinned.answered {
-			mc.fail(ReasonOtherSnapshot)
-			if !mc.early(now) || !mc.restart(now) {
-				mc.postpone(i)
+			mc.setReason(ReasonOtherSnapshot)
+			if !mc.mayRestartEarly(now) || !mc.restart(now) {
+				mc.deferShard(i)
 			}
 			return
 		}
@@ -51,7 +52,7 @@
 	mc.retry(now, i, Event{Reason: ReasonOtherSnapshot})
 }
 
-func (mc *Machine) postpone(i int) {
+func (mc *Machine) deferShard(i int) {
 	sh := &mc.shards[i]
 	if sh.open > 0 || sh.deferred {
 		return
@@ -60,8 +61,9 @@
 	mc.deferred++
 }
 
-// reask asks again for the shards that were put off; it tells whether any was.
-func (mc *Machine) reask(now time.Duration) bool {
+// retryDeferred retries the deferred shards and reports whether anything was
+// sent.
+func (mc *Machine) retryDeferred(now time.Duration) bool {
 	if mc.deferred == 0 {
 		return false
 	}
@@ -70,7 +72,7 @@
 	for i := range mc.shards {
 		if mc.shards[i].deferred {
 			mc.shards[i].deferred = false
-			mc.again(now, i, Event{Reason: ReasonOtherSnapshot})
+			mc.retryIfAllowed(now, i, Event{Reason: ReasonOtherSnapshot})
 		}
 	}
 	return mc.open > before
--- a/core/search/restart.go
+++ b/core/search/restart.go
@@ -6,41 +6,44 @@
 	"laburnumvane/core/view"
 )
 
-// early tells whether to start over while attempts are still under way: only if
-// as much time is left as was used. Later than that it is better to see what
-// the old snapshot still brings.
-func (mc *Machine) early(now time.Duration) bool {
-	return mc.gone && now-mc.begun <= mc.cfg.Hard-now
+// mayRestartEarly reports whether to restart while sub-requests are still open:
+// only if servers are dropping the pinned snapshot and at least as much time is
+// left as has passed. Later it is better to wait for replies under the old
+// snapshot.
+func (mc *Machine) mayRestartEarly(now time.Duration) bool {
+	return mc.pinRetired && now-mc.started <= mc.cfg.Hard-now
 }
 
-// restart begins the search anew on a newer snapshot, once, if the pinned one is
-// being retired and no shard is forbidden to run twice. It needs a token and
-// then owes one for each shard that it asks again, so that a fleet whose
-// snapshots change faster than searches end is not asked everything twice.
+// restart restarts the search on a newer snapshot, once, if servers are dropping
+// the pinned one and shards may run the search twice. It needs one token, and
+// then charges one for every further shard that it asks again, even if the
+// balance becomes negative. Otherwise the load would double if snapshots change
+// faster than searches end.
 func (mc *Machine) restart(now time.Duration) bool {
-	if !mc.gone || mc.restarted || mc.cfg.Once || mc.cfg.Newer == nil {
+	if !mc.pinRetired || mc.restarted || mc.cfg.Once || mc.cfg.Newer == nil {
 		return false
 	}
 	if !mc.cfg.RetryBudget.Spend() {
-		mc.excuse(ReasonRetryBudget)
+		mc.setReasonIfNone(ReasonRetryBudget)
 		return false
 	}
-	sn, ok := mc.successor()
+	sn, ok := mc.newerSnapshot()
 	if !ok {
 		mc.cfg.RetryBudget.Refund()
 		return false
 	}
-	sent := mc.retries
+	retriesBefore := mc.retries
 	mc.restarted = true
-	mc.startOver(now, sn)
-	mc.cfg.RetryBudget.Charge(mc.retries - sent - 1)
+	mc.switchSnapshot(now, sn)
+	mc.cfg.RetryBudget.Charge(mc.retries - retriesBefore - 1)
 	return true
 }
 
-// successor is the snapshot to start over on. Where the view does not know of a
-// newer one yet, replies may: a version that covers more than the pin does, with
-// a map of the same size, is asked for on the replicas of the pin.
-func (mc *Machine) successor() (view.Snapshot, bool) {
+// newerSnapshot returns the snapshot to restart on. If Config.Newer knows none
+// yet, it may be the version of replies: one newer than the pinned version, with
+// more coverage and the same number of shards. It is then requested from the
+// replicas of the pinned snapshot.
+func (mc *Machine) newerSnapshot() (view.Snapshot, bool) {
 	sn, ok := mc.cfg.Newer(mc.snapshot.Version)
 	if ok && sn.Version > mc.snapshot.Version {
 		return sn, true
@@ -52,33 +55,33 @@
 	return view.Snapshot{Version: gr.version, Replicas: mc.snapshot.Replicas}, true
 }
 
-// startOver turns to another snapshot. Replies that came under it already stay.
-// So do attempts under way if the shard map is the same size: they were sent to
-// servers that answer what they have, which is likely the newer one.
-func (mc *Machine) startOver(now time.Duration, sn view.Snapshot) {
+// switchSnapshot pins another snapshot. Replies already received under it are
+// kept. Open sub-requests are kept if the number of shards is the same: a server
+// answers with the version that it holds, which is probably the newer one.
+func (mc *Machine) switchSnapshot(now time.Duration, sn view.Snapshot) {
 	if sn.Shards() != len(mc.shards) {
 		mc.cancelAll()
 		mc.shards = make([]shard, sn.Shards())
-		mc.line = line{}
+		mc.hedgeQueue = hedgeQueue{}
 	}
 	mc.snapshot = sn
 	mc.deferred = 0
 	mc.pin(sn.Version, sn.Shards())
 	for i := range mc.shards {
-		mc.startShard(now, i)
+		mc.resetShard(now, i)
 	}
-	if mc.pinned.whole() {
-		mc.full = true
+	if mc.pinned.complete() {
+		mc.groupComplete = true
 	}
 }
 
-func (mc *Machine) startShard(now time.Duration, i int) {
+func (mc *Machine) resetShard(now time.Duration, i int) {
 	sh := &mc.shards[i]
-	sh.done = mc.pinned.got[i]
+	sh.done = mc.pinned.received[i]
 	sh.deferred = false
 	sh.retries = 0
 	if sh.done {
-		mc.cancel(i)
+		mc.cancelShard(i)
 		return
 	}
 	if sh.open == 0 {
--- a/core/search/retry.go
+++ b/core/search/retry.go
@@ -3,19 +3,19 @@
 import "time"
 
 func (mc *Machine) onRefused(now time.Duration, ev Event) {
-	sb := mc.close(ev.Sub, subNotRun)
+	sb := mc.endSub(ev.Sub, subNotRun)
 	if sb == nil || mc.answered {
 		return
 	}
 	if ev.RetryAfter > 0 {
-		mc.comeBack = max(mc.comeBack, now+ev.RetryAfter)
+		mc.retryAt = max(mc.retryAt, now+ev.RetryAfter)
 	}
 	if ev.SnapshotGone {
-		mc.gone = true
+		mc.pinRetired = true
 	}
-	if !free(ev) {
-		// A service that sheds has no room for a second attempt either:
-		// each shed takes a hedge away, whether there was one or not.
+	if !needsNoToken(ev) {
+		// A service that sheds has no capacity for hedges either: each
+		// refusal takes a token of the hedge budget, if there is one.
 		mc.cfg.HedgeBudget.Spend()
 	}
 	mc.retry(now, int(sb.shard), ev)
@@ -24,19 +24,20 @@
 func (mc *Machine) onFailed(now time.Duration, ev Event) {
 	st := subNotRun
 	if ev.Sent {
-		st = subDoubtful
+		st = subMayHaveRun
 	}
-	sb := mc.close(ev.Sub, st)
+	sb := mc.endSub(ev.Sub, st)
 	if sb == nil || mc.answered {
 		return
 	}
 	mc.retry(now, int(sb.shard), ev)
 }
 
-// free tells whether the attempt that ended with an event cost no server any
-// work and met no server without room. Another one then needs no token: each
-// server is asked at most once, so that the replicas bound such attempts.
-func free(ev Event) bool {
+// needsNoToken reports whether the attempt that ended with ev cost no server any
+// work and was not refused for lack of capacity. A retry then needs no token:
+// each server is asked at most once, so that the number of replicas limits such
+// retries.
+func needsNoToken(ev Event) bool {
 	switch ev.Kind {
 	case EvFailed:
 		return !ev.Sent
@@ -47,37 +48,37 @@
 	}
 }
 
-// retry sends a shard's search again. A shard that cannot be had under a pin
-// that is being retired makes the search start over at once, since no waiting
-// could complete it.
+// retry retries a shard if it has no open sub-request. If that is not possible
+// and servers are dropping the pinned snapshot, the search restarts at once,
+// since waiting could not complete it.
 func (mc *Machine) retry(now time.Duration, i int, ev Event) {
 	sh := &mc.shards[i]
 	if sh.done || sh.open > 0 {
 		return
 	}
-	if mc.again(now, i, ev) {
+	if mc.retryIfAllowed(now, i, ev) {
 		return
 	}
-	mc.fail(ev.Reason)
-	if mc.early(now) {
+	mc.setReason(ev.Reason)
+	if mc.mayRestartEarly(now) {
 		mc.restart(now)
 	}
 }
 
-// again sends a shard's search to another server, if it may be; it tells
-// whether it was.
-func (mc *Machine) again(now time.Duration, i int, ev Event) bool {
+// retryIfAllowed sends the search to another server of a shard, if the rules and
+// budgets allow it, and reports whether it did.
+func (mc *Machine) retryIfAllowed(now time.Duration, i int, ev Event) bool {
 	sh := &mc.shards[i]
-	if mc.cfg.Once && sh.ran > 0 {
-		// It may have run: a second attempt could run it twice.
+	if mc.cfg.Once && sh.mayHaveRun > 0 {
+		// The search may have run on the shard and must not run twice.
 		return false
 	}
-	if free(ev) {
+	if needsNoToken(ev) {
 		return mc.send(now, i, AttemptRetry, ev.Reason)
 	}
-	if mc.restarted && !mc.subs[sh.last].again {
-		// The attempt was kept over the restart and brought nothing: the
-		// first one under the new snapshot is still due, and owed for.
+	if mc.restarted && !mc.subs[sh.last].afterRestart {
+		// The attempt was open during the restart and failed. The first
+		// attempt under the new snapshot is still to be made, and charged.
 		if !mc.send(now, i, AttemptRetry, ev.Reason) {
 			return false
 		}
@@ -88,7 +89,7 @@
 		return false
 	}
 	if !mc.cfg.RetryBudget.Spend() {
-		mc.excuse(ReasonRetryBudget)
+		mc.setReasonIfNone(ReasonRetryBudget)
 		return false
 	}
 	if !mc.send(now, i, AttemptRetry, ev.Reason) {
--- a/core/search/script_test.go
+++ b/core/search/script_test.go
@@ -10,7 +10,7 @@
 	"laburnumvane/core/search"
 )
 
-// fields are the name=value words of a line; a word alone is a flag.
+// fields holds the name=value words of a line. A word without = is a flag.
 type fields map[string]string
 
 func parseFields(words []string) (fields, error) {
@@ -18,7 +18,7 @@
 	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
 		if _, double := fs[name]; double {
-			return nil, fmt.Errorf("%s stands twice", name)
+			return nil, fmt.Errorf("duplicate field %s", name)
 		}
 		fs[name] = value
 	}
@@ -30,8 +30,8 @@
 	return ok
 }
 
-// num is 0 for a field that is absent; a garbled one stops the test.
-func (fs fields) num(name string) int {
+// number returns 0 for an absent field and panics for an invalid one.
+func (fs fields) number(name string) int {
 	if !fs.has(name) {
 		return 0
 	}
@@ -42,7 +42,7 @@
 	return n
 }
 
-func (fs fields) span(name string) time.Duration {
+func (fs fields) duration(name string) time.Duration {
 	if !fs.has(name) {
 		return 0
 	}
@@ -53,24 +53,24 @@
 	return d
 }
 
-// eventOf reads an event: its kind and its fields.
+// eventOf parses an event: its kind and its fields.
 func eventOf(words []string) (search.Event, error) {
 	fs, err := parseFields(words[1:])
 	if err != nil {
 		return search.Event{}, err
 	}
 	ev := search.Event{
-		Sub:          search.SubID{Search: 1, Attempt: uint32(fs.num("sub"))},
-		Shard:        fs.num("shard"),
-		Snapshot:     uint64(fs.num("snapshot")),
-		Shards:       fs.num("shards"),
+		Sub:          search.SubID{Search: 1, Attempt: uint32(fs.number("sub"))},
+		Shard:        fs.number("shard"),
+		Snapshot:     uint64(fs.number("snapshot")),
+		Shards:       fs.number("shards"),
 		Hits:         hitsOf(fs["hits"]),
 		More:         fs.has("more"),
 		Reason:       fs["reason"],
 		Sent:         fs.has("sent"),
 		SnapshotGone: fs.has("snapshotGone"),
 		Elsewhere:    fs.has("elsewhere"),
-		RetryAfter:   fs.span("retryAfter"),
+		RetryAfter:   fs.duration("retryAfter"),
 	}
 	switch words[0] {
 	case "reply":
@@ -84,12 +84,12 @@
 	case "cancel":
 		ev.Kind = search.EvCancel
 	default:
-		return ev, fmt.Errorf("no event is called %s", words[0])
+		return ev, fmt.Errorf("unknown kind of event %q", words[0])
 	}
 	return ev, nil
 }
 
-// hitsOf reads hits in the form member:key,member:key.
+// hitsOf parses hits in the form member:key,member:key.
 func hitsOf(text string) []merge.Hit {
 	if text == "" {
 		return nil
--- a/core/search/sub.go
+++ b/core/search/sub.go
@@ -6,67 +6,72 @@
 	"laburnumvane/core/view"
 )
 
-// subState is what is known of one sub-request.
+// subState is the state of one sub-request.
 type subState uint8
 
 const (
-	// subOpen: sent, no word yet.
+	// subOpen: sent, and neither ended nor cancelled.
 	subOpen subState = iota + 1
 	// subAnswered: the server replied.
 	subAnswered
 	// subNotRun: refused by the server, or no byte left this VM.
 	subNotRun
-	// subDoubtful: it may have run, and no reply will be used.
-	subDoubtful
+	// subMayHaveRun: failed after it was sent, or cancelled. It may have run,
+	// and no reply will be used.
+	subMayHaveRun
 )
 
-// none ends a chain of indexes.
-const none = -1
+// noIndex marks the end of a linked list of indexes.
+const noIndex = -1
 
 // sub is one sub-request.
 type sub struct {
 	started time.Duration
 	server  view.ServerID
 	shard   int32
-	// before is the attempt before it on the same shard, or none.
-	before int32
-	state  subState
-	// again is set if it was sent after a restart.
-	again bool
+	// previous is the index of the previous attempt on the same shard, or
+	// noIndex.
+	previous int32
+	state    subState
+	// afterRestart is set if it was sent after a restart.
+	afterRestart bool
 }
 
 // shard is the progress of one shard of the pinned snapshot.
 type shard struct {
+	// started is when the shard last began to wait: for its first open
+	// attempt, a hedge, or a token for one.
 	started time.Duration
-	// last is the newest attempt; it is valid if tries is not 0.
+	// last is the index of the newest attempt; it is valid if attempts is not
+	// 0.
 	last int32
-	// prev and next are the neighbours in the line of those to be hedged.
+	// prev and next are the neighbours in the hedge queue.
 	prev, next int32
-	tries      uint16
+	attempts   uint16
 	open       uint16
-	// ran counts the attempts that ran or may have run.
-	ran uint16
-	// retries counts the attempts after one that may have cost work.
+	// mayHaveRun counts the attempts that ran or may have run.
+	mayHaveRun uint16
+	// retries counts the retries after attempts that may have cost work.
 	retries  uint16
 	done     bool
-	lined    bool
+	queued   bool
 	deferred bool
 }
 
-// send picks a server for a shard and sends; it tells whether there was one and
-// time enough.
+// send picks a server for a shard and sends to it. It returns false if there is
+// no server or not enough time.
 func (mc *Machine) send(now time.Duration, i int, at Attempt, reason string) bool {
 	if mc.cfg.Hard-now < mc.cfg.LeastTime {
-		mc.excuse(ReasonDeadline)
+		mc.setReasonIfNone(ReasonDeadline)
 		return false
 	}
 	server, ok := mc.choose(i, at)
 	if !ok {
-		mc.excuse(ReasonNoReplica)
+		mc.setReasonIfNone(ReasonNoReplica)
 		return false
 	}
-	mc.record(now, i, server)
-	mc.count(at)
+	mc.recordSub(now, i, server)
+	mc.countAttempt(at)
 	mc.actions = append(mc.actions, Action{
 		Kind:     ActSend,
 		Sub:      SubID{Search: mc.cfg.Number, Attempt: uint32(len(mc.subs) - 1)},
@@ -80,34 +85,34 @@
 	return true
 }
 
-// choose picks a server not asked yet for the shard. Where none is left a retry
-// may go back to one whose reply was lost: it is the connection that failed, and
-// a new one may work while all the old ones are dead.
+// choose picks a server not yet asked for the shard. If there is none, a retry may
+// return to a server whose reply was lost: what failed is the connection, and a
+// new connection may work even if all the old ones are dead.
 func (mc *Machine) choose(i int, at Attempt) (view.ServerID, bool) {
 	replicas := mc.snapshot.Replicas[i]
-	server, ok := mc.cfg.Chooser.Pick(replicas, mc.asked(i, false))
+	server, ok := mc.cfg.Chooser.Pick(replicas, mc.serversAsked(i, false))
 	if ok || at != AttemptRetry {
 		return server, ok
 	}
-	return mc.cfg.Chooser.Pick(replicas, mc.asked(i, true))
+	return mc.cfg.Chooser.Pick(replicas, mc.serversAsked(i, true))
 }
 
-// asked lists the servers asked for a shard under the snapshot in force, and
-// those still at work on it; but for those of which a reply was lost, if so
-// wished. One that ended its attempt under another snapshot may be asked again:
-// that it lacked the other says nothing about this one.
-func (mc *Machine) asked(i int, butLost bool) []view.ServerID {
+// serversAsked returns the servers asked for a shard under the pinned snapshot and
+// those with an open sub-request for it. With exceptLost it leaves out those whose
+// reply was lost. A server whose attempt under the former snapshot has ended may
+// be asked again: that it lacked that snapshot says nothing about this one.
+func (mc *Machine) serversAsked(i int, exceptLost bool) []view.ServerID {
 	mc.tried = mc.tried[:0]
 	sh := &mc.shards[i]
-	if sh.tries == 0 {
+	if sh.attempts == 0 {
 		return mc.tried
 	}
-	for k := sh.last; k != none; k = mc.subs[k].before {
+	for k := sh.last; k != noIndex; k = mc.subs[k].previous {
 		sb := &mc.subs[k]
-		if sb.again != mc.restarted && sb.state != subOpen {
+		if sb.afterRestart != mc.restarted && sb.state != subOpen {
 			continue
 		}
-		if butLost && sb.state == subDoubtful {
+		if exceptLost && sb.state == subMayHaveRun {
 			continue
 		}
 		mc.tried = append(mc.tried, sb.server)
@@ -115,26 +120,26 @@
 	return mc.tried
 }
 
-// record enters a sub-request that is being sent.
-func (mc *Machine) record(now time.Duration, i int, server view.ServerID) {
+// recordSub adds a sub-request that is about to be sent.
+func (mc *Machine) recordSub(now time.Duration, i int, server view.ServerID) {
 	sh := &mc.shards[i]
-	before := int32(none)
-	if sh.tries > 0 {
-		before = sh.last
+	previous := int32(noIndex)
+	if sh.attempts > 0 {
+		previous = sh.last
 	}
 	mc.subs = append(mc.subs, sub{
-		started: now,
-		server:  server,
-		shard:   int32(i),
-		before:  before,
-		state:   subOpen,
-		again:   mc.restarted,
+		started:      now,
+		server:       server,
+		shard:        int32(i),
+		previous:     previous,
+		state:        subOpen,
+		afterRestart: mc.restarted,
 	})
 	sh.last = int32(len(mc.subs) - 1)
-	sh.tries++
-	sh.ran++
+	sh.attempts++
+	sh.mayHaveRun++
 	sh.open++
-	mc.ran++
+	mc.mayHaveRun++
 	mc.open++
 	if sh.open == 1 {
 		sh.started = now
@@ -143,7 +148,7 @@
 	}
 }
 
-func (mc *Machine) count(at Attempt) {
+func (mc *Machine) countAttempt(at Attempt) {
 	switch at {
 	case AttemptPrimary:
 		mc.primaries++
@@ -154,9 +159,9 @@
 	}
 }
 
-// close settles an open sub-request and returns it; nil if there is none such,
-// as for a duplicate, a late or a foreign event.
-func (mc *Machine) close(id SubID, st subState) *sub {
+// endSub ends an open sub-request and returns it. It returns nil if there is none
+// with that ID, as for a duplicate or late event, or one of another search.
+func (mc *Machine) endSub(id SubID, st subState) *sub {
 	if id.Search != mc.cfg.Number || uint64(id.Attempt) >= uint64(len(mc.subs)) {
 		return nil
 	}
@@ -164,19 +169,20 @@
 	if sb.state != subOpen {
 		return nil
 	}
-	mc.shut(sb, st)
+	mc.markEnded(sb, st)
 	return sb
 }
 
-// shut takes an open sub-request out of all counts but those of what ran.
-func (mc *Machine) shut(sb *sub, st subState) {
+// markEnded sets the final state of an open sub-request and updates the counts.
+// It still counts as one that may have run unless st is subNotRun.
+func (mc *Machine) markEnded(sb *sub, st subState) {
 	sb.state = st
 	mc.open--
 	sh := &mc.shards[sb.shard]
 	sh.open--
 	if st == subNotRun {
-		sh.ran--
-		mc.ran--
+		sh.mayHaveRun--
+		mc.mayHaveRun--
 	}
 	if sh.open == 0 {
 		mc.active--
@@ -184,11 +190,11 @@
 	}
 }
 
-// cancel gives up the open attempts of one shard.
-func (mc *Machine) cancel(i int) {
+// cancelShard cancels the open sub-requests of one shard.
+func (mc *Machine) cancelShard(i int) {
 	sh := &mc.shards[i]
-	for k := sh.last; sh.open > 0; k = mc.subs[k].before {
-		mc.giveUp(k)
+	for k := sh.last; sh.open > 0; k = mc.subs[k].previous {
+		mc.cancelSub(k)
 	}
 }
 
@@ -197,16 +203,16 @@
 		if mc.open == 0 {
 			return
 		}
-		mc.cancel(i)
+		mc.cancelShard(i)
 	}
 }
 
-func (mc *Machine) giveUp(k int32) {
+func (mc *Machine) cancelSub(k int32) {
 	sb := &mc.subs[k]
 	if sb.state != subOpen {
 		return
 	}
-	mc.shut(sb, subDoubtful)
+	mc.markEnded(sb, subMayHaveRun)
 	mc.actions = append(mc.actions, Action{
 		Kind:    ActCancel,
 		Sub:     SubID{Search: mc.cfg.Number, Attempt: uint32(k)},
--- a/core/search/tune_test.go
+++ b/core/search/tune_test.go
@@ -7,14 +7,14 @@
 	"laburnumvane/core/search/internal/qsim"
 )
 
-// BenchmarkTuning varies one number of the policy at a time.
+// BenchmarkTuning varies one parameter of the policy at a time.
 func BenchmarkTuning(b *testing.B) {
 	faults := qsim.Faults()
 	cases := []struct {
-		name  string
-		plant qsim.Plant
-		fault qsim.Fault
-		load  float64
+		name     string
+		topology qsim.Topology
+		fault    qsim.Fault
+		load     float64
 	}{
 		{"stragglers60", qsim.Pettigrew(), faults[1], 0.6},
 		{"stragglers85", qsim.Pettigrew(), faults[1], 0.85},
@@ -26,7 +26,7 @@
 	}
 	for _, cs := range cases {
 		searches := 20000
-		if cs.plant.Shards > 10 {
+		if cs.topology.Shards > 10 {
 			searches = 3000
 		}
 		for _, po := range variants() {
@@ -34,7 +34,7 @@
 				var rs qsim.Result
 				for b.Loop() {
 					rs = qsim.Run(qsim.Config{
-						Plant: cs.plant, Fault: cs.fault, Load: cs.load, Searches: searches, Policy: po,
+						Topology: cs.topology, Fault: cs.fault, Load: cs.load, Searches: searches, Policy: po,
 						Seed: 1, Soft: deadline, Hard: deadline, MinCoverage: 1,
 					})
 				}
@@ -56,7 +56,7 @@
 		vary(fmt.Sprintf("quantile%v", q), func(po *qsim.Policy) { po.Quantile = q })
 	}
 	for _, times := range []float64{0, 2, 5} {
-		vary(fmt.Sprintf("lost%v", times), func(po *qsim.Policy) { po.LostTimes = times })
+		vary(fmt.Sprintf("lost%v", times), func(po *qsim.Policy) { po.LostFactor = times })
 	}
 	for _, share := range []float64{0, 0.02, 0.1} {
 		vary(fmt.Sprintf("retry%v", share), func(po *qsim.Policy) { po.RetryShare = share })
