--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -13,22 +13,23 @@
 
 const second = time.Second
 
-// switched is a machine whose room is switched by hand.
-func switched(cfg admit.Config) (*admit.Machine[string], *bool) {
-	open := false
-	cfg.Room = func(time.Duration, int) bool { return open }
-	return admit.New[string](cfg), &open
+// newSwitchable returns a machine and a switch that sets whether there is capacity.
+func newSwitchable(cfg admit.Config) (*admit.Machine[string], *bool) {
+	available := false
+	cfg.Room = func(time.Duration, int) bool { return available }
+	return admit.New[string](cfg), &available
 }
 
 func request(cl admit.Class, tm admit.TeamID) admit.Request {
 	return admit.Request{Class: cl, Team: tm, Cost: 10, Deadline: 10 * second}
 }
 
-// started lists who starts when room comes for n, one after the other.
-func started(mc *admit.Machine[string], open *bool, now time.Duration, n int) string {
+// startOrder returns the concatenated names of the searches that start when there is
+// capacity n times.
+func startOrder(mc *admit.Machine[string], available *bool, now time.Duration, n int) string {
 	out := ""
 	for range n {
-		*open = true
+		*available = true
 		for _, gr := range mc.Step(now) {
 			if gr.Start {
 				out += gr.Waiter
@@ -36,7 +37,7 @@
 			}
 		}
 	}
-	*open = false
+	*available = false
 	return out
 }
 
@@ -52,7 +53,7 @@
 		want   string
 	}{
 		{
-			name: "classes before arrival",
+			name: "higher classes first",
 			offers: []offer{
 				{admit.Batch, 1, "c"}, {admit.Interactive, 1, "b"}, {admit.Urgent, 1, "a"},
 				{admit.Urgent, 1, "A"},
@@ -68,7 +69,7 @@
 			want: "1x2y3",
 		},
 		{
-			name: "arrival within a team",
+			name: "arrival order within a team",
 			offers: []offer{
 				{admit.Batch, 1, "1"}, {admit.Batch, 1, "2"}, {admit.Batch, 1, "3"},
 			},
@@ -78,27 +79,27 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			mc, open := switched(admit.Config{})
+			mc, available := newSwitchable(admit.Config{})
 			for _, of := range tc.offers {
 				is.Equal(mc.Offer(0, request(of.class, of.team), of.name).Kind, admit.Queued)
 			}
-			is.Equal(started(mc, open, second, len(tc.offers)), tc.want)
+			is.Equal(startOrder(mc, available, second, len(tc.offers)), tc.want)
 			is.Equal(mc.Waiting(), 0)
 		})
 	}
 }
 
-// Turns are weighted by cost: a team of searches ten times as costly starts a
+// Turns are weighted by cost: a team whose searches cost ten times as much starts a
 // tenth as many.
-func TestTurnsWeighCost(t *testing.T) {
+func TestTurnsAreWeightedByCost(t *testing.T) {
 	is := is.New(t)
-	mc, open := switched(admit.Config{})
+	mc, available := newSwitchable(admit.Config{})
 	for range 100 {
 		mc.Offer(0, admit.Request{Class: admit.Batch, Team: 1, Cost: 100, Deadline: 100 * second}, "L")
 		mc.Offer(0, admit.Request{Class: admit.Batch, Team: 2, Cost: 10, Deadline: 100 * second}, "s")
 	}
 	large := 0
-	order := started(mc, open, second, 55)
+	order := startOrder(mc, available, second, 55)
 	for _, c := range order {
 		if c == 'L' {
 			large++
@@ -117,7 +118,7 @@
 	cases := []struct {
 		name   string
 		cfg    admit.Config
-		before func(mc *admit.Machine[string], open *bool)
+		before func(mc *admit.Machine[string], available *bool)
 		rq     admit.Request
 		now    time.Duration
 		want   admit.Reason
@@ -126,62 +127,61 @@
 			name: "no time is left",
 			rq:   admit.Request{Class: admit.Urgent, Cost: 1, Deadline: second},
 			now:  second,
-			want: admit.ReasonLate,
+			want: admit.ReasonDeadlineTooClose,
 		},
 		{
-			name:   "the class's queue is full",
-			cfg:    admit.Config{QueueMost: 4, TeamMost: 4},
+			name:   "the queue of the class is full",
+			cfg:    admit.Config{MaxQueue: 4, MaxTeamQueue: 4},
 			before: func(mc *admit.Machine[string], _ *bool) { fill(mc, 4) },
 			rq:     request(admit.Interactive, 2),
-			want:   admit.ReasonQueue,
+			want:   admit.ReasonQueueFull,
 		},
 		{
 			name:   "the team's part of the queue is full",
-			cfg:    admit.Config{QueueMost: 8, TeamMost: 4},
+			cfg:    admit.Config{MaxQueue: 8, MaxTeamQueue: 4},
 			before: func(mc *admit.Machine[string], _ *bool) { fill(mc, 4) },
 			rq:     request(admit.Interactive, 1),
-			want:   admit.ReasonTeamQueue,
+			want:   admit.ReasonTeamQueueFull,
 		},
 		{
 			name: "the wait would take most of the time left",
-			before: func(mc *admit.Machine[string], open *bool) {
+			before: func(mc *admit.Machine[string], available *bool) {
 				fill(mc, 20)
 				for i := range 10 {
-					started(mc, open, time.Duration(i+1)*100*time.Millisecond, 1)
+					startOrder(mc, available, time.Duration(i+1)*100*time.Millisecond, 1)
 				}
 			},
 			rq:   admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: 1500 * time.Millisecond},
 			now:  second,
-			want: admit.ReasonWait,
+			want: admit.ReasonWaitTooLong,
 		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			mc, open := switched(tc.cfg)
+			mc, available := newSwitchable(tc.cfg)
 			if tc.before != nil {
-				tc.before(mc, open)
+				tc.before(mc, available)
 			}
 			waiting := mc.Waiting()
 			de := mc.Offer(tc.now, tc.rq, "")
 			is.Equal(de.Kind, admit.Refused)
 			is.Equal(de.Reason, tc.want)
 			is.True(de.RetryAfter > 0)
-			is.Equal(mc.Waiting(), waiting) // nothing is kept of it
+			is.Equal(mc.Waiting(), waiting) // a refused search is not queued
 		})
 	}
 }
 
-// What the caller sees: searches are admitted again as soon as the servers are
-// well.
-// For a while all searches ran into their deadlines, so each looks as if it
-// needed all of its time.
-// Why: what a search needs counts for half of its time at most; else all would
-// be refused as late, and nothing would show that the fault is over.
-func TestSlowSearchesDoNotShutTheDoor(t *testing.T) {
+// After a fault during which all searches reached their deadlines, the expected
+// duration of a search is its whole time. If it were used as it is, all later
+// searches would be refused as too late, and nothing would show that the servers
+// have recovered. It therefore counts for at most half of the time left, and
+// searches are admitted.
+func TestSlowSearchesDoNotBlockAdmission(t *testing.T) {
 	is := is.New(t)
-	mc, open := switched(admit.Config{})
-	*open = true
+	mc, available := newSwitchable(admit.Config{})
+	*available = true
 	now := time.Duration(0)
 	for range 200 {
 		is.Equal(mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "").Kind, admit.Admitted)
@@ -192,14 +192,13 @@
 	is.Equal(mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "").Kind, admit.Admitted)
 }
 
-// What the caller sees: lower classes wait and are refused first when the VM
-// itself is behind, and no longer once it isn't.
-// Searches end for want of a worker; the VM's own limit comes down to where it
-// can keep up, and up again with each search that ends well.
-// Why: the limit follows what ended, at most one cut in a round trip.
-func TestOwnLimitAdapts(t *testing.T) {
+// When the VM itself cannot keep up, because searches end without a free worker, its
+// own limit decreases to MinLimit, and lower classes wait and are refused first. The
+// limit increases again with the searches that end well. It follows only the ends of
+// searches, with at most one decrease in the duration of a search.
+func TestVMLimitAdapts(t *testing.T) {
 	is := is.New(t)
-	mc := admit.New[string](admit.Config{Room: always, Least: 4, Most: 100})
+	mc := admit.New[string](admit.Config{Room: alwaysCapacity, MinLimit: 4, MaxLimit: 100})
 	now := time.Duration(0)
 	fill := func() int {
 		n := 0
@@ -209,7 +208,7 @@
 		}
 		return n
 	}
-	is.Equal(fill(), 80) // four fifths, the rest is for upper classes
+	is.Equal(fill(), 80) // four fifths; the rest is reserved for higher classes
 	is.Equal(mc.Offer(now, request(admit.Urgent, 1), "").Kind, admit.Admitted)
 	mc.Begun()
 	drain := func(behind bool) {
@@ -218,7 +217,7 @@
 			mc.Done(now, admit.Interactive, time.Millisecond, behind)
 		}
 		for range 1000 {
-			mc.Step(now + 20*second) // what waits is too late by then
+			mc.Step(now + 20*second) // queued searches can no longer start in time
 		}
 	}
 	drain(true)
@@ -249,130 +248,130 @@
 	is.Equal(admit.ClassOf(team.ClassUrgent), admit.Urgent)
 	is.Equal(admit.ClassOf(team.ClassInteractive), admit.Interactive)
 	is.Equal(admit.ClassOf(team.ClassBatch), admit.Batch)
-	is.Equal(admit.ClassOf("slip"), admit.Batch)
+	is.Equal(admit.ClassOf("unknown"), admit.Batch)
 }
 
-// drawn is a machine whose every event is drawn.
-type drawn struct {
-	rt      *rapid.T
-	mc      *admit.Machine[int]
-	open    bool
-	now     time.Duration
-	latest  time.Duration
-	running []admit.Class
-	waiting map[int]admit.Decision
-	class   map[int]admit.Class
+// randomRun is a machine under a random sequence of calls, and the state expected.
+type randomRun struct {
+	rt        *rapid.T
+	mc        *admit.Machine[int]
+	available bool
+	now       time.Duration
+	latest    time.Duration
+	running   []admit.Class
+	waiting   map[int]admit.Decision
+	class     map[int]admit.Class
 }
 
-const drawnQueue = 6
+const randomRunMaxQueue = 6
 
-func (dn *drawn) step() {
-	what := rapid.IntRange(0, 4).Draw(dn.rt, "what")
-	if what == 3 && len(dn.waiting) == 0 {
+func (rr *randomRun) step() {
+	action := rapid.IntRange(0, 4).Draw(rr.rt, "action")
+	if action == 3 && len(rr.waiting) == 0 {
 		return
 	}
-	dn.now += time.Duration(rapid.IntRange(-100, 400).Draw(dn.rt, "ms")) * time.Millisecond
-	dn.latest = max(dn.latest, dn.now)
-	switch what {
+	rr.now += time.Duration(rapid.IntRange(-100, 400).Draw(rr.rt, "ms")) * time.Millisecond
+	rr.latest = max(rr.latest, rr.now)
+	switch action {
 	case 0, 1:
-		dn.offer()
+		rr.offer()
 	case 2:
-		if len(dn.running) > 0 {
-			dn.done(rapid.Bool().Draw(dn.rt, "behind"))
+		if len(rr.running) > 0 {
+			rr.done(rapid.Bool().Draw(rr.rt, "behind"))
 		}
-		dn.grant()
+		rr.grant()
 	case 3:
-		dn.withdraw()
+		rr.withdraw()
 	case 4:
-		dn.open = !dn.open
-		dn.grant()
+		rr.available = !rr.available
+		rr.grant()
 	}
-	mc := dn.mc
-	if mc.InFlight() != len(dn.running) || mc.Waiting() != len(dn.waiting) || mc.Waiting() > admit.Classes*drawnQueue {
-		dn.rt.Fatalf("%d in flight for %d, %d waiting for %d", mc.InFlight(), len(dn.running), mc.Waiting(), len(dn.waiting))
+	mc := rr.mc
+	if mc.InFlight() != len(rr.running) || mc.Waiting() != len(rr.waiting) || mc.Waiting() > admit.Classes*randomRunMaxQueue {
+		rr.rt.Fatalf("%d in flight for %d, %d waiting for %d", mc.InFlight(), len(rr.running), mc.Waiting(), len(rr.waiting))
 	}
 }
 
-func (dn *drawn) offer() {
+func (rr *randomRun) offer() {
 	rq := admit.Request{
-		Class:    admit.Class(rapid.IntRange(0, 2).Draw(dn.rt, "class")),
-		Team:     admit.TeamID(rapid.IntRange(0, 2).Draw(dn.rt, "team")),
-		Cost:     int32(rapid.IntRange(1, 300).Draw(dn.rt, "cost")),
-		Deadline: dn.latest + time.Duration(rapid.IntRange(-10, 2000).Draw(dn.rt, "left"))*time.Millisecond,
+		Class:    admit.Class(rapid.IntRange(0, 2).Draw(rr.rt, "class")),
+		Team:     admit.TeamID(rapid.IntRange(0, 2).Draw(rr.rt, "team")),
+		Cost:     int32(rapid.IntRange(1, 300).Draw(rr.rt, "cost")),
+		Deadline: rr.latest + time.Duration(rapid.IntRange(-10, 2000).Draw(rr.rt, "left"))*time.Millisecond,
 	}
-	id := len(dn.class) + 1
-	dn.class[id] = rq.Class
-	de := dn.mc.Offer(dn.now, rq, id)
+	id := len(rr.class) + 1
+	rr.class[id] = rq.Class
+	de := rr.mc.Offer(rr.now, rq, id)
 	switch {
 	case de.Kind == admit.Admitted:
-		dn.mc.Begun()
-		dn.running = append(dn.running, rq.Class)
+		rr.mc.Begun()
+		rr.running = append(rr.running, rq.Class)
 	case de.Kind == admit.Queued && de.Until <= rq.Deadline:
-		dn.waiting[id] = de
+		rr.waiting[id] = de
 	case de.Kind == admit.Refused && de.RetryAfter > 0:
 	default:
-		dn.rt.Fatalf("%+v got %+v", rq, de)
+		rr.rt.Fatalf("%+v got %+v", rq, de)
 	}
 }
 
-func (dn *drawn) done(behind bool) {
-	dn.mc.Done(dn.now, dn.running[0], 50*time.Millisecond, behind)
-	dn.running = dn.running[1:]
+func (rr *randomRun) done(behind bool) {
+	rr.mc.Done(rr.now, rr.running[0], 50*time.Millisecond, behind)
+	rr.running = rr.running[1:]
 }
 
-func (dn *drawn) withdraw() {
-	for id, de := range dn.waiting {
-		if !dn.mc.Withdraw(dn.now, de.Handle) {
-			dn.rt.Fatalf("search %d was lost", id)
+func (rr *randomRun) withdraw() {
+	for id, de := range rr.waiting {
+		if !rr.mc.Withdraw(rr.now, de.Handle) {
+			rr.rt.Fatalf("queued search %d could not be withdrawn", id)
 		}
-		if dn.mc.Withdraw(dn.now, de.Handle) {
-			dn.rt.Fatalf("search %d was withdrawn twice", id)
+		if rr.mc.Withdraw(rr.now, de.Handle) {
+			rr.rt.Fatalf("search %d was withdrawn twice", id)
 		}
-		delete(dn.waiting, id)
+		delete(rr.waiting, id)
 		return
 	}
 }
 
-func (dn *drawn) grant() {
-	for _, gr := range dn.mc.Step(dn.now) {
-		de, ok := dn.waiting[gr.Waiter]
+func (rr *randomRun) grant() {
+	for _, gr := range rr.mc.Step(rr.now) {
+		de, ok := rr.waiting[gr.Waiter]
 		if !ok {
-			dn.rt.Fatalf("search %d got a second verdict", gr.Waiter)
+			rr.rt.Fatalf("search %d got a second decision", gr.Waiter)
 		}
-		delete(dn.waiting, gr.Waiter)
+		delete(rr.waiting, gr.Waiter)
 		switch {
-		case gr.Start && dn.latest >= de.Until:
-			dn.rt.Fatalf("search %d started at %v, after %v", gr.Waiter, dn.latest, de.Until)
+		case gr.Start && rr.latest >= de.Until:
+			rr.rt.Fatalf("search %d started at %v, after %v", gr.Waiter, rr.latest, de.Until)
 		case gr.Start:
-			dn.mc.Begun()
-			dn.running = append(dn.running, dn.class[gr.Waiter])
+			rr.mc.Begun()
+			rr.running = append(rr.running, rr.class[gr.Waiter])
 		case gr.RetryAfter <= 0:
-			dn.rt.Fatal("refused without a time to come back")
+			rr.rt.Fatal("refused without RetryAfter")
 		}
 	}
 }
 
-// Whatever is offered, ends, is withdrawn or steps when, and however the clock
-// handed in jumps: each search gets one verdict, none starts after the time it
-// may start at last, and the queue never holds more than it may.
+// Whatever the order of calls, and even if the time passed in jumps back: each search
+// gets exactly one decision, none starts after Decision.Until, and no queue exceeds its
+// limit.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		dn := &drawn{rt: rt, open: true, waiting: map[int]admit.Decision{}, class: map[int]admit.Class{}}
-		room := func(time.Duration, int) bool { return dn.open }
-		dn.mc = admit.New[int](admit.Config{Room: room, QueueMost: drawnQueue, TeamMost: 3, Most: 8})
+		rr := &randomRun{rt: rt, available: true, waiting: map[int]admit.Decision{}, class: map[int]admit.Class{}}
+		hasCapacity := func(time.Duration, int) bool { return rr.available }
+		rr.mc = admit.New[int](admit.Config{Room: hasCapacity, MaxQueue: randomRunMaxQueue, MaxTeamQueue: 3, MaxLimit: 8})
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			dn.step()
+			rr.step()
 		}
-		dn.open = true
-		for len(dn.running) > 0 {
-			dn.done(false)
-			dn.grant()
+		rr.available = true
+		for len(rr.running) > 0 {
+			rr.done(false)
+			rr.grant()
 		}
-		dn.latest += time.Hour
-		dn.now = dn.latest
-		dn.grant()
-		if len(dn.waiting) > 0 {
-			rt.Fatalf("%d searches wait for ever", len(dn.waiting))
+		rr.latest += time.Hour
+		rr.now = rr.latest
+		rr.grant()
+		if len(rr.waiting) > 0 {
+			rt.Fatalf("%d searches never got a decision", len(rr.waiting))
 		}
 	})
 }
--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -10,13 +10,14 @@
 	"laburnumvane/core/admit"
 )
 
-func always(time.Duration, int) bool { return true }
-func never(time.Duration, int) bool  { return false }
+func alwaysCapacity(time.Duration, int) bool { return true }
+func neverCapacity(time.Duration, int) bool  { return false }
 
-// BenchmarkDecision is one decision of each kind, with its end.
+// BenchmarkDecision measures one decision of each kind, including the end of an
+// admitted search.
 func BenchmarkDecision(b *testing.B) {
 	b.Run("admit", func(b *testing.B) {
-		mc := admit.New[int](admit.Config{Room: always})
+		mc := admit.New[int](admit.Config{Room: alwaysCapacity})
 		b.ReportAllocs()
 		now := time.Duration(0)
 		for b.Loop() {
@@ -27,7 +28,7 @@
 		}
 	})
 	b.Run("refuse", func(b *testing.B) {
-		mc := full(1024)
+		mc := machineWithFullQueue(1024)
 		b.ReportAllocs()
 		now := time.Second
 		for b.Loop() {
@@ -37,8 +38,8 @@
 	})
 	for _, teams := range []int{1, 10, 1000} {
 		b.Run(fmt.Sprintf("queue and start/teams=%d", teams), func(b *testing.B) {
-			room := false
-			mc := admit.New[int](admit.Config{Room: func(time.Duration, int) bool { return room }, TeamMost: 1 << 20, QueueMost: 1 << 20})
+			hasCapacity := false
+			mc := admit.New[int](admit.Config{Room: func(time.Duration, int) bool { return hasCapacity }, MaxTeamQueue: 1 << 20, MaxQueue: 1 << 20})
 			now := time.Duration(0)
 			rq := func(i int) admit.Request {
 				return admit.Request{Class: admit.Interactive, Team: admit.TeamID(i % teams), Cost: 10, Deadline: now + time.Hour}
@@ -50,9 +51,9 @@
 			i := 0
 			for b.Loop() {
 				now += time.Microsecond
-				room = false
+				hasCapacity = false
 				mc.Offer(now, rq(i), 0)
-				room = true
+				hasCapacity = true
 				for _, gr := range mc.Step(now) {
 					if gr.Start {
 						mc.Begun()
@@ -65,30 +66,30 @@
 	}
 }
 
-// full is a machine whose interactive queue holds as many as it may.
-func full(n int) *admit.Machine[int] {
-	mc := admit.New[int](admit.Config{Room: never, QueueMost: n, TeamMost: n})
+// machineWithFullQueue returns a machine whose interactive queue of n searches is full.
+func machineWithFullQueue(n int) *admit.Machine[int] {
+	mc := admit.New[int](admit.Config{Room: neverCapacity, MaxQueue: n, MaxTeamQueue: n})
 	for range n {
 		mc.Offer(0, admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: time.Hour}, 0)
 	}
 	return mc
 }
 
-// A decision allocates nothing once queues have grown to their size: under a
-// storm of requests garbage would be work as well.
+// A decision allocates nothing once the queues have reached their size: under
+// overload, garbage collection would add to the load.
 func TestDecisionAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	mc := full(64)
+	mc := machineWithFullQueue(64)
 	now := time.Second
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Microsecond
 		mc.Offer(now, admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: now + time.Second}, 0)
 	}), 0.0)
-	open := admit.New[int](admit.Config{Room: always})
+	idle := admit.New[int](admit.Config{Room: alwaysCapacity})
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Microsecond
-		open.Offer(now, admit.Request{Class: admit.Urgent, Cost: 10, Deadline: now + time.Second}, 0)
-		open.Begun()
-		open.Done(now, admit.Urgent, time.Millisecond, false)
+		idle.Offer(now, admit.Request{Class: admit.Urgent, Cost: 10, Deadline: now + time.Second}, 0)
+		idle.Begun()
+		idle.Done(now, admit.Urgent, time.Millisecond, false)
 	}), 0.0)
 }
--- a/core/admit/class.go
+++ b/core/admit/class.go
@@ -2,21 +2,21 @@
 
 import "laburnumvane/core/team"
 
-// Class orders searches; a lower value goes first.
+// Class is the priority of a search; a lower value goes first.
 type Class uint8
 
-// Classes, first to last.
+// Classes from the highest to the lowest priority.
 const (
 	Urgent Class = iota
 	Interactive
 	Batch
 )
 
-// Classes is their number.
+// Classes is the number of classes.
 const Classes = 3
 
-// ClassOf is the class that a team's configuration names; an unknown name
-// counts as the last class, so that a slip never jumps the queue.
+// ClassOf returns the class that a team's configuration names. An unknown name
+// gives the lowest class, so that a typing error never gains priority.
 func ClassOf(tc team.Class) Class {
 	switch tc {
 	case team.ClassUrgent:
--- a/core/admit/doc.go
+++ b/core/admit/doc.go
@@ -1,25 +1,26 @@
-// Package admit decides which searches may start, which wait and which are
-// refused, before anything is sent: a search that it refuses did not run.
+// Package admit is admission control: it decides which searches may start, which
+// wait and which are refused, before anything is sent. A search that it refuses
+// did not run.
 //
-// Classes go strictly in order, and each lower class may fill only a part of
-// the room, so that a search of an upper class finds some. What the upper
-// classes leave is the lower ones'. Within a class the teams take turns by
-// deficit round robin, weighted by what their searches cost. A search waits
-// only where the estimate of its wait is well below what its deadline leaves;
-// otherwise it is refused at once, with a reason and a time to come back.
+// Classes have strict priority, and each lower class may use only a part of the
+// capacity, so that a search of a higher class can usually start at once. Within a
+// class, the teams take turns by deficit round robin, weighted by the cost of
+// their searches. A search waits only if its estimated wait is well below the time
+// left until its deadline; otherwise it is refused at once, with a reason and a
+// time after which to retry.
 //
 // # Usage
 //
 //	mc := admit.New[*waiter](admit.Config{Room: pool.Room})
 //	de := mc.Offer(now, admit.Request{Class: admit.Urgent, Team: 3, Cost: 10, Deadline: now + 200*time.Millisecond}, waiter)
 //	switch de.Kind {
-//	case admit.Admitted: // send; mc.Begun(); in the end mc.Done(now, admit.Urgent, took, false)
-//	case admit.Queued:   // wait for a grant, at most until de.Until, then mc.Withdraw(de.Handle)
+//	case admit.Admitted: // send; mc.Begun(); at the end mc.Done(now, admit.Urgent, took, false)
+//	case admit.Queued:   // wait for a grant, at most until de.Until, then mc.Withdraw(now, de.Handle)
 //	case admit.Refused:  // answer with de.Reason and de.RetryAfter
 //	}
-//	for _, gr := range mc.Step(now) { gr.Waiter.tell(gr.Start, gr.Reason, gr.RetryAfter) }
+//	for _, gr := range mc.Step(now) { gr.Waiter.notify(gr.Start, gr.Reason, gr.RetryAfter) }
 //
-// A Machine belongs to one goroutine at a time; its owner guards it with one
-// mutex. Times are monotonic and count from the start of the process; a time
-// before an earlier one counts as that one.
+// A Machine is not safe for concurrent use; its owner guards it with a mutex.
+// Times are monotonic, measured from the start of the process. A time before that
+// of an earlier call counts as the earlier one.
 package admit
--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// TeamID is a team's small number; whoever drives the machine hands them out
-// from 0 up.
+// TeamID identifies a team. The caller assigns consecutive small numbers, since
+// a Machine uses them as indexes.
 type TeamID uint32
 
 // Request is a search that wants to start.
 type Request struct {
 	Class Class
 	Team  TeamID
-	// Cost is the work of the search in any unit, above 0; turns among teams
-	// are weighted by it.
+	// Cost is the work of the search in any unit, above 0. The turns of the
+	// teams are weighted by it.
 	Cost int32
-	// Deadline is when the answer is of no use any more.
+	// Deadline is the time after which the answer is of no use.
 	Deadline time.Duration
 }
 
-// Kind is what becomes of a request.
+// Kind is the kind of a Decision.
 type Kind uint8
 
 // Kinds of decisions.
@@ -27,41 +27,42 @@
 	Refused
 )
 
-// Reason tells why a search was refused.
+// Reason is why a search was refused.
 type Reason string
 
-// Reasons. Each means that nothing of the search was sent.
+// Reasons. In each case no sub-request of the search was sent.
 const (
-	// ReasonLate: the deadline leaves too little time even without a wait.
-	ReasonLate Reason = "deadlineTooClose"
-	// ReasonWait: the wait would take too much of the time left.
-	ReasonWait Reason = "waitTooLong"
-	// ReasonQueue: the class's queue is full.
-	ReasonQueue Reason = "queueFull"
-	// ReasonTeamQueue: the team's part of that queue is full.
-	ReasonTeamQueue Reason = "teamQueueFull"
-	// ReasonWaited: it waited, and its turn did not come in time.
+	// ReasonDeadlineTooClose: too little time is left even without a wait.
+	ReasonDeadlineTooClose Reason = "deadlineTooClose"
+	// ReasonWaitTooLong: the wait would take too much of the time left.
+	ReasonWaitTooLong Reason = "waitTooLong"
+	// ReasonQueueFull: the queue of the class is full.
+	ReasonQueueFull Reason = "queueFull"
+	// ReasonTeamQueueFull: the team's part of that queue is full.
+	ReasonTeamQueueFull Reason = "teamQueueFull"
+	// ReasonWaited: it waited and could not start in time.
 	ReasonWaited Reason = "waited"
 )
 
-// Handle names a search that waits.
+// Handle identifies a queued search.
 type Handle struct {
-	slot  int32
-	stamp uint32
+	slot       int32
+	generation uint32
 }
 
-// Decision answers an offer.
+// Decision is the result of Machine.Offer.
 type Decision struct {
 	Kind       Kind
 	Reason     Reason
 	RetryAfter time.Duration
-	// Handle and Until hold where Kind is Queued: Until is the last time at
-	// which it may start.
+	// Handle and Until are set if Kind is Queued. Until is the time by which the
+	// search must start.
 	Handle Handle
 	Until  time.Duration
 }
 
-// Grant ends the wait of a search: it may start, or it is refused.
+// Grant ends the wait of a search: if Start is set it may start, otherwise it is
+// refused.
 type Grant[W any] struct {
 	Waiter     W
 	Start      bool
--- a/core/admit/example_test.go
+++ b/core/admit/example_test.go
@@ -8,20 +8,20 @@
 )
 
 func Example() {
-	places := 1
-	room := func(time.Duration, int) bool { return places > 0 }
-	mc := admit.New[string](admit.Config{Room: room})
+	slots := 1
+	hasCapacity := func(time.Duration, int) bool { return slots > 0 }
+	mc := admit.New[string](admit.Config{Room: hasCapacity})
 	rq := admit.Request{Class: admit.Urgent, Team: 0, Cost: 10, Deadline: 200 * time.Millisecond}
 
 	de := mc.Offer(0, rq, "first")
 	fmt.Println(de.Kind == admit.Admitted)
-	places--
+	slots--
 	mc.Begun()
 
 	de = mc.Offer(time.Millisecond, rq, "second")
 	fmt.Println(de.Kind == admit.Queued, "until", de.Until)
 
-	places++
+	slots++
 	mc.Done(30*time.Millisecond, admit.Urgent, 30*time.Millisecond, false)
 	for _, gr := range mc.Step(30 * time.Millisecond) {
 		fmt.Println(gr.Waiter, "starts:", gr.Start)
--- a/core/admit/fault_test.go
+++ b/core/admit/fault_test.go
@@ -9,121 +9,121 @@
 	"laburnumvane/core/admit"
 )
 
-// fault is one failure brought about at faultAt and ended at faultEnd.
+// fault is one failure that begins at faultAt and ends at faultEnd.
 type fault struct {
-	name string
-	load float64
-	on   func(wo *world)
-	off  func(wo *world)
-	// during and after are the least shares answered while it lasts and from
-	// recoverIn after its end, as shares of what is answered before.
+	name  string
+	load  float64
+	begin func(sm *simulation)
+	end   func(sm *simulation)
+	// during and after are the minimum shares of searches answered while the
+	// fault lasts and from recoveryTime after its end, relative to the share
+	// answered before it.
 	during float64
 	after  float64
 }
 
 const (
-	faultAt   = 4 * time.Second
-	faultEnd  = 8 * time.Second
-	recoverIn = 2 * time.Second
-	faultStop = 14 * time.Second
+	faultAt      = 4 * time.Second
+	faultEnd     = 8 * time.Second
+	recoveryTime = 2 * time.Second
+	runEnd       = 14 * time.Second
 )
 
-func each(f func(sv *simServer)) func(wo *world) {
-	return func(wo *world) {
-		for _, sv := range wo.servers {
+func onEveryServer(f func(sv *simServer)) func(sm *simulation) {
+	return func(sm *simulation) {
+		for _, sv := range sm.servers {
 			f(sv)
 		}
 	}
 }
 
-func one(f func(sv *simServer)) func(wo *world) {
-	return func(wo *world) { f(wo.servers[0]) }
+func onFirstServer(f func(sv *simServer)) func(sm *simulation) {
+	return func(sm *simulation) { f(sm.servers[0]) }
 }
 
-func nothing(*world) {}
+func noChange(*simulation) {}
 
 var faults = []fault{
 	{
-		// The caller sees refusals with a time to come back for as long as
-		// the wave lasts, and answers again within two seconds.
-		// Every server sheds everything; the limits fall to their least and
-		// are probed at a slow pace, then double up to where they were.
-		// Why: a cut below one is kept by pacing, and probes never stop.
-		name: "shed wave", load: 0.7,
-		on:     each(func(sv *simServer) { sv.sheds = true }),
-		off:    each(func(sv *simServer) { sv.sheds = false }),
+		// Every server sheds everything. The limits fall to their minimum;
+		// below one they are applied by pacing, so that there are always a
+		// few probes. Once these succeed, the limits double until they are
+		// back. Callers get refusals with RetryAfter while it lasts, and
+		// answers again within two seconds of its end.
+		name: "every server sheds", load: 0.7,
+		begin:  onEveryServer(func(sv *simServer) { sv.sheds = true }),
+		end:    onEveryServer(func(sv *simServer) { sv.sheds = false }),
 		during: 0, after: 0.95,
 	},
 	{
-		// The caller of a lower class sees refusals while a third of the
-		// slots is left, and none two seconds after they are back.
-		// The queue on replies grows, so each VM cuts its limits; then replies
-		// without a queue raise them, the faster the more come in a row.
-		// Why: the limits follow replies alone, both ways.
+		// Only a third of the slots is left. The queue length in replies
+		// grows, so that each VM decreases its limits; when the slots are
+		// back, replies without a queue increase them, the faster the more
+		// come in a row. Lower classes are refused while it lasts and no
+		// longer two seconds after. The limits follow replies alone, in
+		// both directions.
 		name: "slots cut to a third", load: 0.7,
-		on:     each(func(sv *simServer) { sv.slots = 1 }),
-		off:    each(func(sv *simServer) { sv.slots = 3 }),
+		begin:  onEveryServer(func(sv *simServer) { sv.slots = 1 }),
+		end:    onEveryServer(func(sv *simServer) { sv.slots = 3 }),
 		during: 0.38, after: 0.95,
 	},
 	{
-		// The caller sees nothing but a few more retries.
-		// One server answers errors at once, so it always looks idle. Three in
-		// a row take it out of its group but for a paced probe.
-		// Why: room is what replies showed, and an error shows none.
+		// One server returns errors at once, so that it always looks idle.
+		// After three in a row it gets only paced probes, since only replies
+		// show capacity and errors do not. Callers see only a few more
+		// retries.
 		name: "fast errors", load: 0.5,
-		on:     one(func(sv *simServer) { sv.errors = true }),
-		off:    one(func(sv *simServer) { sv.errors = false }),
+		begin:  onFirstServer(func(sv *simServer) { sv.failsAtOnce = true }),
+		end:    onFirstServer(func(sv *simServer) { sv.failsAtOnce = false }),
 		during: 0.9, after: 0.95,
 	},
 	{
-		// The caller sees a few searches run into their deadlines, then none.
-		// One server accepts and never answers. What is in flight there is
-		// bounded by its limit until the first deadlines pass; three in a row
-		// take it out but for a paced probe.
-		// Why: the limit bounds what one server can hold up.
+		// One server accepts requests and never answers. Its limit bounds
+		// the sub-requests that wait for it until the first deadlines pass;
+		// after three failures in a row it gets only paced probes. A few
+		// searches reach their deadlines, then none.
 		name: "accepts and never answers", load: 0.5,
-		on:     one(func(sv *simServer) { sv.silent = true }),
-		off:    one(func(sv *simServer) { sv.silent = false }),
+		begin:  onFirstServer(func(sv *simServer) { sv.silent = true }),
+		end:    onFirstServer(func(sv *simServer) { sv.silent = false }),
 		during: 0.85, after: 0.95,
 	},
 	{
-		// The caller sees refusals until the servers are warm, and no storm
-		// when they are.
-		// All servers restart: they refuse as cold, then are slow. Limits are
-		// at their least when the first answers come, so the start is a ramp.
-		// Why: refusals cut, and each probe that is answered at most doubles.
+		// All servers restart: they refuse while cold, then are slow. The
+		// refusals decrease the limits to their minimum, and each answered
+		// probe at most doubles them, so that the load ramps up. Callers get
+		// refusals until the servers are warm, and there is no burst then.
 		name: "cold start of every server", load: 0.7,
-		on: func(wo *world) {
-			each(func(sv *simServer) { sv.sheds = true; sv.slow = 3 })(wo)
-			wo.After(2*time.Second, func() { each(func(sv *simServer) { sv.sheds = false })(wo) })
+		begin: func(sm *simulation) {
+			onEveryServer(func(sv *simServer) { sv.sheds = true; sv.slowFactor = 3 })(sm)
+			sm.After(2*time.Second, func() { onEveryServer(func(sv *simServer) { sv.sheds = false })(sm) })
 		},
-		off:    each(func(sv *simServer) { sv.slow = 0 }),
+		end:    onEveryServer(func(sv *simServer) { sv.slowFactor = 0 }),
 		during: 0.1, after: 0.95,
 	},
 	{
-		// The caller sees the VMs' restart and no second dip.
-		// All VMs lose what they learnt at once, at twice the capacity. Each
-		// starts with a small limit on each server.
-		// Why: what a new VM may send before its first replies is bounded.
+		// All VMs lose their learned limits at once, at twice the capacity.
+		// Each starts with a small limit on each server, which bounds what it
+		// sends before its first replies, so that the restart is not followed
+		// by a second drop.
 		name: "all VMs restarted at once", load: 2,
-		on: func(wo *world) {
-			for _, vm := range wo.vms {
-				fresh := wo.newVM()
-				vm.tb, vm.pool, vm.mc, vm.spare = fresh.tb, fresh.pool, fresh.mc, fresh.spare
+		begin: func(sm *simulation) {
+			for _, vm := range sm.vms {
+				fresh := sm.newVM()
+				vm.tb, vm.pool, vm.mc, vm.retryBudget = fresh.tb, fresh.pool, fresh.mc, fresh.retryBudget
 			}
 		},
-		off:    nothing,
+		end:    noChange,
 		during: 0.9, after: 0.95,
 	},
 	{
-		// The caller of an urgent search sees no difference; lower classes are
+		// All servers report in their replies that nothing runs and nothing
+		// waits, at twice their capacity. Latency relative to its minimum and
+		// refusals still decrease the limits: a reported load alone never
+		// increases one. Urgent searches are not affected, lower classes are
 		// refused somewhat later.
-		// All servers say that nothing runs and nothing waits, at twice their
-		// capacity. Latency against its floor and sheds take over.
-		// Why: no account that a server gives raises a limit by itself.
-		name: "lying replies", load: 2,
-		on:     each(func(sv *simServer) { sv.lies = true }),
-		off:    each(func(sv *simServer) { sv.lies = false }),
+		name: "replies report no load", load: 2,
+		begin:  onEveryServer(func(sv *simServer) { sv.falseLoad = true }),
+		end:    onEveryServer(func(sv *simServer) { sv.falseLoad = false }),
 		during: 0.9, after: 0.95,
 	},
 }
@@ -132,97 +132,95 @@
 	for _, fa := range faults {
 		t.Run(fa.name, func(t *testing.T) {
 			is := is.New(t)
-			wo := newWorld(pettigrew, adaptive, 11)
-			wo.load(fa.load * pettigrew.capacity())
-			wo.run(faultAt)
-			fa.on(wo)
-			wo.run(faultEnd)
-			fa.off(wo)
-			wo.run(faultStop)
-			before := wo.answered(faultAt-2*time.Second, faultAt)
-			during := wo.answered(faultAt, faultEnd)
-			after := wo.answered(faultEnd+recoverIn, faultStop)
-			t.Logf("searches answered whole: before %.3f, during %.3f, from 2 s after %.3f; extra work %.2f%%",
-				before, during, after, 100*float64(wo.count.retries)/float64(wo.count.primaries))
+			sm := newSimulation(pettigrew, adaptive, 11)
+			sm.startLoad(fa.load * pettigrew.capacity())
+			sm.run(faultAt)
+			fa.begin(sm)
+			sm.run(faultEnd)
+			fa.end(sm)
+			sm.run(runEnd)
+			before := sm.answeredShare(faultAt-2*time.Second, faultAt)
+			during := sm.answeredShare(faultAt, faultEnd)
+			after := sm.answeredShare(faultEnd+recoveryTime, runEnd)
+			t.Logf("searches answered completely: before %.3f, during %.3f, from 2 s after %.3f; extra work %.2f%%",
+				before, during, after, 100*float64(sm.count.retries)/float64(sm.count.primaries))
 			is.True(during >= fa.during*before) // while the fault lasts
 			is.True(after >= fa.after*before)   // soon after
-			is.Equal(wo.count.ranAfterRefusal, 0)
-			is.True(wo.count.retries <= wo.count.primaries/10+2*spareBurst*len(wo.vms)) // a VM that restarts has a new burst
+			is.Equal(sm.count.ranAfterRefusal, 0)
+			is.True(sm.count.retries <= sm.count.primaries/10+2*retryBurst*len(sm.vms)) // a VM that restarts has a new burst
 		})
 	}
 }
 
-// answered is the share of the searches that arrived between two times and were
-// answered whole. It leaves out those of the last two seconds, the longest
-// deadline.
-func (wo *world) answered(from, to time.Duration) float64 {
+// answeredShare is the share of the searches arriving between two times that were
+// answered completely. It leaves out those of the last two seconds, which is the
+// longest deadline.
+func (sm *simulation) answeredShare(from, to time.Duration) float64 {
 	const bin = 100 * time.Millisecond
-	to = min(to, wo.Now()-2*time.Second)
+	to = min(to, sm.Now()-2*time.Second)
 	offered, good := 0, 0
 	for at := from; at < to; at += bin {
-		offered += wo.count.offeredBy[int(at/bin)]
-		good += wo.count.goodBy[int(at/bin)]
+		offered += sm.count.offeredBy[int(at/bin)]
+		good += sm.count.goodBy[int(at/bin)]
 	}
 	return float64(good) / float64(offered)
 }
 
-// rate is the goodput a second between two times.
-func (wo *world) rate(from, to time.Duration) float64 {
+// goodputRate is the number of searches per second answered between two times.
+func (sm *simulation) goodputRate(from, to time.Duration) float64 {
 	const bin = 100 * time.Millisecond
 	n := 0
 	for at := from; at < to; at += bin {
-		n += wo.count.goodAt[int(at/bin)]
+		n += sm.count.goodAt[int(at/bin)]
 	}
 	return float64(n) / (to - from).Seconds()
 }
 
-// What the caller sees: searches of the one class there is are answered as
-// fast as the servers can.
-// All load is urgent, which may fill several times what the limits say; the
-// limits come down until the servers' queues are short again.
-// Why: limits follow what replies show, whichever class caused it.
+// All load is of one class. Urgent searches may exceed the limits several times over;
+// the limits then decrease until the servers' queues are short again, since they
+// follow the replies, whichever class caused the load. The goodput must stay near the
+// capacity for each class.
 func TestOneClassAlone(t *testing.T) {
 	for _, cl := range []admit.Class{admit.Urgent, admit.Interactive, admit.Batch} {
 		is := is.New(t)
-		wo := newWorld(pettigrew, adaptive, 3)
-		for _, vm := range wo.vms {
-			vm.arrivalsOf(cl, 0, 5*pettigrew.capacity()/float64(len(wo.vms)))
+		sm := newSimulation(pettigrew, adaptive, 3)
+		for _, vm := range sm.vms {
+			vm.arrivalsOf(cl, 0, 5*pettigrew.capacity()/float64(len(sm.vms)))
 		}
-		wo.run(8 * time.Second)
-		got := wo.rate(4*time.Second, 8*time.Second) / pettigrew.capacity()
+		sm.run(8 * time.Second)
+		got := sm.goodputRate(4*time.Second, 8*time.Second) / pettigrew.capacity()
 		t.Logf("class %d alone at 5 times capacity: goodput %.3f", cl, got)
 		is.True(got >= 0.8)
 	}
 }
 
-// What the caller sees: it gets as many answers whichever of nine VMs it asks,
-// after a minute as after ten seconds.
-// The VMs stand before one server of three slots, at three times what it can
-// do; none knows of the others, each sees only its own replies.
-// Why: only like limits are at rest, and the step up never ends.
-func TestNineShareThreeSlots(t *testing.T) {
+// Nine VMs send three times the capacity to one server with three slots. None knows of
+// the others; each sees only its own replies. They must get equal shares, and the
+// goodput must be as high after a minute as after ten seconds: limits are stable only
+// if they are equal, and never stop probing upwards.
+func TestNineVMsShareThreeSlots(t *testing.T) {
 	is := is.New(t)
 	de := deployment{"one server", 9, 1, 1, 3, 12, time.Millisecond, 10 * time.Millisecond}
-	wo := newWorld(de, adaptive, 5)
+	sm := newSimulation(de, adaptive, 5)
 	parts := make(map[*simVM]float64)
-	wo.watch = func(se *simSearch) {
+	sm.onEnd = func(se *simSearch) {
 		if se.good {
 			parts[se.vm]++
 		}
 	}
-	wo.load(3 * de.capacity())
-	wo.run(20 * time.Second)
-	early := wo.rate(10*time.Second, 20*time.Second) / de.capacity()
-	wo.run(60 * time.Second)
-	late := wo.rate(50*time.Second, 60*time.Second) / de.capacity()
-	t.Logf("goodput %.3f of capacity in seconds 10 to 20, %.3f in 50 to 60; fairness (Jain) %.3f", early, late, jain(parts, len(wo.vms)))
+	sm.startLoad(3 * de.capacity())
+	sm.run(20 * time.Second)
+	early := sm.goodputRate(10*time.Second, 20*time.Second) / de.capacity()
+	sm.run(60 * time.Second)
+	late := sm.goodputRate(50*time.Second, 60*time.Second) / de.capacity()
+	t.Logf("goodput %.3f of capacity in seconds 10 to 20, %.3f in 50 to 60; fairness (Jain) %.3f", early, late, jainIndex(parts, len(sm.vms)))
 	is.True(early >= 0.75)
-	is.True(late >= 0.95*early)              // no ratchet
-	is.True(jain(parts, len(wo.vms)) >= 0.9) // like parts
+	is.True(late >= 0.95*early)                   // goodput does not degrade over time
+	is.True(jainIndex(parts, len(sm.vms)) >= 0.9) // equal shares
 }
 
-// jain is 1 where all parts are alike and 1/n where one has all.
-func jain[K comparable](parts map[K]float64, n int) float64 {
+// jainIndex is Jain's fairness index: 1 if all parts are equal, 1/n if one has all.
+func jainIndex[K comparable](parts map[K]float64, n int) float64 {
 	sum, squares := 0.0, 0.0
 	for _, part := range parts {
 		sum += part
@@ -231,39 +229,38 @@
 	return sum * sum / squares / float64(n)
 }
 
-// What the caller sees: a quiet team's searches are answered as if it were
-// alone, while another asks for 100 times what there is room for.
-// Both are of one class and share every server and queue.
-// Why: the loud team fills its own part of the queue and no more, and teams
-// take turns.
-func TestLoudTeam(t *testing.T) {
+// One team sends 100 times the capacity, another one 5 % of it. Both have the same
+// class and share every server and queue. The searches of the second team must be
+// answered as if it were alone: the overloading team can fill only its own part of
+// the queue, and teams take turns.
+func TestOverloadingTeamDoesNotSlowOthers(t *testing.T) {
 	is := is.New(t)
-	run := func(loud float64) (good, offered int, lat time.Duration) {
-		wo := newWorld(pettigrew, adaptive, 9)
-		var lats []time.Duration
-		for _, vm := range wo.vms {
-			vm.arrivalsOf(admit.Interactive, 1, 0.05*pettigrew.capacity()/float64(len(wo.vms)))
-			if loud > 0 {
-				vm.arrivalsOf(admit.Interactive, 2, loud*pettigrew.capacity()/float64(len(wo.vms)))
+	run := func(overload float64) (good, offered int, p99Latency time.Duration) {
+		sm := newSimulation(pettigrew, adaptive, 9)
+		var latencies []time.Duration
+		for _, vm := range sm.vms {
+			vm.arrivalsOf(admit.Interactive, 1, 0.05*pettigrew.capacity()/float64(len(sm.vms)))
+			if overload > 0 {
+				vm.arrivalsOf(admit.Interactive, 2, overload*pettigrew.capacity()/float64(len(sm.vms)))
 			}
 		}
-		wo.watch = func(se *simSearch) {
+		sm.onEnd = func(se *simSearch) {
 			if se.team != 1 || se.arrived < 2*time.Second {
 				return
 			}
 			offered++
 			if se.good {
 				good++
-				lats = append(lats, wo.Now()-se.arrived)
+				latencies = append(latencies, sm.Now()-se.arrived)
 			}
 		}
-		wo.run(8 * time.Second)
-		return good, offered, p99(lats)
+		sm.run(8 * time.Second)
+		return good, offered, p99(latencies)
 	}
 	aloneGood, aloneOffered, aloneP99 := run(0)
-	good, offered, late := run(100)
-	t.Logf("quiet team: alone %d of %d, p99 %v; beside the loud one %d of %d, p99 %v", aloneGood, aloneOffered, aloneP99, good, offered, late)
+	good, offered, gotP99 := run(100)
+	t.Logf("small team: alone %d of %d, p99 %v; beside the overloading team %d of %d, p99 %v", aloneGood, aloneOffered, aloneP99, good, offered, gotP99)
 	is.True(float64(good) >= 0.99*float64(offered))
 	is.True(float64(aloneGood) >= 0.99*float64(aloneOffered))
-	is.True(late <= classDeadline[admit.Interactive]/2)
+	is.True(gotP99 <= classDeadline[admit.Interactive]/2)
 }
--- a/core/admit/machine.go
+++ b/core/admit/machine.go
@@ -2,93 +2,97 @@
 
 import "time"
 
-// Room tells whether a search of a class may start now.
-type Room func(now time.Duration, class int) bool
+// CapacityFunc reports whether the servers have capacity for a search of a class.
+type CapacityFunc func(now time.Duration, class int) bool
 
-// Config sets a machine. Fields that are 0 take the defaults of New.
+// Config configures a machine. Fields that are 0 take default values.
 type Config struct {
-	// Room is asked before each start. It is required.
-	Room Room
-	// Most bounds the searches in flight, whatever Room says. It is the VM's
-	// own limit: it adapts between Least and Most to the signs that the VM
-	// itself is behind.
-	Least int
-	Most  int
-	// Levels are the shares of that limit that each class may fill.
-	Levels [Classes]float64
-	// QueueMost bounds each class's queue, TeamMost a team's part of it.
-	QueueMost int
-	TeamMost  int
-	// WaitShare is the share of the time left that a wait may take.
-	WaitShare float64
-	// LeastTime is the time below which a search is not worth starting.
-	LeastTime time.Duration
-	// LeastRetry and MostRetry bound the time after which to come back.
-	LeastRetry time.Duration
-	MostRetry  time.Duration
+	// Room is called before each start. It is required.
+	Room CapacityFunc
+	// MinLimit and MaxLimit bound the VM's own limit of searches in flight, which
+	// applies whatever Room returns. The limit decreases when the VM itself
+	// cannot keep up.
+	MinLimit int
+	MaxLimit int
+	// LimitShares are the shares of that limit that each class may use.
+	LimitShares [Classes]float64
+	// MaxQueue limits the queue of each class, MaxTeamQueue a team's part of it.
+	MaxQueue     int
+	MaxTeamQueue int
+	// MaxWaitShare is the share of the time left that the estimated wait may
+	// take.
+	MaxWaitShare float64
+	// MinTimeLeft is the time that must be left until the deadline for a search
+	// to be admitted.
+	MinTimeLeft time.Duration
+	// MinRetryAfter and MaxRetryAfter bound RetryAfter before jitter is applied.
+	MinRetryAfter time.Duration
+	MaxRetryAfter time.Duration
 }
 
 func (cfg Config) withDefaults() Config {
-	orInt(&cfg.Least, 4)
-	orInt(&cfg.Most, 4096)
-	orInt(&cfg.QueueMost, 1024)
-	orInt(&cfg.TeamMost, max(1, cfg.QueueMost/4))
-	if cfg.Levels == [Classes]float64{} {
-		cfg.Levels = [Classes]float64{1, 0.9, 0.8}
+	defaultInt(&cfg.MinLimit, 4)
+	defaultInt(&cfg.MaxLimit, 4096)
+	defaultInt(&cfg.MaxQueue, 1024)
+	defaultInt(&cfg.MaxTeamQueue, max(1, cfg.MaxQueue/4))
+	if cfg.LimitShares == [Classes]float64{} {
+		cfg.LimitShares = [Classes]float64{1, 0.9, 0.8}
 	}
-	if cfg.WaitShare == 0 {
-		cfg.WaitShare = 0.5
+	if cfg.MaxWaitShare == 0 {
+		cfg.MaxWaitShare = 0.5
 	}
-	if cfg.LeastTime == 0 {
-		cfg.LeastTime = time.Millisecond
+	if cfg.MinTimeLeft == 0 {
+		cfg.MinTimeLeft = time.Millisecond
 	}
-	if cfg.LeastRetry == 0 {
-		cfg.LeastRetry = 100 * time.Millisecond
+	if cfg.MinRetryAfter == 0 {
+		cfg.MinRetryAfter = 100 * time.Millisecond
 	}
-	if cfg.MostRetry == 0 {
-		cfg.MostRetry = 30 * time.Second
+	if cfg.MaxRetryAfter == 0 {
+		cfg.MaxRetryAfter = 30 * time.Second
 	}
 	return cfg
 }
 
-func orInt(field *int, value int) {
+func defaultInt(field *int, value int) {
 	if *field == 0 {
 		*field = value
 	}
 }
 
-// Machine decides for the searches that share upstreams.
+// Machine decides on the searches that share upstreams. W identifies a search to
+// its caller while it waits.
 type Machine[W any] struct {
 	cfg      Config
 	now      time.Duration
-	queues   [Classes]queue
+	queues   [Classes]classQueue
 	slab     slab[W]
-	pace     [Classes]pace
+	stats    [Classes]classStats
 	inFlight int
-	// pending counts searches that were told to start and that Room does not
-	// know of yet.
+	// pending counts the searches that were started but whose sub-requests Room
+	// does not count yet.
 	pending int
 	limit   float64
-	// quantum is the cost that a team may start in one turn: that of the
-	// costliest search seen, so that a turn is always enough for one.
-	quantum  int32
-	lastCut  time.Duration
-	refusals uint32
-	grants   []Grant[W]
+	// quantum is the cost that a team may start in one turn: the highest cost of
+	// any search so far, so that a turn is always enough for one search.
+	quantum int32
+	// lastCut is when the limit was last decreased.
+	lastCut     time.Duration
+	jitterState uint32
+	grants      []Grant[W]
 }
 
-// New makes a machine without searches.
+// New returns a machine without searches.
 func New[W any](cfg Config) *Machine[W] {
 	cfg = cfg.withDefaults()
-	return &Machine[W]{cfg: cfg, limit: float64(cfg.Most), slab: slab[W]{free: none}}
+	return &Machine[W]{cfg: cfg, limit: float64(cfg.MaxLimit), slab: slab[W]{freeHead: noEntry}}
 }
 
-// InFlight is the number of searches started and not done.
+// InFlight is the number of searches started and not yet done.
 func (mc *Machine[W]) InFlight() int {
 	return mc.inFlight
 }
 
-// Waiting is the number of searches that wait.
+// Waiting is the number of queued searches.
 func (mc *Machine[W]) Waiting() int {
 	n := 0
 	for cl := range mc.queues {
@@ -97,40 +101,41 @@
 	return n
 }
 
-// Queued is the number of searches of one class that wait.
+// Queued is the number of queued searches of one class.
 func (mc *Machine[W]) Queued(cl Class) int {
 	return mc.queues[cl].n
 }
 
-// Offer decides on a search. The waiter comes back in a grant if it is queued.
+// Offer decides on a search. If it is queued, a later Grant contains waiter, unless
+// the search is withdrawn.
 func (mc *Machine[W]) Offer(now time.Duration, rq Request, waiter W) Decision {
-	mc.advance(now)
+	mc.advanceClock(now)
 	left := rq.Deadline - mc.now
-	if left < mc.cfg.LeastTime {
-		return mc.refuse(rq, ReasonLate)
+	if left < mc.cfg.MinTimeLeft {
+		return mc.refuse(rq, ReasonDeadlineTooClose)
 	}
 	mc.quantum = max(mc.quantum, rq.Cost)
-	last := rq.Deadline - mc.pace[rq.Class].need(left)
-	if mc.first(rq.Class) && mc.room(rq.Class) {
-		mc.start(rq.Class)
+	startBy := rq.Deadline - mc.stats[rq.Class].expectedDuration(left)
+	if mc.nothingAhead(rq.Class) && mc.hasCapacity(rq.Class) {
+		mc.countStart(rq.Class)
 		return Decision{Kind: Admitted}
 	}
-	qu := &mc.queues[rq.Class]
+	cq := &mc.queues[rq.Class]
 	switch {
-	case qu.n >= mc.cfg.QueueMost:
-		return mc.refuse(rq, ReasonQueue)
-	case qu.lane(rq.Team).n >= mc.cfg.TeamMost:
-		return mc.refuse(rq, ReasonTeamQueue)
+	case cq.n >= mc.cfg.MaxQueue:
+		return mc.refuse(rq, ReasonQueueFull)
+	case cq.teamQueue(rq.Team).n >= mc.cfg.MaxTeamQueue:
+		return mc.refuse(rq, ReasonTeamQueueFull)
 	}
-	allowed := time.Duration(mc.cfg.WaitShare * float64(last-mc.now))
-	if mc.wait(rq) > allowed {
-		return mc.refuse(rq, ReasonWait)
+	allowed := time.Duration(mc.cfg.MaxWaitShare * float64(startBy-mc.now))
+	if mc.estimateWait(rq) > allowed {
+		return mc.refuse(rq, ReasonWaitTooLong)
 	}
-	return Decision{Kind: Queued, Handle: mc.push(rq, last, waiter), Until: last}
+	return Decision{Kind: Queued, Handle: mc.enqueue(rq, startBy, waiter), Until: startBy}
 }
 
-// first tells whether nothing waits that goes before a new search of the class.
-func (mc *Machine[W]) first(cl Class) bool {
+// nothingAhead reports whether no search of this or a higher class waits.
+func (mc *Machine[W]) nothingAhead(cl Class) bool {
 	for i := range int(cl) + 1 {
 		if mc.queues[i].n > 0 {
 			return false
@@ -139,129 +144,133 @@
 	return true
 }
 
-func (mc *Machine[W]) room(cl Class) bool {
-	if mc.inFlight > 0 && float64(mc.inFlight) >= mc.limit*mc.cfg.Levels[cl] {
+func (mc *Machine[W]) hasCapacity(cl Class) bool {
+	if mc.inFlight > 0 && float64(mc.inFlight) >= mc.limit*mc.cfg.LimitShares[cl] {
 		return false
 	}
 	return mc.pending == 0 && mc.cfg.Room(mc.now, int(cl))
 }
 
-func (mc *Machine[W]) start(cl Class) {
+func (mc *Machine[W]) countStart(cl Class) {
 	mc.inFlight++
 	mc.pending++
-	mc.pace[cl].started(mc.now, mc.queues[cl].n > 0)
+	mc.stats[cl].recordStart(mc.now, mc.queues[cl].n > 0)
 }
 
-// wait estimates how long a new search would wait.
-func (mc *Machine[W]) wait(rq Request) time.Duration {
+// estimateWait estimates how long a new search would wait.
+func (mc *Machine[W]) estimateWait(rq Request) time.Duration {
 	ahead := mc.queues[rq.Class].ahead(rq.Team) + 1
-	return time.Duration(ahead) * mc.pace[rq.Class].interval(mc.now)
+	return time.Duration(ahead) * mc.stats[rq.Class].interval(mc.now)
 }
 
 func (mc *Machine[W]) refuse(rq Request, re Reason) Decision {
 	return Decision{Kind: Refused, Reason: re, RetryAfter: mc.retryAfter(rq)}
 }
 
-// retryAfter is the time in which what waits now will have started, spread so
-// that those refused together do not come back together.
+// retryAfter is the estimated time until the searches now ahead of rq have started. A
+// jitter of 25 % in either direction prevents clients that were refused together
+// from retrying together; steps of the golden ratio spread successive values evenly.
 func (mc *Machine[W]) retryAfter(rq Request) time.Duration {
 	const goldenStep = 2654435769
-	mc.refusals += goldenStep
-	spread := 0.75 + 0.5*float64(mc.refusals)/(1<<32)
-	base := min(max(mc.wait(rq), mc.cfg.LeastRetry), mc.cfg.MostRetry)
+	mc.jitterState += goldenStep
+	spread := 0.75 + 0.5*float64(mc.jitterState)/(1<<32)
+	base := min(max(mc.estimateWait(rq), mc.cfg.MinRetryAfter), mc.cfg.MaxRetryAfter)
 	return time.Duration(spread * float64(base))
 }
 
-func (mc *Machine[W]) push(rq Request, until time.Duration, waiter W) Handle {
-	i := mc.slab.take()
+func (mc *Machine[W]) enqueue(rq Request, startBy time.Duration, waiter W) Handle {
+	i := mc.slab.alloc()
 	en := &mc.slab.entries[i]
-	en.waiter, en.rq, en.until, en.queued = waiter, rq, until, true
-	qu := &mc.queues[rq.Class]
-	ln := qu.lane(rq.Team)
-	en.next, en.prev = none, ln.tail
-	if ln.tail == none {
-		ln.head = i
+	en.waiter, en.rq, en.startBy, en.queued = waiter, rq, startBy, true
+	cq := &mc.queues[rq.Class]
+	tq := cq.teamQueue(rq.Team)
+	en.next, en.prev = noEntry, tq.tail
+	if tq.tail == noEntry {
+		tq.head = i
 	} else {
-		mc.slab.entries[ln.tail].next = i
+		mc.slab.entries[tq.tail].next = i
 	}
-	ln.tail = i
-	ln.n++
-	if qu.n == 0 {
-		mc.pace[rq.Class].waits(mc.now)
+	tq.tail = i
+	tq.n++
+	if cq.n == 0 {
+		mc.stats[rq.Class].queueBegins(mc.now)
 	}
-	qu.n++
-	if !ln.active {
-		ln.active = true
-		ln.deficit = mc.quantum
-		qu.join(rq.Team)
+	cq.n++
+	if !tq.active {
+		tq.active = true
+		tq.deficit = mc.quantum
+		cq.pushTurn(rq.Team)
 	}
-	return Handle{slot: i, stamp: en.stamp}
+	return Handle{slot: i, generation: en.generation}
 }
 
-// Withdraw takes a search out of the queue; false if it was granted before.
+// Withdraw removes a search from the queue. It returns false if the search was
+// granted or refused before.
 func (mc *Machine[W]) Withdraw(now time.Duration, ha Handle) bool {
-	mc.advance(now)
+	mc.advanceClock(now)
 	en := &mc.slab.entries[ha.slot]
-	if !en.queued || en.stamp != ha.stamp {
+	if !en.queued || en.generation != ha.generation {
 		return false
 	}
 	cl := en.rq.Class
 	mc.unlink(ha.slot)
-	mc.pace[cl].waiting = mc.queues[cl].n > 0
+	mc.stats[cl].backlogged = mc.queues[cl].n > 0
 	return true
 }
 
 func (mc *Machine[W]) unlink(i int32) {
 	en := &mc.slab.entries[i]
-	qu := &mc.queues[en.rq.Class]
-	ln := qu.lane(en.rq.Team)
-	if en.prev == none {
-		ln.head = en.next
+	cq := &mc.queues[en.rq.Class]
+	tq := cq.teamQueue(en.rq.Team)
+	if en.prev == noEntry {
+		tq.head = en.next
 	} else {
 		mc.slab.entries[en.prev].next = en.next
 	}
-	if en.next == none {
-		ln.tail = en.prev
+	if en.next == noEntry {
+		tq.tail = en.prev
 	} else {
 		mc.slab.entries[en.next].prev = en.prev
 	}
-	ln.n--
-	qu.n--
-	mc.slab.put(i)
+	tq.n--
+	cq.n--
+	mc.slab.release(i)
 }
 
-// Begun tells that an admitted search has sent its first sub-requests, so that
-// Room counts them; it is due once for each, also for one that ends without.
-// Until then nothing else starts: a queue that empties into room which is taken
-// already would be a burst that the servers shed.
+// Begun must be called once for each admitted search when its first sub-requests
+// are sent, so that Room counts them; also for a search that ends without sending
+// any. Until then no other search starts. Otherwise a whole queue could start into
+// capacity that is already used, and the servers would shed the burst.
 func (mc *Machine[W]) Begun() {
 	mc.pending--
 }
 
-// Done ends a search that was admitted. Behind tells that this VM itself could
-// not keep up: no worker was free, or a start was late.
+// Done ends a search that was admitted. Behind is set if the VM itself could not
+// keep up: no worker was free, or a start was late.
 func (mc *Machine[W]) Done(now time.Duration, cl Class, took time.Duration, behind bool) {
-	mc.advance(now)
+	mc.advanceClock(now)
 	mc.inFlight--
-	mc.pace[cl].finished(took)
-	mc.adapt(behind)
+	mc.stats[cl].recordDuration(took)
+	mc.adaptLimit(behind)
 }
 
-// adapt moves the VM's own limit: down by a tenth at most once in a round
-// trip, up by one for as many searches as are in flight.
-func (mc *Machine[W]) adapt(behind bool) {
-	const cutBy = 0.9
+// adaptLimit adapts the VM's own limit. It increases by about one for every limit
+// searches that end well. If the VM is behind, it decreases to 0.9 of itself, or of
+// the searches in flight plus one if that is less, at most once in the average
+// duration of an interactive search.
+func (mc *Machine[W]) adaptLimit(behind bool) {
+	const cutFactor = 0.9
 	if !behind {
-		mc.limit = min(float64(mc.cfg.Most), mc.limit+1/mc.limit)
+		mc.limit = min(float64(mc.cfg.MaxLimit), mc.limit+1/mc.limit)
 		return
 	}
-	if mc.now < mc.lastCut+mc.pace[Interactive].took {
+	if mc.now < mc.lastCut+mc.stats[Interactive].avgDuration {
 		return
 	}
 	mc.lastCut = mc.now
-	mc.limit = max(float64(mc.cfg.Least), min(mc.limit, float64(mc.inFlight+1))*cutBy)
+	mc.limit = max(float64(mc.cfg.MinLimit), min(mc.limit, float64(mc.inFlight+1))*cutFactor)
 }
 
-func (mc *Machine[W]) advance(now time.Duration) {
+func (mc *Machine[W]) advanceClock(now time.Duration) {
 	mc.now = max(mc.now, now)
 }
--- a/core/admit/measure_test.go
+++ b/core/admit/measure_test.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	measureWarm = 3 * time.Second
-	measureFor  = 6 * time.Second
+	measureWarmup = 3 * time.Second
+	measureFor    = 6 * time.Second
 )
 
-// seeds are put together: one run has too few urgent searches for a p99.
+// seeds are those of the runs that are evaluated together, since one run has too few
+// urgent searches for a 99th percentile.
 var seeds = []uint64{7, 8, 9, 10}
 
-type measured struct {
+type measurement struct {
 	goodput   float64
 	p99       [admit.Classes]time.Duration
 	refused   float64
@@ -28,25 +29,25 @@
 	extraWork float64
 }
 
-func measure(de deployment, mo mode, times float64) measured {
-	var me measured
+func measure(de deployment, mo mode, times float64) measurement {
+	var me measurement
 	var latency [admit.Classes][]time.Duration
 	offered, good, refused, failed, primaries, retries := 0, 0, 0, 0, 0, 0
 	for _, seed := range seeds {
-		wo := newWorld(de, mo, seed)
-		wo.from = measureWarm
-		wo.load(times * de.capacity())
-		wo.run(measureWarm + measureFor)
-		ta := &wo.count
+		sm := newSimulation(de, mo, seed)
+		sm.countFrom = measureWarmup
+		sm.startLoad(times * de.capacity())
+		sm.run(measureWarmup + measureFor)
+		ct := &sm.count
 		for cl := range admit.Classes {
-			offered += ta.offered[cl]
-			good += ta.good[cl]
-			refused += ta.refused[cl]
-			failed += ta.failed[cl]
-			latency[cl] = append(latency[cl], ta.latency[cl]...)
+			offered += ct.offered[cl]
+			good += ct.good[cl]
+			refused += ct.refused[cl]
+			failed += ct.failed[cl]
+			latency[cl] = append(latency[cl], ct.latency[cl]...)
 		}
-		primaries += ta.primaries
-		retries += ta.retries
+		primaries += ct.primaries
+		retries += ct.retries
 	}
 	for cl := range admit.Classes {
 		me.p99[cl] = p99(latency[cl])
@@ -58,11 +59,11 @@
 	return me
 }
 
-// What the caller sees: at 2 and 5 times what the servers can do, as many
-// searches a second are answered as at any load, and an urgent one hardly later
-// than at half load; the others are refused at once and told when to come back.
-// Why: admission starts no more than every service has room for, upper classes
-// first, and each VM finds its part of the slots by itself.
+// At 2 and 5 times the capacity, the goodput must be nearly the best at any load, the
+// urgent latency at most 1.5 times that at half load, and the extra work within the
+// budget. All other searches are refused at once with RetryAfter. Admission starts
+// only what every service has capacity for, higher classes first, and each VM learns
+// its part of the slots from its own replies.
 func TestOverload(t *testing.T) {
 	for _, de := range []deployment{pettigrew, kalimba} {
 		t.Run(de.name, func(t *testing.T) {
@@ -70,20 +71,20 @@
 			rows := measureAll(de)
 			var sb strings.Builder
 			best := 0.0
-			got := make(map[float64]measured)
+			got := make(map[float64]measurement)
 			for _, ro := range rows {
 				best = max(best, ro.goodput)
 				if ro.mode == adaptive {
-					got[ro.times] = ro.measured
+					got[ro.times] = ro.measurement
 				}
 				sb.WriteString(ro.String())
 			}
 			t.Logf("%s\n| mode | load | goodput | urgent p99 ms | interactive | batch | refused | failed | extra work |\n|---|---|---|---|---|---|---|---|---|\n%s", de.name, sb.String())
-			burst := spareBurst * float64(de.vms) / (measureFor.Seconds() * de.capacity() * float64(de.services))
+			burst := retryBurst * float64(de.vms) / (measureFor.Seconds() * de.capacity() * float64(de.services))
 			for _, times := range []float64{2, 5} {
 				is.True(got[times].goodput >= 0.95*best)                            // goodput under overload, best of all modes and loads
 				is.True(float64(got[times].p99[0]) <= 1.5*float64(got[0.5].p99[0])) // urgent p99
-				is.True(got[times].extraWork <= spareShare+burst)                   // the budget
+				is.True(got[times].extraWork <= retryShare+burst)                   // retry budget
 			}
 		})
 	}
@@ -92,7 +93,7 @@
 type row struct {
 	mode  mode
 	times float64
-	measured
+	measurement
 }
 
 func (ro row) String() string {
@@ -109,7 +110,7 @@
 	}
 	var wg sync.WaitGroup
 	for i := range rows {
-		wg.Go(func() { rows[i].measured = measure(de, rows[i].mode, rows[i].times) })
+		wg.Go(func() { rows[i].measurement = measure(de, rows[i].mode, rows[i].times) })
 	}
 	wg.Wait()
 	return rows
--- a/core/admit/simserver_test.go
+++ b/core/admit/simserver_test.go
@@ -7,19 +7,19 @@
 	"laburnumvane/core/view"
 )
 
-// simServer is a server with slots and a short queue, and what may be wrong with
-// it.
+// simServer is a server with slots and a short queue, with faults that can be
+// switched on.
 type simServer struct {
-	wo      *world
-	slots   int
-	running int
-	queue   []*simSub
-	errors  bool // answers an error at once
-	silent  bool // accepts and never answers
-	sheds   bool // refuses all, as a cold one does
-	slow    float64
-	lies    bool // says on replies that nothing waits
-	served  int
+	sm          *simulation
+	slots       int
+	running     int
+	queue       []*simSub
+	failsAtOnce bool // returns an error at once
+	silent      bool // accepts and never answers
+	sheds       bool // refuses everything, like a cold server
+	slowFactor  float64
+	falseLoad   bool // reports in replies that nothing runs and nothing waits
+	served      int
 }
 
 type simSub struct {
@@ -28,7 +28,7 @@
 	server view.ServerID
 	tried  []view.ServerID
 	sentAt time.Duration
-	over   bool
+	ended  bool
 }
 
 func (sv *simServer) arrive(su *simSub) {
@@ -36,16 +36,16 @@
 	case sv.silent:
 		return
 	case sv.sheds:
-		sv.wo.count.sheds++
+		sv.sm.count.sheds++
 		sv.reply(su, limit.Shed)
-	case sv.errors:
+	case sv.failsAtOnce:
 		sv.reply(su, limit.Failed)
 	case sv.running < sv.slots:
 		sv.serve(su)
-	case len(sv.queue) < sv.wo.de.queue:
+	case len(sv.queue) < sv.sm.de.queue:
 		sv.queue = append(sv.queue, su)
 	default:
-		sv.wo.count.sheds++
+		sv.sm.count.sheds++
 		sv.reply(su, limit.Shed)
 	}
 }
@@ -53,18 +53,18 @@
 func (sv *simServer) serve(su *simSub) {
 	sv.running++
 	sv.served++
-	mean := float64(sv.wo.de.service)
-	took := time.Duration(mean/2 + mean/2*sv.wo.rnd.ExpFloat64())
-	if sv.slow > 0 {
-		took = time.Duration(float64(took) * sv.slow)
+	mean := float64(sv.sm.de.service)
+	took := time.Duration(mean/2 + mean/2*sv.sm.rnd.ExpFloat64())
+	if sv.slowFactor > 0 {
+		took = time.Duration(float64(took) * sv.slowFactor)
 	}
-	sv.wo.After(took, func() {
+	sv.sm.After(took, func() {
 		sv.running--
 		sv.reply(su, limit.Replied)
 		for len(sv.queue) > 0 && sv.running < sv.slots {
 			next := sv.queue[0]
 			sv.queue = sv.queue[1:]
-			if next.se.deadline > sv.wo.Now() && !next.se.over {
+			if next.se.deadline > sv.sm.Now() && !next.se.ended {
 				sv.serve(next)
 			}
 		}
@@ -73,8 +73,8 @@
 
 func (sv *simServer) reply(su *simSub, kind limit.Kind) {
 	running, queued := min(sv.running+1, sv.slots), len(sv.queue)
-	if sv.lies {
+	if sv.falseLoad {
 		running, queued = 0, 0
 	}
-	sv.wo.After(sv.wo.de.oneWay, func() { su.se.vm.replied(su, kind, running, queued) })
+	sv.sm.After(sv.sm.de.oneWay, func() { su.se.vm.replied(su, kind, running, queued) })
 }
--- a/core/admit/step.go
+++ b/core/admit/step.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Step hands out who may start now, and refuses those whose time has passed.
-// The slice is valid until the next call.
+// Step returns the queued searches that may start now and those that are refused
+// because they can no longer start in time. The slice is valid until the next call.
 func (mc *Machine[W]) Step(now time.Duration) []Grant[W] {
-	mc.advance(now)
+	mc.advanceClock(now)
 	clear(mc.grants)
 	mc.grants = mc.grants[:0]
 	for cl := Urgent; cl < Classes; cl++ {
-		mc.stepClass(cl)
+		mc.grantClass(cl)
 		if mc.queues[cl].n > 0 {
-			// Those below wait for as long as one of an upper class does.
+			// Lower classes wait while a search of this class waits.
 			break
 		}
 	}
 	return mc.grants
 }
 
-func (mc *Machine[W]) stepClass(cl Class) {
-	qu := &mc.queues[cl]
-	for qu.n > 0 {
-		i := mc.head(qu)
+func (mc *Machine[W]) grantClass(cl Class) {
+	cq := &mc.queues[cl]
+	for cq.n > 0 {
+		i := mc.nextEntry(cq)
 		en := &mc.slab.entries[i]
-		if en.until <= mc.now {
+		if en.startBy <= mc.now {
 			mc.grants = append(mc.grants, Grant[W]{
 				Waiter:     en.waiter,
 				Reason:     ReasonWaited,
@@ -32,37 +32,38 @@
 			mc.unlink(i)
 			continue
 		}
-		if !mc.room(cl) {
+		if !mc.hasCapacity(cl) {
 			return
 		}
-		qu.lane(en.rq.Team).deficit -= en.rq.Cost
+		cq.teamQueue(en.rq.Team).deficit -= en.rq.Cost
 		mc.grants = append(mc.grants, Grant[W]{Waiter: en.waiter, Start: true})
 		mc.unlink(i)
-		mc.start(cl)
+		mc.countStart(cl)
 	}
 }
 
-// head is the next search by deficit round robin. A team without credit gets
-// its quantum for the next turn and goes behind the others.
-func (mc *Machine[W]) head(qu *queue) int32 {
+// nextEntry returns the next search by deficit round robin. A team without credit
+// gets its quantum for the next turn and moves to the end of the turns.
+func (mc *Machine[W]) nextEntry(cq *classQueue) int32 {
 	for {
-		tm := qu.front()
-		ln := qu.lane(tm)
-		if ln.n == 0 {
-			ln.active = false
-			qu.leave()
+		tm := cq.frontTeam()
+		tq := cq.teamQueue(tm)
+		if tq.n == 0 {
+			tq.active = false
+			cq.popTurn()
 			continue
 		}
-		if ln.deficit > 0 {
-			return ln.head
+		if tq.deficit > 0 {
+			return tq.head
 		}
-		ln.deficit += mc.quantum
-		qu.rotate()
+		tq.deficit += mc.quantum
+		cq.rotate()
 	}
 }
 
-// Next is the time at which Step could do something without any other call;
-// it is a poll, since room may come back by the passing of time alone.
+// Next is the time at which Step is to be called if no other event calls it before;
+// false if no search waits. It is a polling interval, since capacity may become
+// available by the passage of time alone.
 func (mc *Machine[W]) Next(now time.Duration) (time.Duration, bool) {
 	const poll = 5 * time.Millisecond
 	if mc.Waiting() == 0 {
