--- a/core/admit/simulation_test.go
+++ b/core/admit/simulation_test.go
@@ -134,7 +134,7 @@
 	cfg := limit.Config{}
 	if sm.mode == static || sm.mode == static2 {
 		fixed := float64(sm.mode) * float64(sm.de.slots) / float64(sm.de.vms)
-		cfg = limit.Config{Start: fixed, Least: fixed, Most: fixed, Levels: [limit.Classes]float64{1, 1, 1}}
+		cfg = limit.Config{InitialLimit: fixed, MinLimit: fixed, MaxLimit: fixed, ClassFactors: [limit.Classes]float64{1, 1, 1}}
 	}
 	vm := &simVM{sm: sm, tb: limit.New(cfg), rnd: rand.New(rand.NewPCG(sm.rnd.Uint64(), 2))}
 	for i := range sm.servers {
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -12,8 +12,8 @@
 	"laburnumvane/core/view"
 )
 
-// tableOf has servers in groups of three, all of one register.
-func tableOf(servers int) (*limit.Table, *limit.Pool) {
+// newTable returns a table of servers in groups of three, all of one register.
+func newTable(servers int) (*limit.Table, *limit.Pool) {
 	tb := limit.New(limit.Config{})
 	for i := range servers {
 		tb.Place(view.ServerID(i), limit.GroupKey{Service: fmt.Sprint(i / 3)})
@@ -21,13 +21,13 @@
 	return tb, tb.Pool(limit.PoolKey{})
 }
 
-// BenchmarkSubRequest is what a sub-request costs the limits: whether three
-// replicas have room, its begin and its end; on servers drawn at random, so
-// that the memory of all of them is touched.
+// BenchmarkSubRequest measures the cost of the limits for one sub-request: Room for
+// three replicas, Begin and End. The servers are random, so that the memory of all of
+// them is accessed.
 func BenchmarkSubRequest(b *testing.B) {
 	for _, servers := range []int{10, 1000, 32_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			tb, _ := tableOf(servers)
+			tb, _ := newTable(servers)
 			rnd := rand.New(rand.NewPCG(1, 1))
 			ids := make([]view.ServerID, 4096)
 			for i := range ids {
@@ -50,11 +50,11 @@
 	}
 }
 
-// BenchmarkRoom is whether a search may start, over all groups of its register.
+// BenchmarkRoom measures whether a search may start, over all groups of its register.
 func BenchmarkRoom(b *testing.B) {
 	for _, servers := range []int{10, 1000, 32_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			_, pool := tableOf(servers)
+			_, pool := newTable(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				pool.Room(time.Second, 1)
@@ -65,7 +65,7 @@
 
 func TestSubRequestAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	tb, pool := tableOf(30)
+	tb, pool := newTable(30)
 	now := time.Duration(0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
@@ -75,12 +75,11 @@
 	}), 0.0)
 }
 
-// BenchmarkLookThrough is what a new view costs: each server is looked at for
-// whether it leaves.
-func BenchmarkLookThrough(b *testing.B) {
+// BenchmarkSetOut measures the cost of a new view: SetOut is called for each server.
+func BenchmarkSetOut(b *testing.B) {
 	for _, servers := range []int{10, 1000, 32_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			tb, _ := tableOf(servers)
+			tb, _ := newTable(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				for i := range servers {
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -1,16 +1,17 @@
-// Package limit finds how many sub-requests this VM may have in flight on each
-// upstream server, from what replies show and from nothing else.
+// Package limit adapts the number of sub-requests that this VM may have in flight on
+// each upstream server. It uses only what replies, refusals and failures show.
 //
-// A server's slots are shared by VMs that cannot see each other. Each VM raises
-// its limit by a step for each round trip that shows no queue, and cuts it by a
-// share for each that does: only like limits are then at rest, whatever the
-// number of VMs, and the step up never ends, so a limit that was cut by a fault
-// comes back. A limit below 1 is kept by pacing.
+// A server's slots are shared by VMs that do not know of each other. Each VM
+// increases its limit by a step for each round trip that shows no queue, and
+// decreases it by a share for each that does (additive increase, multiplicative
+// decrease). Only equal limits are then stable, whatever the number of VMs. The
+// increase never stops, so that a limit decreased by a fault recovers. A limit below
+// 1 is applied by pacing.
 //
-// Servers that hold the same shards are a group, and the groups of a register
-// are a pool. A search needs every group of its pool, so a pool has room for
-// one more while no group has all that its servers may take: Room is two loads,
-// whatever the number of servers.
+// Servers that hold the same shards form a group, and the groups of a register form a
+// pool. A search needs every group of its pool, so that a pool has capacity for one
+// more search while no group is full. Pool.Room takes two atomic loads, whatever the
+// number of servers.
 //
 // # Usage
 //
@@ -22,7 +23,7 @@
 //		tb.End(now, id, limit.Sample{Kind: limit.Replied, Latency: took, Running: 3, Queued: 1})
 //	}
 //
-// Times are monotonic and count from the start of the process. A Table may be
-// used from many goroutines; there is one small mutex for each server and group.
-// Figures of the health and load endpoints are no input: they lag.
+// Times are monotonic, measured from the start of the process. A Table is safe for
+// concurrent use; it has one mutex for each server and each group. The figures of the
+// servers' health and load endpoints are not used, since they lag.
 package limit
--- a/core/limit/example_test.go
+++ b/core/limit/example_test.go
@@ -8,7 +8,7 @@
 )
 
 func Example() {
-	tb := limit.New(limit.Config{Start: 1})
+	tb := limit.New(limit.Config{InitialLimit: 1})
 	tb.Place(0, limit.GroupKey{Team: "wash", Register: "members", Service: "s1"})
 	pool := tb.Pool(limit.PoolKey{Team: "wash", Register: "members"})
 
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -10,17 +10,17 @@
 	"laburnumvane/core/view"
 )
 
-const trip = 10 * time.Millisecond
+const roundTrip = 10 * time.Millisecond
 
-// exchange is one sub-request from begin to end.
+// exchange runs one sub-request from Begin to End and advances the time by its latency.
 func exchange(tb *limit.Table, now *time.Duration, id view.ServerID, sa limit.Sample) {
 	tb.Begin(*now, id)
 	*now += max(sa.Latency, time.Millisecond)
 	tb.End(*now, id, sa)
 }
 
-func good() limit.Sample {
-	return limit.Sample{Kind: limit.Replied, Latency: trip, Running: 1}
+func goodReply() limit.Sample {
+	return limit.Sample{Kind: limit.Replied, Latency: roundTrip, Running: 1}
 }
 
 func TestLimitFollowsReplies(t *testing.T) {
@@ -29,21 +29,21 @@
 		sample limit.Sample
 		lower  bool
 	}{
-		{"no queue", good(), false},
-		{"a queue is reported", limit.Sample{Kind: limit.Replied, Latency: trip, Running: 3, Queued: 3}, true},
-		{"one that waits is no queue", limit.Sample{Kind: limit.Replied, Latency: trip, Running: 1, Queued: 1}, false},
-		{"slow, and no account is given", limit.Sample{Kind: limit.Replied, Latency: 5 * trip}, true},
+		{"no queue", goodReply(), false},
+		{"a queue is reported", limit.Sample{Kind: limit.Replied, Latency: roundTrip, Running: 3, Queued: 3}, true},
+		{"one waiting sub-request is not a queue", limit.Sample{Kind: limit.Replied, Latency: roundTrip, Running: 1, Queued: 1}, false},
+		{"slow, and no load is reported", limit.Sample{Kind: limit.Replied, Latency: 5 * roundTrip}, true},
 		{"shed", limit.Sample{Kind: limit.Shed, Latency: time.Millisecond}, true},
 		{"fast errors", limit.Sample{Kind: limit.Failed, Latency: time.Millisecond}, true},
-		{"given up after long", limit.Sample{Kind: limit.Neutral, Latency: 100 * trip}, true},
+		{"cancelled after a long time", limit.Sample{Kind: limit.Neutral, Latency: 100 * roundTrip}, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			tb, _ := tableOf(3)
+			tb, _ := newTable(3)
 			now := time.Duration(0)
 			for range 50 {
-				exchange(tb, &now, 0, good())
+				exchange(tb, &now, 0, goodReply())
 			}
 			before := tb.Limit(0)
 			for range 20 {
@@ -54,13 +54,12 @@
 	}
 }
 
-// What the caller sees: partial answers at once, while one service fails whole.
-// All three servers of a group fail; the group is out of the count of full
-// ones, so the searches go on for the shards of the other.
-// Why: a server that fails is not one that is full.
-func TestFailingGroupHoldsUpNobody(t *testing.T) {
+// All three servers of a group fail. The group must not count as full, since a broken
+// server is not one at capacity: searches continue on the shards of the other group,
+// and callers get partial answers at once.
+func TestFailingGroupDoesNotBlockSearches(t *testing.T) {
 	is := is.New(t)
-	tb, pool := tableOf(6)
+	tb, pool := newTable(6)
 	now := time.Duration(0)
 	for id := range view.ServerID(3) {
 		for range 20 {
@@ -79,25 +78,24 @@
 	is.Equal(id, view.ServerID(5))
 }
 
-// What the caller sees: nothing. The clock steps back by an hour and forth, also
-// where a limit below 1 is paced.
-// Pacing, cuts and steps up go by the time between two replies; one that is
-// negative counts as none, a long one as eight round trips.
+// The clock is set back by an hour and forward again, also while a limit below 1 is
+// paced. Pacing, decreases and increases use the time between two replies; a negative
+// one counts as 0, a long one as eight round trips. Limits must hardly change.
 func TestClockSteps(t *testing.T) {
 	is := is.New(t)
-	tb, _ := tableOf(3)
+	tb, _ := newTable(3)
 	now := 2 * time.Hour
 	for range 50 {
-		exchange(tb, &now, 0, good())
+		exchange(tb, &now, 0, goodReply())
 	}
 	before := tb.Limit(0)
 	now = time.Hour
 	for range 10 {
-		exchange(tb, &now, 0, good())
+		exchange(tb, &now, 0, goodReply())
 	}
 	is.True(tb.Limit(0) >= before/2 && tb.Limit(0) <= 2*before)
 	now = 99 * time.Hour
-	exchange(tb, &now, 0, good())
+	exchange(tb, &now, 0, goodReply())
 	is.True(tb.Limit(0) <= 2*before)
 	is.True(tb.Room(now, 0))
 	for range 60 {
@@ -110,22 +108,22 @@
 	exchange(tb, &now, 0, limit.Sample{Kind: limit.Shed})
 	is.True(tb.Limit(0) <= low)
 	now += time.Minute
-	exchange(tb, &now, 0, good())
+	exchange(tb, &now, 0, goodReply())
 	is.True(tb.Limit(0) > low)
 	is.Equal(tb.InFlight(0), 0)
 }
 
-// A server that leaves takes its part out of the group's room; the process that
-// comes back in its place starts anew.
+// An excluded server no longer adds to the limit of its group; when it is included
+// again, it starts with the initial limit.
 func TestSetOut(t *testing.T) {
 	is := is.New(t)
-	tb, pool := tableOf(3)
+	tb, pool := newTable(3)
 	now := time.Duration(0)
 	for id := range view.ServerID(3) {
 		tb.Begin(now, id)
 		tb.Begin(now, id)
 	}
-	is.True(!pool.Room(now, 1)) // six in flight of three times two
+	is.True(!pool.Room(now, 1)) // six in flight; the limit is three servers times two
 	tb.End(now, 0, limit.Sample{Kind: limit.Neutral})
 	is.True(pool.Room(now, 1))
 	tb.SetOut(1, true)
--- a/core/limit/pool.go
+++ b/core/limit/pool.go
@@ -6,96 +6,97 @@
 	"time"
 )
 
-// PoolKey names the servers of one register.
+// PoolKey identifies the servers of one register.
 type PoolKey struct {
 	Team     string
 	Register string
 }
 
-// GroupKey names servers that hold the same shards.
+// GroupKey identifies servers that hold the same shards.
 type GroupKey struct {
 	Team     string
 	Register string
 	Service  string
 }
 
-// PoolKey names the pool of the group.
+// PoolKey returns the key of the group's pool.
 func (gk GroupKey) PoolKey() PoolKey {
 	return PoolKey{Team: gk.Team, Register: gk.Register}
 }
 
-// Pool is the groups that a search needs all of.
+// Pool is the set of groups of one register; a search needs all of them.
 type Pool struct {
-	// full counts, for each class, the groups that have all they may take.
+	// full counts, for each class, the groups without capacity.
 	full [Classes]atomic.Int32
-	// nextAt paces a pool with a group whose limit is below 1.
-	nextAt [Classes]atomic.Int64
+	// nextStart is the earliest time for the next search of each class, in
+	// nanoseconds, if a group's limit is below 1.
+	nextStart [Classes]atomic.Int64
 }
 
-// Room tells whether a search of a class may start.
+// Room reports whether a search of a class may start.
 func (pl *Pool) Room(now time.Duration, class int) bool {
-	return pl.full[class].Load() == 0 && due(now, time.Duration(pl.nextAt[class].Load()))
+	return pl.full[class].Load() == 0 && pauseOver(now, time.Duration(pl.nextStart[class].Load()))
 }
 
-// Full is the number of groups without room for a class.
+// Full is the number of groups without capacity for a class.
 func (pl *Pool) Full(class int) int {
 	return int(pl.full[class].Load())
 }
 
-// share is what a server adds to its group.
-type share struct {
+// contribution is what a server adds to its group.
+type contribution struct {
 	limit   float64
 	servers int
 }
 
-func (sh share) minus(other share) share {
-	return share{limit: sh.limit - other.limit, servers: sh.servers - other.servers}
+func (ct contribution) minus(other contribution) contribution {
+	return contribution{limit: ct.limit - other.limit, servers: ct.servers - other.servers}
 }
 
-// group sums its servers' limits and work in flight.
+// group holds the sums of its servers' limits and sub-requests in flight.
 type group struct {
-	mu       sync.Mutex
-	pool     *Pool
-	levels   [Classes]float64
-	inFlight int
-	share    share
-	full     [Classes]bool
+	mu           sync.Mutex
+	pool         *Pool
+	classFactors [Classes]float64
+	inFlight     int
+	total        contribution
+	full         [Classes]bool
 }
 
-// change takes in sub-requests begun or ended and a change of a share, and
-// tells the pool where that fills or frees the group.
-func (gr *group) change(n int, by share) {
+// update adds n to the sub-requests in flight and by to the total, and updates the
+// pool if the group becomes full or has capacity again.
+func (gr *group) update(n int, by contribution) {
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
 	gr.inFlight += n
-	gr.share.limit += by.limit
-	gr.share.servers += by.servers
+	gr.total.limit += by.limit
+	gr.total.servers += by.servers
 	for cl := range gr.full {
-		gr.mark(cl, gr.isFull(cl))
+		gr.setFull(cl, gr.isFull(cl))
 	}
 }
 
-// begin counts a sub-request that takes about trip, in nanoseconds.
+// begin counts a sub-request that takes about trip nanoseconds.
 func (gr *group) begin(now time.Duration, trip float64) {
-	gr.change(1, share{})
+	gr.update(1, contribution{})
 	gr.mu.Lock()
 	defer gr.mu.Unlock()
-	if gr.share.limit < 1 && gr.share.servers > 0 {
+	if gr.total.limit < 1 && gr.total.servers > 0 {
 		gr.pace(now, trip)
 	}
 }
 
-// isFull leaves room for one at least: with nothing in flight there is nobody
-// whose replies could show that the limit may rise. A group whose servers all
-// fail is never full: it must not hold up the shards of the others.
+// isFull reports whether a group is full for a class. A group with nothing in flight
+// is never full: without replies its limit could not increase. Nor is a group whose
+// servers are all broken or excluded: it must not block searches on the other shards.
 func (gr *group) isFull(cl int) bool {
-	if gr.inFlight <= 0 || gr.share.servers == 0 {
+	if gr.inFlight <= 0 || gr.total.servers == 0 {
 		return false
 	}
-	return float64(gr.inFlight) >= gr.share.limit*gr.levels[cl]
+	return float64(gr.inFlight) >= gr.total.limit*gr.classFactors[cl]
 }
 
-func (gr *group) mark(cl int, full bool) {
+func (gr *group) setFull(cl int, full bool) {
 	if gr.full[cl] == full {
 		return
 	}
@@ -107,21 +108,23 @@
 	}
 }
 
-// pace keeps a limit below 1: the next search waits for the rest of the time
-// that one in flight stands for.
+// pace applies a limit below 1: the next search has to wait for one round trip divided
+// by the limit.
 func (gr *group) pace(now time.Duration, trip float64) {
-	for cl := range gr.levels {
-		limit := gr.share.limit * gr.levels[cl]
+	for cl := range gr.classFactors {
+		limit := gr.total.limit * gr.classFactors[cl]
 		if limit < 1 {
-			raise(&gr.pool.nextAt[cl], now, min(time.Duration(trip/limit), mostPause))
+			postpone(&gr.pool.nextStart[cl], now, min(time.Duration(trip/limit), maxPause))
 		}
 	}
 }
 
-func raise(at *atomic.Int64, now, by time.Duration) {
+// postpone sets at to now+by unless it is that late already. A time more than maxPause
+// ahead is replaced, since the clock was set back (see pauseOver).
+func postpone(at *atomic.Int64, now, by time.Duration) {
 	for {
 		old := time.Duration(at.Load())
-		later := old >= now+by && old-now <= mostPause
+		later := old >= now+by && old-now <= maxPause
 		if later || at.CompareAndSwap(int64(old), int64(now+by)) {
 			return
 		}
--- a/core/limit/server.go
+++ b/core/limit/server.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// Kind says how a sub-request ended.
+// Kind is how a sub-request ended.
 type Kind uint8
 
-// Ends of a sub-request.
+// Kinds of ends.
 const (
-	// Replied: the server answered; Latency, Running and Queued hold.
+	// Replied: the server answered; Latency, Running and Queued are set.
 	Replied Kind = iota + 1
-	// Shed: the server refused for want of room, or is cold.
+	// Shed: the server refused because it is at capacity or cold.
 	Shed
 	// Failed: an error, a timeout or a broken connection.
 	Failed
-	// Neutral says nothing of load: cancelled, or refused for another reason.
+	// Neutral: cancelled, or refused for a reason other than load.
 	Neutral
 )
 
-// Sample is what the end of one sub-request shows.
+// Sample is what the end of one sub-request shows about its server.
 type Sample struct {
 	Kind    Kind
 	Latency time.Duration
-	// Running and Queued are the server's account on the reply; 0 if it gives
-	// none.
+	// Running and Queued are the sub-requests at the server as the reply states
+	// them; 0 if it does not.
 	Running int
 	Queued  int
 }
@@ -38,79 +38,83 @@
 	group    *group
 	limit    float64
 	inFlight int
-	// base is the latency without a queue, fast the recent one.
-	base float64
-	fast float64
-	// replies counts those in base, up to baseReplies.
-	replies int
-	replyAt time.Duration
-	// queueAt is when a reply last showed a queue.
-	queueAt time.Duration
-	// mend is the limit before failures cut it; 0 once that is over.
-	mend    float64
-	lastCut time.Duration
-	// ref is the base of about a second ago.
-	ref   float64
-	refAt time.Duration
-	// nextAt paces a limit below 1.
-	nextAt time.Duration
-	// bad counts failures since the last reply.
-	bad int
-	out bool
+	// baseLatency is the average latency without a queue, recentLatency that of
+	// the recent replies, in nanoseconds.
+	baseLatency   float64
+	recentLatency float64
+	// baseCount is the number of replies in baseLatency, up to baseWindow.
+	baseCount int
+	lastReply time.Duration
+	// lastQueue is when a reply last showed a queue, or the limit was last
+	// decreased by a refusal or failure.
+	lastQueue time.Duration
+	// limitBeforeFailures is the limit before refusals and failures decreased
+	// it; 0 once a reply has shown a queue since.
+	limitBeforeFailures float64
+	lastCut             time.Duration
+	// refLatency is the baseLatency of about a second ago, at refAt.
+	refLatency float64
+	refAt      time.Duration
+	// nextSend is the earliest time for the next send under a limit below 1.
+	nextSend time.Duration
+	// failures counts the failures since the last reply or refusal.
+	failures int
+	excluded bool
 }
 
 func newServer(cfg *Config) *server {
-	return &server{cfg: cfg, limit: cfg.Start}
+	return &server{cfg: cfg, limit: cfg.InitialLimit}
 }
 
 func (sv *server) begin(now time.Duration) {
 	sv.mu.Lock()
 	sv.inFlight++
-	sv.nextAt = now + sv.pause()
-	gr, trip := sv.group, sv.trip()
+	sv.nextSend = now + sv.pause()
+	gr, trip := sv.group, sv.roundTrip()
 	sv.mu.Unlock()
 	gr.begin(now, trip)
 }
 
-// pause is the least time between sends under a limit below 1.
+// pause is the minimum time between sends under a limit below 1.
 func (sv *server) pause() time.Duration {
 	if sv.limit >= 1 {
 		return 0
 	}
-	return min(time.Duration(sv.trip()/sv.limit), mostPause)
+	return min(time.Duration(sv.roundTrip()/sv.limit), maxPause)
 }
 
-// due tells whether a pause is over. One of more than mostPause is none: the
-// clock handed in was set back, and would else hold the server back for as long.
-func due(now, at time.Duration) bool {
-	return now >= at || at-now > mostPause
+// pauseOver reports whether a pause that ends at at is over. A remaining pause longer
+// than maxPause means that the clock was set back; it counts as over, since the server
+// would otherwise get no work for as long.
+func pauseOver(now, at time.Duration) bool {
+	return now >= at || at-now > maxPause
 }
 
-// mostPause is longer than any pause.
-const mostPause = 20 * time.Second
+// maxPause is the longest pause between sends.
+const maxPause = 20 * time.Second
 
-// trip is the length of a round trip, in nanoseconds.
-func (sv *server) trip() float64 {
-	return max(sv.base, float64(sv.cfg.LeastTrip))
+// roundTrip is the round-trip time without a queue, in nanoseconds.
+func (sv *server) roundTrip() float64 {
+	return max(sv.baseLatency, float64(sv.cfg.MinRoundTrip))
 }
 
-func (sv *server) room(now time.Duration) bool {
+func (sv *server) hasCapacity(now time.Duration) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	if sv.limit < 1 {
-		return sv.inFlight == 0 && due(now, sv.nextAt)
+		return sv.inFlight == 0 && pauseOver(now, sv.nextSend)
 	}
 	return float64(sv.inFlight) < sv.limit
 }
 
-// whole tells whether the server may be sent work for want of a better one.
-func (sv *server) whole() bool {
+// usable reports whether the server may be used as a fallback.
+func (sv *server) usable() bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return !sv.out && !sv.broken()
+	return !sv.excluded && !sv.broken()
 }
 
-// load is the work in flight in units of the limit; the least is the best.
+// load is the sub-requests in flight plus one, divided by the limit.
 func (sv *server) load() float64 {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -119,140 +123,144 @@
 
 func (sv *server) end(now time.Duration, sa Sample) {
 	sv.mu.Lock()
-	used := float64(sv.inFlight) >= sv.limit/2
+	halfUsed := float64(sv.inFlight) >= sv.limit/2
 	sv.inFlight--
-	before := sv.share()
+	before := sv.contribution()
 	switch {
 	case sa.Kind == Replied:
-		sv.replied(now, sa, used)
+		sv.onReply(now, sa, halfUsed)
 	case sa.Kind == Shed:
-		sv.bad = 0
-		sv.cut(now, sv.cfg.ShedCut)
+		sv.failures = 0
+		sv.decrease(now, sv.cfg.ShedCut)
 	case sa.Kind == Failed, sv.stuck(sa):
-		sv.failed(now)
+		sv.onFailure(now)
 	}
-	after := sv.share()
+	after := sv.contribution()
 	gr := sv.group
 	sv.mu.Unlock()
-	gr.change(-1, after.minus(before))
+	gr.update(-1, after.minus(before))
 }
 
-// stuck tells whether a sub-request that was given up had taken so long that
-// the server is to blame. Without it a server that accepts and never answers
-// would look idle where hedges win each time.
+// stuck reports whether a cancelled sub-request had taken so long that it counts as a
+// failure of the server. Otherwise a server that accepts and never answers would look
+// idle if a hedge always answers first.
 func (sv *server) stuck(sa Sample) bool {
-	return sa.Kind == Neutral && sv.base > 0 && float64(sa.Latency) > stuckTimes*sv.base
+	return sa.Kind == Neutral && sv.baseLatency > 0 && float64(sa.Latency) > stuckFactor*sv.baseLatency
 }
 
-// broken tells whether the server fails rather than being full.
+// broken reports whether the server fails rather than being at capacity.
 func (sv *server) broken() bool {
-	return sv.bad >= brokenAfter
+	return sv.failures >= brokenAfter
 }
 
-// share is what the server adds to its group. One that fails again and again
-// adds nothing, however fast its errors come.
-func (sv *server) share() share {
-	if sv.out || sv.broken() {
-		return share{}
+// contribution is what the server adds to its group. A broken server adds nothing,
+// however fast it returns its errors.
+func (sv *server) contribution() contribution {
+	if sv.excluded || sv.broken() {
+		return contribution{}
 	}
-	return share{limit: sv.limit, servers: 1}
+	return contribution{limit: sv.limit, servers: 1}
 }
 
-func (sv *server) replied(now time.Duration, sa Sample, used bool) {
-	sv.bad = 0
-	sv.learn(now, sa)
-	trips := sv.tripsSince(now)
+func (sv *server) onReply(now time.Duration, sa Sample, halfUsed bool) {
+	sv.failures = 0
+	sv.updateLatency(now, sa)
+	trips := sv.tripsSinceReply(now)
 	switch {
-	case sv.queues(sa):
-		sv.queueAt = now
-		sv.mend = 0
-		sv.limit = max(sv.cfg.Least, sv.limit*(1-min(sv.cfg.QueueCut*trips, mostCut)))
-	case used:
-		sv.limit = min(sv.cfg.Most, sv.limit+sv.rise(now, trips))
+	case sv.showsQueue(sa):
+		sv.lastQueue = now
+		sv.limitBeforeFailures = 0
+		sv.limit = max(sv.cfg.MinLimit, sv.limit*(1-min(sv.cfg.QueueCut*trips, maxQueueCut)))
+	case halfUsed:
+		sv.limit = min(sv.cfg.MaxLimit, sv.limit+sv.increase(now, trips))
 	}
 }
 
-// tripsSince is the time since the last reply in round trips. Steps are weighed
-// by it: weighed by replies, a VM with a small limit, which gets few, stayed
-// behind for as long as the others kept the server busy.
-func (sv *server) tripsSince(now time.Duration) float64 {
-	trips := float64(now-sv.replyAt) / sv.trip()
-	sv.replyAt = now
-	return min(max(trips, 0), mostTrips)
+// tripsSinceReply is the time since the last reply in round trips, and records this
+// reply. Steps are weighted by it rather than by the number of replies: otherwise a VM
+// with a small limit, which gets few replies, kept its small limit for as long as the
+// other VMs kept the server busy.
+func (sv *server) tripsSinceReply(now time.Duration) float64 {
+	trips := float64(now-sv.lastReply) / sv.roundTrip()
+	sv.lastReply = now
+	return min(max(trips, 0), maxTrips)
 }
 
-// queues tells whether a reply shows that sub-requests wait at the server. The
-// latency speaks only where this reply and the recent ones agree: one is chance,
-// and the recent ones alone went on cutting a limit for seconds after the queue
-// was gone, since a cut limit brings few replies.
-func (sv *server) queues(sa Sample) bool {
-	// One that waits is no queue: it keeps a slot busy between two replies.
-	if float64(sa.Queued) > max(1, sv.cfg.Press*float64(sa.Running)) {
+// showsQueue reports whether a reply shows that sub-requests wait at the server. The
+// latency counts only if both this reply and the recent average are slow: one slow
+// reply may be chance, and the recent average alone kept decreasing the limit for
+// seconds after the queue was gone, since a small limit gives few replies.
+func (sv *server) showsQueue(sa Sample) bool {
+	// One waiting sub-request is not a queue: it keeps a slot busy between
+	// two replies.
+	if float64(sa.Queued) > max(1, sv.cfg.MaxQueueRatio*float64(sa.Running)) {
 		return true
 	}
-	slow := max(sv.cfg.Slow*sv.base, sv.base+float64(sv.cfg.Slack))
-	return float64(sa.Latency) > slow && sv.fast > slow
+	slow := max(sv.cfg.SlowFactor*sv.baseLatency, sv.baseLatency+float64(sv.cfg.LatencyTolerance))
+	return float64(sa.Latency) > slow && sv.recentLatency > slow
 }
 
-// rise is the step up. It goes with the fourth root of the limit: with a fixed
-// step many VMs with small limits would keep a long queue at the server, with a
-// proportional one they would not come to like limits. It grows with the time
-// since a queue was last seen: a small limit gets few replies, and counted in
-// replies it had not come back five seconds after slots that were cut had been
-// given back. A limit that failures cut doubles until it is near what it was.
-func (sv *server) rise(now time.Duration, trips float64) float64 {
-	if sv.limit < sv.mend/2 {
+// increase is the increase of the limit after trips round trips without a queue. It is
+// proportional to the fourth root of the limit: with a fixed step, many VMs with small
+// limits would keep a long queue at the server; with a proportional step, their limits
+// would not become equal. It grows with the time since a queue was last seen, not with
+// the number of replies: a small limit gets few replies, and counted in replies a limit
+// had not recovered five seconds after a server's slots had been restored. A limit
+// decreased by refusals or failures doubles until it is half of its former value.
+func (sv *server) increase(now time.Duration, trips float64) float64 {
+	if sv.limit < sv.limitBeforeFailures/2 {
 		return sv.limit
 	}
-	quiet := float64(now-sv.queueAt) / sv.trip()
-	step := sv.cfg.Step * math.Sqrt(math.Sqrt(sv.limit)) * (1 + quiet/quietTrips)
+	tripsSinceQueue := float64(now-sv.lastQueue) / sv.roundTrip()
+	step := sv.cfg.Step * math.Sqrt(math.Sqrt(sv.limit)) * (1 + tripsSinceQueue/stepDoublingTrips)
 	return min(step*trips, sv.limit/2)
 }
 
-// learn follows the latency with and without a queue. A reply that met a queue
-// can only lower the latter: under a long overload the queue would become the
-// norm, and the limit would grow into it.
-func (sv *server) learn(now time.Duration, sa Sample) {
-	lat := float64(sa.Latency)
-	if sv.base == 0 {
-		sv.replies = 1
-		sv.base, sv.fast = lat, lat
-		sv.ref, sv.refAt = lat, now
+// updateLatency updates the recent latency and that without a queue. A reply that
+// reports a queue can only lower the latter. Otherwise, under a long overload, the
+// latency with a queue would become the baseline, and the limit would grow.
+func (sv *server) updateLatency(now time.Duration, sa Sample) {
+	latency := float64(sa.Latency)
+	if sv.baseLatency == 0 {
+		sv.baseCount = 1
+		sv.baseLatency, sv.recentLatency = latency, latency
+		sv.refLatency, sv.refAt = latency, now
 		return
 	}
-	sv.fast += (lat - sv.fast) / recentReplies
-	if sa.Queued == 0 || lat < sv.base {
-		// The first replies count for more: one that met the rush of a start
-		// would else pass for the norm, and slow pacing would keep it so.
-		sv.replies = min(sv.replies+1, baseReplies)
-		sv.base += (lat - sv.base) / float64(sv.replies)
+	sv.recentLatency += (latency - sv.recentLatency) / recentWindow
+	if sa.Queued == 0 || latency < sv.baseLatency {
+		// The first replies have a higher weight. Otherwise a first reply that
+		// was slow because of a burst at the start would remain the baseline,
+		// all the more since pacing by it gives few replies.
+		sv.baseCount = min(sv.baseCount+1, baseWindow)
+		sv.baseLatency += (latency - sv.baseLatency) / float64(sv.baseCount)
 	}
-	// A server may say that nothing waits while something does: the norm may
-	// rise by a bounded share a second and no faster.
+	// A server may report an empty queue although sub-requests wait, so that
+	// the baseline may rise only by a limited share per second.
 	if now >= sv.refAt+time.Second {
-		sv.ref, sv.refAt = sv.base, now
+		sv.refLatency, sv.refAt = sv.baseLatency, now
 	}
-	sv.base = min(sv.base, sv.ref*(1+baseRise))
+	sv.baseLatency = min(sv.baseLatency, sv.refLatency*(1+maxBaseRise))
 }
 
-// failed halves the limit; from the second failure in a row a cut needs no
-// round trip between, so that fast errors do not outrun the cuts.
-func (sv *server) failed(now time.Duration) {
-	sv.bad++
-	if sv.bad > 1 {
-		sv.lastCut = now - time.Duration(sv.trip())
+// onFailure decreases the limit by FailCut. From the second failure in a row, there is
+// no minimum time between decreases, so that they keep up with fast errors.
+func (sv *server) onFailure(now time.Duration) {
+	sv.failures++
+	if sv.failures > 1 {
+		sv.lastCut = now - time.Duration(sv.roundTrip())
 	}
-	sv.cut(now, sv.cfg.FailCut)
+	sv.decrease(now, sv.cfg.FailCut)
 }
 
-// cut lowers the limit, at most once in a round trip: the replies of one round
-// trip all tell of the same queue.
-func (sv *server) cut(now time.Duration, by float64) {
-	if now >= sv.lastCut && now < sv.lastCut+time.Duration(sv.trip()) {
+// decrease lowers the limit by a share, at most once in a round trip: all replies of
+// one round trip show the same queue.
+func (sv *server) decrease(now time.Duration, by float64) {
+	if now >= sv.lastCut && now < sv.lastCut+time.Duration(sv.roundTrip()) {
 		return
 	}
 	sv.lastCut = now
-	sv.queueAt = now
-	sv.mend = max(sv.mend, sv.limit)
-	sv.limit = max(sv.cfg.Least, sv.limit*(1-by))
+	sv.lastQueue = now
+	sv.limitBeforeFailures = max(sv.limitBeforeFailures, sv.limit)
+	sv.limit = max(sv.cfg.MinLimit, sv.limit*(1-by))
 }
--- a/core/limit/table.go
+++ b/core/limit/table.go
@@ -10,87 +10,90 @@
 )
 
 const (
-	// recentReplies is the weight of the newest reply in what is recent.
-	recentReplies = 16
-	// baseReplies is its weight in the latency without a queue.
-	baseReplies = 128
-	// baseRise is the share by which that latency may rise in a second.
-	baseRise = 0.02
-	// quietTrips is the number of round trips without a queue that doubles the
-	// step.
-	quietTrips = 16
-	// mostTrips and mostCut bound the weight of one reply.
-	mostTrips = 8
-	mostCut   = 0.1
-	// stuckTimes is how many times that latency a sub-request that was given
-	// up must have taken to count as a failure.
-	stuckTimes = 8
-	// brokenAfter is the number of failures in a row after which a server is
-	// taken to fail.
+	// recentWindow is the number of replies that the recent latency averages:
+	// the newest has the weight of its reciprocal.
+	recentWindow = 16
+	// baseWindow is the same for the latency without a queue.
+	baseWindow = 128
+	// maxBaseRise is the share by which that latency may rise in a second.
+	maxBaseRise = 0.02
+	// stepDoublingTrips is the number of round trips without a queue after
+	// which the step has doubled.
+	stepDoublingTrips = 16
+	// maxTrips and maxQueueCut limit the effect of one reply: the round trips
+	// that it counts for, and the share that a queue takes off the limit.
+	maxTrips    = 8
+	maxQueueCut = 0.1
+	// stuckFactor times the latency without a queue is how long a cancelled
+	// sub-request must have taken to count as a failure.
+	stuckFactor = 8
+	// brokenAfter is the number of failures in a row after which a server
+	// counts as broken.
 	brokenAfter = 3
 )
 
-// Config sets a table. Fields that are 0 take the defaults of New.
+// Config configures a table. Fields that are 0 take default values.
 type Config struct {
-	// Start, Least and Most bound a server's limit, in sub-requests.
-	Start float64
-	Least float64
-	Most  float64
-	// Step is the rise of a limit of 1 in one round trip without a queue.
+	// InitialLimit is the limit of a new server, MinLimit and MaxLimit the
+	// bounds of each limit, in sub-requests in flight.
+	InitialLimit float64
+	MinLimit     float64
+	MaxLimit     float64
+	// Step is the increase of a limit of 1 in one round trip without a queue.
 	Step float64
-	// Press is the number of sub-requests queued per one running above which
-	// the limit is cut.
-	Press float64
-	// Slow is the recent latency, in multiples of the one without a queue,
-	// above which the limit is cut.
-	Slow float64
-	// QueueCut is the share taken off the limit in one round trip with a queue,
-	// ShedCut and FailCut those by refusals and failures.
+	// MaxQueueRatio is the number of queued sub-requests per running one above
+	// which the limit is decreased.
+	MaxQueueRatio float64
+	// SlowFactor is the recent latency, in multiples of that without a queue,
+	// above which the limit is decreased.
+	SlowFactor float64
+	// QueueCut is the share by which one round trip with a queue decreases the
+	// limit, ShedCut and FailCut those for refusals and failures.
 	QueueCut float64
 	ShedCut  float64
 	FailCut  float64
-	// Slack is a difference of latency that says nothing: scheduling on either
-	// side brings as much.
-	Slack time.Duration
-	// LeastTrip is the round trip assumed at least.
-	LeastTrip time.Duration
-	// Levels are what each class may fill of a group's limit, in multiples of
-	// it, first class first. The first class may go far over: it is a small part
-	// of the load, its waiting would be for the worst of many groups, and what
-	// it takes brings the limit of the others down.
-	Levels [Classes]float64
+	// LatencyTolerance is a difference of latency that is ignored, since
+	// scheduling on either side can cause as much.
+	LatencyTolerance time.Duration
+	// MinRoundTrip is the minimum assumed for the round-trip time.
+	MinRoundTrip time.Duration
+	// ClassFactors are the multiples of a group's limit that each class may
+	// use, the highest class first. The highest class may far exceed the limit:
+	// it is a small part of the load, it would have to wait for the slowest of
+	// many groups, and its load decreases the limit for the other classes.
+	ClassFactors [Classes]float64
 }
 
 // Classes is the number of classes of searches.
 const Classes = 3
 
 func (cfg Config) withDefaults() Config {
-	for _, one := range []struct {
+	for _, df := range []struct {
 		field *float64
 		value float64
 	}{
-		{&cfg.Start, 2},
-		{&cfg.Least, 0.05},
-		{&cfg.Most, 64},
+		{&cfg.InitialLimit, 2},
+		{&cfg.MinLimit, 0.05},
+		{&cfg.MaxLimit, 64},
 		{&cfg.Step, 0.035},
-		{&cfg.Press, 0.6},
-		{&cfg.Slow, 2},
+		{&cfg.MaxQueueRatio, 0.6},
+		{&cfg.SlowFactor, 2},
 		{&cfg.QueueCut, 0.05},
 		{&cfg.ShedCut, 0.2},
 		{&cfg.FailCut, 0.5},
-		{&cfg.Levels[0], 10},
-		{&cfg.Levels[1], 1},
-		{&cfg.Levels[2], 0.85},
+		{&cfg.ClassFactors[0], 10},
+		{&cfg.ClassFactors[1], 1},
+		{&cfg.ClassFactors[2], 0.85},
 	} {
-		if *one.field == 0 {
-			*one.field = one.value
+		if *df.field == 0 {
+			*df.field = df.value
 		}
 	}
-	if cfg.Slack == 0 {
-		cfg.Slack = 5 * time.Millisecond
+	if cfg.LatencyTolerance == 0 {
+		cfg.LatencyTolerance = 5 * time.Millisecond
 	}
-	if cfg.LeastTrip == 0 {
-		cfg.LeastTrip = time.Millisecond
+	if cfg.MinRoundTrip == 0 {
+		cfg.MinRoundTrip = time.Millisecond
 	}
 	return cfg
 }
@@ -104,7 +107,7 @@
 	pools   map[PoolKey]*Pool
 }
 
-// New makes a table without servers.
+// New returns a table without servers.
 func New(cfg Config) *Table {
 	tb := &Table{
 		cfg:    cfg.withDefaults(),
@@ -115,13 +118,13 @@
 	return tb
 }
 
-// Len is the number of servers placed; their ids are below it.
+// Len is the number of servers in the table; their IDs are below it.
 func (tb *Table) Len() int {
 	return len(*tb.servers.Load())
 }
 
-// Place puts the next server into its group. Ids are placed in order, each
-// once; a repeated one changes nothing.
+// Place adds a server to its group. IDs must be added in order, from 0; an ID other
+// than the next one is ignored.
 func (tb *Table) Place(id view.ServerID, key GroupKey) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -131,19 +134,19 @@
 	}
 	gr, ok := tb.groups[key]
 	if !ok {
-		gr = &group{pool: tb.poolOf(key.PoolKey()), levels: tb.cfg.Levels}
+		gr = &group{pool: tb.poolOf(key.PoolKey()), classFactors: tb.cfg.ClassFactors}
 		tb.groups[key] = gr
 	}
 	sv := newServer(&tb.cfg)
 	sv.group = gr
-	// Appending shares the old array: readers of the old header never look
-	// past its length.
+	// Appending may share the old array: readers of the old slice never read
+	// beyond its length.
 	servers = append(servers, sv)
 	tb.servers.Store(&servers)
-	gr.change(0, sv.share())
+	gr.update(0, sv.contribution())
 }
 
-// Pool returns the pool of a register, without groups if none was placed yet.
+// Pool returns the pool of a register; it has no groups if no server was added yet.
 func (tb *Table) Pool(key PoolKey) *Pool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -159,31 +162,31 @@
 	return pl
 }
 
-// Begin counts a sub-request as in flight.
+// Begin counts a sub-request as in flight on a server.
 func (tb *Table) Begin(now time.Duration, id view.ServerID) {
-	tb.of(id).begin(now)
+	tb.serverOf(id).begin(now)
 }
 
-// End settles a sub-request that Begin counted.
+// End ends a sub-request that Begin counted, and adapts the server's limit.
 func (tb *Table) End(now time.Duration, id view.ServerID, sa Sample) {
-	tb.of(id).end(now, sa)
+	tb.serverOf(id).end(now, sa)
 }
 
-// Room tells whether a server may be sent one more.
+// Room reports whether a server may be sent one more sub-request.
 func (tb *Table) Room(now time.Duration, id view.ServerID) bool {
-	return tb.of(id).room(now)
+	return tb.serverOf(id).hasCapacity(now)
 }
 
-// Fallback picks the server to use where none of the list has room: the one
-// with the least work for its limit. Servers that fail get none of it, so a
-// shard that only such servers hold is given up at once and the answer is
-// partial, rather than late.
+// Fallback returns the server to use if none of ids has capacity: the one with the
+// least work relative to its limit. It never returns a broken or excluded server. If
+// only such servers hold a shard, it returns false, so that the answer is partial
+// at once rather than late.
 func (tb *Table) Fallback(ids []view.ServerID) (view.ServerID, bool) {
 	var best view.ServerID
 	least := math.Inf(1)
 	for _, id := range ids {
-		sv := tb.of(id)
-		if !sv.whole() {
+		sv := tb.serverOf(id)
+		if !sv.usable() {
 			continue
 		}
 		if ld := sv.load(); ld < least {
@@ -193,14 +196,14 @@
 	return best, !math.IsInf(least, 1)
 }
 
-// Load is a server's work in flight, one more included, in units of its limit.
+// Load is a server's sub-requests in flight plus one, divided by its limit.
 func (tb *Table) Load(id view.ServerID) float64 {
-	return tb.of(id).load()
+	return tb.serverOf(id).load()
 }
 
 // Limit is a server's present limit.
 func (tb *Table) Limit(id view.ServerID) float64 {
-	sv := tb.of(id)
+	sv := tb.serverOf(id)
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.limit
@@ -208,34 +211,34 @@
 
 // InFlight is the number of sub-requests in flight on a server.
 func (tb *Table) InFlight(id view.ServerID) int {
-	sv := tb.of(id)
+	sv := tb.serverOf(id)
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
 	return sv.inFlight
 }
 
-// SetOut takes a server that gets no new work out of its group's limit, or
-// back in. One that comes back starts with the limit of a new server: what was
-// learnt of the process before it says nothing.
-func (tb *Table) SetOut(id view.ServerID, out bool) {
-	sv := tb.of(id)
+// SetOut excludes a server that gets no new work from its group's limit, or includes
+// it again. A server that is included again starts with the limit of a new server,
+// since what was learnt about its former process does not apply.
+func (tb *Table) SetOut(id view.ServerID, excluded bool) {
+	sv := tb.serverOf(id)
 	sv.mu.Lock()
-	if sv.out == out {
+	if sv.excluded == excluded {
 		sv.mu.Unlock()
 		return
 	}
-	before := sv.share()
-	sv.out = out
-	if !out {
-		sv.limit = sv.cfg.Start
-		sv.bad = 0
+	before := sv.contribution()
+	sv.excluded = excluded
+	if !excluded {
+		sv.limit = sv.cfg.InitialLimit
+		sv.failures = 0
 	}
-	after := sv.share()
+	after := sv.contribution()
 	gr := sv.group
 	sv.mu.Unlock()
-	gr.change(0, after.minus(before))
+	gr.update(0, after.minus(before))
 }
 
-func (tb *Table) of(id view.ServerID) *server {
+func (tb *Table) serverOf(id view.ServerID) *server {
 	return (*tb.servers.Load())[id]
 }
