--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -11,7 +11,7 @@
 	"laburnumvane/core/share"
 )
 
-func machineOf(vms, teams int) (*share.Machine, []*share.Bucket, []share.Demand) {
+func newMachine(vms, teams int) (*share.Machine, []*share.Bucket, []share.Demand) {
 	mc := share.New(share.Config{Self: share.VM{Addr: "self"}})
 	var others []share.VM
 	for i := range vms - 1 {
@@ -31,10 +31,10 @@
 	return mc, buckets, demands
 }
 
-// BenchmarkTake is a team's limit before each search; it does not depend on the
-// number of VMs.
+// BenchmarkTake measures the check of a team's limit before each search. The cost does
+// not depend on the number of VMs.
 func BenchmarkTake(b *testing.B) {
-	_, buckets, _ := machineOf(9, 1)
+	_, buckets, _ := newMachine(9, 1)
 	b.ReportAllocs()
 	now := time.Duration(0)
 	for b.Loop() {
@@ -45,12 +45,12 @@
 	}
 }
 
-// BenchmarkSecond is what the control goroutine does each second for one team:
-// it hears all other VMs, works out its part and tells its demand.
+// BenchmarkSecond measures the work of the control goroutine for one team in each round:
+// it processes the demands of all other VMs, announces its own and recomputes its share.
 func BenchmarkSecond(b *testing.B) {
 	for _, vms := range []int{9, 100, 4300} {
 		b.Run(fmt.Sprintf("vms=%d", vms), func(b *testing.B) {
-			mc, _, demands := machineOf(vms, 1)
+			mc, _, demands := newMachine(vms, 1)
 			b.ReportAllocs()
 			now := time.Duration(0)
 			sequence := uint64(1)
@@ -70,7 +70,7 @@
 
 func TestTakeAllocatesNothing(t *testing.T) {
 	is := is.New(t)
-	_, buckets, _ := machineOf(9, 1)
+	_, buckets, _ := newMachine(9, 1)
 	now := time.Second
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
--- a/core/share/bucket.go
+++ b/core/share/bucket.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Reason tells which limit refused a search.
+// Reason is the limit by which a search was refused.
 type Reason string
 
 // Reasons.
@@ -16,49 +16,50 @@
 )
 
 const (
-	// burstTime is the time whose tokens a bucket holds.
+	// burstTime is the time in which a bucket earns as many tokens as it can hold.
 	burstTime = 250 * time.Millisecond
-	// leastBurst lets a team with a small part start one search at all.
-	leastBurst = 1
-	// busyRetry is when to come back to a team that is at its concurrent limit:
-	// nothing is known of when a search will end.
-	busyRetry = 200 * time.Millisecond
-	// demandTime is the time over which demand is averaged.
-	demandTime = 2 * time.Second
+	// minBurst is the minimum capacity of a bucket, in tokens, so that a team
+	// with a small share can start a search at all.
+	minBurst = 1
+	// concurrentRetry is the time after which to retry if the concurrent limit
+	// is reached. It is fixed, since it is not known when a search will end.
+	concurrentRetry = 200 * time.Millisecond
+	// demandWindow is the time constant of the average of the demand.
+	demandWindow = 2 * time.Second
 )
 
-// Bucket holds a team's searches to this VM's part of its limits. It may be
-// used from many goroutines.
+// Bucket limits a team's searches on this VM to the VM's share of the team's limits. It
+// is safe for concurrent use.
 type Bucket struct {
 	mu     sync.Mutex
 	now    time.Duration
 	tokens float64
-	// rate is in searches a second; 0 is none, infinite is no limit.
-	rate     float64
-	most     int
-	inFlight int
-	offers   int
-	demand   float64
-	demandAt time.Duration
+	// rate is in searches per second; 0 means that none may start, infinite no limit.
+	rate        float64
+	maxInFlight int
+	inFlight    int
+	offered     int
+	demand      float64
+	demandAt    time.Duration
 }
 
 func newBucket() *Bucket {
-	return &Bucket{rate: math.Inf(1), most: math.MaxInt, tokens: leastBurst}
+	return &Bucket{rate: math.Inf(1), maxInFlight: math.MaxInt, tokens: minBurst}
 }
 
-// Take asks for the start of a search. Where it is refused, after is when to
-// come back and the reason is set.
+// Take requests the start of a search. If it is refused, re is set, and after is the
+// time after which to retry.
 func (bu *Bucket) Take(now time.Duration) (re Reason, after time.Duration) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.refill(now)
-	bu.offers++
-	if bu.inFlight >= bu.most {
-		return ReasonConcurrent, busyRetry
+	bu.offered++
+	if bu.inFlight >= bu.maxInFlight {
+		return ReasonConcurrent, concurrentRetry
 	}
 	if bu.tokens < 1 {
 		missing := (1 - bu.tokens) / bu.rate
-		return ReasonRate, time.Duration(min(missing, maxRetry) * float64(time.Second))
+		return ReasonRate, time.Duration(min(missing, maxRetrySeconds) * float64(time.Second))
 	}
 	if !math.IsInf(bu.rate, 1) {
 		bu.tokens--
@@ -67,18 +68,18 @@
 	return "", 0
 }
 
-// maxRetry bounds, in seconds, when a refused search is told to come back.
-const maxRetry = 30.0
+// maxRetrySeconds is the maximum time after which to retry.
+const maxRetrySeconds = 30.0
 
-// Give ends a search that Take let start.
+// Give ends a search that Take allowed to start.
 func (bu *Bucket) Give() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.inFlight--
 }
 
-// GiveBack ends a search that Take let start and that was then refused for
-// another reason: it has used none of the team's limit.
+// GiveBack ends a search that Take allowed to start but that was then refused for
+// another reason. It returns the token, since nothing of the team's limit was used.
 func (bu *Bucket) GiveBack() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
@@ -86,23 +87,23 @@
 	bu.tokens = min(bu.tokens+1, bu.burst())
 }
 
-// InFlight is the number of the team's searches under way here.
+// InFlight is the number of the team's searches in progress on this VM.
 func (bu *Bucket) InFlight() int {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	return bu.inFlight
 }
 
-// Part is what this VM may start of the team's searches: so many a second and
-// so many at once, 0 where there is no such limit.
+// Part is this VM's share of the team's limits: the searches per second and the
+// concurrent searches that it may start; 0 where there is no such limit.
 func (bu *Bucket) Part() (rate float64, concurrent int) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	if !math.IsInf(bu.rate, 1) {
 		rate = bu.rate
 	}
-	if bu.most != math.MaxInt {
-		concurrent = bu.most
+	if bu.maxInFlight != math.MaxInt {
+		concurrent = bu.maxInFlight
 	}
 	return rate, concurrent
 }
@@ -114,7 +115,7 @@
 	elapsed := (now - bu.now).Seconds()
 	bu.now = now
 	if math.IsInf(bu.rate, 1) {
-		bu.tokens = leastBurst
+		bu.tokens = minBurst
 		return
 	}
 	bu.tokens = min(bu.tokens+elapsed*bu.rate, bu.burst())
@@ -122,32 +123,33 @@
 
 func (bu *Bucket) burst() float64 {
 	if math.IsInf(bu.rate, 1) {
-		return leastBurst
+		return minBurst
 	}
-	return max(leastBurst, bu.rate*burstTime.Seconds())
+	return max(minBurst, bu.rate*burstTime.Seconds())
 }
 
-// set puts another part in force.
-func (bu *Bucket) set(now time.Duration, rate float64, most int) {
+// set changes the limits of this VM.
+func (bu *Bucket) set(now time.Duration, rate float64, maxInFlight int) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.refill(now)
-	bu.rate, bu.most = rate, most
+	bu.rate, bu.maxInFlight = rate, maxInFlight
 	bu.tokens = min(bu.tokens, bu.burst())
 }
 
-// measure gives the demand: searches offered a second, admitted or not.
-func (bu *Bucket) measure(now time.Duration) float64 {
+// measureDemand returns the demand: the average number of searches offered per second,
+// whether admitted or not. It is to be called at each announcement.
+func (bu *Bucket) measureDemand(now time.Duration) float64 {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	elapsed := now - bu.demandAt
 	if elapsed <= 0 {
 		return bu.demand
 	}
-	recent := float64(bu.offers) / elapsed.Seconds()
-	weight := 1 - math.Exp(-elapsed.Seconds()/demandTime.Seconds())
+	recent := float64(bu.offered) / elapsed.Seconds()
+	weight := 1 - math.Exp(-elapsed.Seconds()/demandWindow.Seconds())
 	bu.demand += (recent - bu.demand) * weight
-	bu.offers = 0
+	bu.offered = 0
 	bu.demandAt = now
 	return bu.demand
 }
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -10,67 +10,67 @@
 )
 
 const (
-	beat  = time.Second
-	fleet = 9
-	team  = "wash"
+	heartbeat = time.Second
+	fleetSize = 9
+	team      = "wash"
 )
 
-// mail is a demand on its way.
-type mail struct {
+// message is a message in transit between two VMs.
+type message struct {
 	at      time.Duration
 	from    int
 	to      int
 	demands []share.Demand
 }
 
-// fleetOf is VMs that tell each other their demand once a second.
-type fleetOf struct {
-	now     time.Duration
-	rnd     *rand.Rand
-	vms     []*oneVM
-	mails   []mail
-	maxWay  time.Duration
-	cut     func(from, to int) bool
-	limit   share.Limit
-	offered func(vm int) float64
-	cfg     share.Config
+// testFleet is a number of VMs that announce their demands to each other once a second.
+type testFleet struct {
+	now      time.Duration
+	rnd      *rand.Rand
+	vms      []*testVM
+	messages []message
+	maxDelay time.Duration
+	blocked  func(from, to int) bool
+	limit    share.Limit
+	offered  func(vm int) float64
+	cfg      share.Config
 }
 
-type oneVM struct {
-	id      share.VM
-	mc      *share.Machine
-	bucket  *share.Bucket
-	due     float64
-	admits  int
-	refuses int
-	down    bool
+type testVM struct {
+	id       share.VM
+	mc       *share.Machine
+	bucket   *share.Bucket
+	pending  float64
+	admitted int
+	refused  int
+	down     bool
 }
 
-func newFleet(n int, limit share.Limit, seed uint64) *fleetOf {
-	return fleetWith(share.Config{}, n, limit, seed)
+func newFleet(n int, limit share.Limit, seed uint64) *testFleet {
+	return newFleetWith(share.Config{}, n, limit, seed)
 }
 
-func fleetWith(cfg share.Config, n int, limit share.Limit, seed uint64) *fleetOf {
-	fl := &fleetOf{cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 3)), limit: limit, maxWay: 100 * time.Millisecond}
-	fl.cut = func(int, int) bool { return false }
+func newFleetWith(cfg share.Config, n int, limit share.Limit, seed uint64) *testFleet {
+	fl := &testFleet{cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 3)), limit: limit, maxDelay: 100 * time.Millisecond}
+	fl.blocked = func(int, int) bool { return false }
 	for range n {
-		fl.boot()
+		fl.addVM()
 	}
 	return fl
 }
 
-func (fl *fleetOf) boot() {
+func (fl *testFleet) addVM() {
 	id := share.VM{Addr: "10.0.0." + strconv.Itoa(len(fl.vms)), Incarnation: 1}
 	cfg := fl.cfg
 	cfg.Self = id
-	vm := &oneVM{id: id, mc: share.New(cfg)}
+	vm := &testVM{id: id, mc: share.New(cfg)}
 	vm.bucket = vm.mc.Limit(fl.now, team, fl.limit)
 	fl.vms = append(fl.vms, vm)
-	fl.list()
+	fl.updateMembers()
 }
 
-// list is the VM list: all know of all.
-func (fl *fleetOf) list() {
+// updateMembers gives every VM the list of all others.
+func (fl *testFleet) updateMembers() {
 	for _, vm := range fl.vms {
 		var others []share.VM
 		for _, other := range fl.vms {
@@ -82,9 +82,9 @@
 	}
 }
 
-// tick is a tenth of a second: searches, mail, and each VM's beat at its own
-// tenth.
-func (fl *fleetOf) tick() {
+// tick simulates a tenth of a second: searches, messages, and the heartbeats of those VMs
+// whose turn it is within the second.
+func (fl *testFleet) tick() {
 	const step = 100 * time.Millisecond
 	fl.now += step
 	fl.deliver()
@@ -96,56 +96,56 @@
 			vm.offer(fl.now, fl.offered(i)*step.Seconds())
 		}
 		if int(fl.now/step)%10 == i%10 {
-			fl.tell(i)
+			fl.sendDemands(i)
 			vm.mc.Step(fl.now)
 		}
 	}
 }
 
-func (vm *oneVM) offer(now time.Duration, n float64) {
-	for vm.due += n; vm.due >= 1; vm.due-- {
+func (vm *testVM) offer(now time.Duration, n float64) {
+	for vm.pending += n; vm.pending >= 1; vm.pending-- {
 		if re, _ := vm.bucket.Take(now); re != "" {
-			vm.refuses++
+			vm.refused++
 			continue
 		}
-		vm.admits++
+		vm.admitted++
 		vm.bucket.Give()
 	}
 }
 
-func (fl *fleetOf) tell(i int) {
+func (fl *testFleet) sendDemands(i int) {
 	demands := slices.Clone(fl.vms[i].mc.Outgoing(fl.now))
 	for j := range fl.vms {
-		if j == i || fl.cut(i, j) {
+		if j == i || fl.blocked(i, j) {
 			continue
 		}
-		way := time.Duration(fl.rnd.Int64N(int64(fl.maxWay) + 1))
-		fl.mails = append(fl.mails, mail{at: fl.now + way, from: i, to: j, demands: demands})
+		delay := time.Duration(fl.rnd.Int64N(int64(fl.maxDelay) + 1))
+		fl.messages = append(fl.messages, message{at: fl.now + delay, from: i, to: j, demands: demands})
 	}
 }
 
-func (fl *fleetOf) deliver() {
-	left := fl.mails[:0]
-	for _, ma := range fl.mails {
-		if ma.at > fl.now {
-			left = append(left, ma)
+func (fl *testFleet) deliver() {
+	left := fl.messages[:0]
+	for _, msg := range fl.messages {
+		if msg.at > fl.now {
+			left = append(left, msg)
 			continue
 		}
-		if !fl.vms[ma.to].down {
-			fl.vms[ma.to].mc.Incoming(fl.now, ma.demands)
+		if !fl.vms[msg.to].down {
+			fl.vms[msg.to].mc.Incoming(fl.now, msg.demands)
 		}
 	}
-	fl.mails = left
+	fl.messages = left
 }
 
-func (fl *fleetOf) run(d time.Duration) {
+func (fl *testFleet) run(d time.Duration) {
 	for until := fl.now + d; fl.now < until; {
 		fl.tick()
 	}
 }
 
-// sum is the parts of all VMs that are up, together.
-func (fl *fleetOf) sum() float64 {
+// shareSum is the sum of the shares of all VMs that are up.
+func (fl *testFleet) shareSum() float64 {
 	total := 0.0
 	for _, vm := range fl.vms {
 		if !vm.down {
@@ -155,12 +155,12 @@
 	return total
 }
 
-// admitted is the searches that started since the last call.
-func (fl *fleetOf) admitted() int {
+// takeAdmitted returns the number of searches that started since the last call.
+func (fl *testFleet) takeAdmitted() int {
 	n := 0
 	for _, vm := range fl.vms {
-		n += vm.admits
-		vm.admits = 0
+		n += vm.admitted
+		vm.admitted = 0
 	}
 	return n
 }
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -5,31 +5,34 @@
 	"time"
 )
 
-// VM names one process of one VM.
+// VM identifies one process of a VM.
 type VM struct {
 	Addr        string
 	Incarnation uint64
 }
 
-// Demand is what one VM tells the others of one team.
+// Demand is what a VM announces to the others about one team.
 type Demand struct {
 	Team string
-	// Rate is in searches a second.
+	// Rate is the demand in searches per second.
 	Rate float64
-	// Share is the part of the team's limit that the VM holds, 0 to 1.
+	// Share is the VM's share of the team's limit, 0 to 1; with groups, of the
+	// group's share.
 	Share float64
-	// Held is set while the VM does not raise its part, since it misses others
+	// Held is set while the VM does not raise its share, since it misses others
 	// or is new.
 	Held     bool
 	VM       VM
 	Sequence uint64
-	// Cut is set while the VM misses another of its group, or another group.
-	Cut bool
-	// Sums is set if the VM sums for its group, or did lately, and Low is then
-	// the least sum that it announced; Leads is set while it does.
-	Sums  bool
-	Leads bool
-	Low   float64
+	// Partitioned is set while the VM misses another VM of its group or another
+	// group.
+	Partitioned bool
+	// Aggregates is set while the VM is an aggregator of its group. HasLow is set
+	// while it is one or was one recently; Low is then the lowest sum that it
+	// announced.
+	HasLow     bool
+	Aggregates bool
+	Low        float64
 }
 
 // Limit is a team's limit over all VMs together; 0 means none.
@@ -38,73 +41,78 @@
 	Concurrent int
 }
 
-// Config sets a machine. Fields that are 0 take the defaults of New.
+// Config configures a machine. Fields that are 0 take default values.
 type Config struct {
 	Self VM
-	// Window is the time within which demand told by one VM reaches all. Way is
-	// the part of it for a message's way, by default a third; a VM counts as
-	// missed when nothing new of it came for the rest.
+	// Window is the time within which a demand announced by one VM has reached
+	// all others. Way is the part of it allowed for the delay of a message, by
+	// default a third; a VM counts as missed if no newer message from it arrived
+	// for the rest.
 	Window time.Duration
 	Way    time.Duration
-	// Forget is how long a VM must be silent for its part to be divided.
+	// Forget is how long a VM must be silent before its share is divided among
+	// the others.
 	Forget time.Duration
-	// Floor is the least demand of a VM, as a share of the limit over N: what
-	// an idle VM may let start at once.
+	// Floor is the minimum demand of a VM, in multiples of the limit divided by
+	// the number of VMs, so that an idle VM can start some searches at once.
 	Floor float64
-	// Group is set where VMs tell their demands within their group alone, and
-	// summers tell the other groups the sums: the data centre, or a part of it.
+	// Group is the VM's group, such as its data centre or a part of it. If it is
+	// set, VMs announce their demands only within the group, and aggregators send
+	// the sums to the other groups.
 	Group string
-	// FarWindow is the Window between groups, at least twice it, and FarWay the
-	// part of it for a sum's way.
-	FarWindow time.Duration
-	FarWay    time.Duration
+	// GroupWindow is the Window between groups, at least twice Window;
+	// GroupDelay is the part of it allowed for the delay of a message.
+	GroupWindow time.Duration
+	GroupDelay  time.Duration
 }
 
-// Machine divides the limits of all teams; the control goroutine owns it.
+// Machine computes this VM's shares of the limits of all teams. It is not safe for
+// concurrent use.
 type Machine struct {
 	cfg     Config
 	now     time.Duration
 	started bool
-	// listed is set once Members has told who else there is.
+	// listed is set once Members was called.
 	listed bool
-	// missedAt is when another VM was last missed.
-	missedAt time.Duration
-	sequence uint64
-	teams    map[string]*split
-	heard    map[VM]*peer
-	told     []Demand
-	tier     tier
-	// startedAt is when the machine first ran.
+	// missedAt is when a VM of the group was last missed.
+	missedAt  time.Duration
+	sequence  uint64
+	teams     map[string]*teamState
+	peers     map[VM]*peer
+	announced []Demand
+	groups    groups
+	// startedAt is the time of the first call.
 	startedAt time.Duration
 }
 
-// peer is another VM: when it was heard and which was its last message.
+// peer is another VM: when its newest message arrived, and its sequence number. Until
+// the first message, at is when the VM was first listed and heard is false.
 type peer struct {
 	at       time.Duration
 	sequence uint64
-	ever     bool
+	heard    bool
 }
 
-// want is what another VM told of one team.
-type want struct {
-	rate float64
-	held bool
-	cut  bool
+// report is what another VM or group last announced about one team.
+type report struct {
+	rate        float64
+	held        bool
+	partitioned bool
 }
 
-// split is one team's limit and who wants how much of it.
-type split struct {
-	name   string
-	limit  Limit
-	bucket *Bucket
-	told   lows
-	wants  map[VM]want
-	share  float64
-	// upper is the part of the VM's group; it is the whole where there is none.
-	upper upperSplit
+// teamState is one team's limit, the demands for it, and this VM's share.
+type teamState struct {
+	name      string
+	limit     Limit
+	bucket    *Bucket
+	announced rateHistory
+	reports   map[VM]report
+	share     float64
+	// group is the state of the group's share; the share is 1 without groups.
+	group groupState
 }
 
-// New makes a machine that knows of no team and no other VM.
+// New returns a machine that knows no team and no other VM.
 func New(cfg Config) *Machine {
 	if cfg.Window == 0 {
 		cfg.Window = 3 * time.Second
@@ -118,217 +126,219 @@
 	if cfg.Floor == 0 {
 		cfg.Floor = 0.1
 	}
-	if cfg.FarWindow == 0 {
-		cfg.FarWindow = 3 * cfg.Window
+	if cfg.GroupWindow == 0 {
+		cfg.GroupWindow = 3 * cfg.Window
 	}
-	if cfg.FarWay == 0 {
-		cfg.FarWay = cfg.FarWindow / 3
+	if cfg.GroupDelay == 0 {
+		cfg.GroupDelay = cfg.GroupWindow / 3
 	}
 	return &Machine{
-		cfg:   cfg,
-		teams: make(map[string]*split),
-		heard: make(map[VM]*peer),
-		tier:  tier{far: make(map[string]*farGroup)},
+		cfg:    cfg,
+		teams:  make(map[string]*teamState),
+		peers:  make(map[VM]*peer),
+		groups: groups{others: make(map[string]*otherGroup)},
 	}
 }
 
-// Limit sets a team's limit and returns its bucket, which stays the same.
+// Limit sets a team's limit and returns its bucket, which is the same for each call.
 func (mc *Machine) Limit(now time.Duration, team string, limit Limit) *Bucket {
-	mc.advance(now)
-	sp, ok := mc.teams[team]
+	mc.advanceClock(now)
+	ts, ok := mc.teams[team]
 	if !ok {
-		sp = &split{name: team, bucket: newBucket(), wants: make(map[VM]want)}
-		sp.share = mc.even()
-		sp.upper = upperSplit{announced: make(map[VM]announced), share: mc.groupEven()}
-		mc.teams[team] = sp
+		ts = &teamState{name: team, bucket: newBucket(), reports: make(map[VM]report)}
+		ts.share = mc.evenShare()
+		ts.group = groupState{announcedLows: make(map[VM]announcedLow), share: mc.evenGroupShare()}
+		mc.teams[team] = ts
 	}
-	sp.limit = limit
-	mc.apply(sp)
-	return sp.bucket
+	ts.limit = limit
+	mc.apply(ts)
+	return ts.bucket
 }
 
-// Members tells which other VMs there are. One that is missing from the list is
-// dropped at once, so name one that has fallen silent until it has said that it
-// leaves or another incarnation has taken its place.
+// Members sets the other VMs of the group. A VM that is not in the list is dropped at
+// once, so a silent VM must stay in the list until it has announced that it leaves or
+// another incarnation has replaced it.
 func (mc *Machine) Members(now time.Duration, others []VM) {
-	mc.advance(now)
+	mc.advanceClock(now)
 	listed := make(map[VM]bool, len(others))
 	for _, vm := range others {
 		listed[vm] = true
-		if _, ok := mc.heard[vm]; !ok && vm != mc.cfg.Self {
-			mc.heard[vm] = &peer{at: mc.now}
+		if _, ok := mc.peers[vm]; !ok && vm != mc.cfg.Self {
+			mc.peers[vm] = &peer{at: mc.now}
 		}
 	}
-	for vm := range mc.heard {
+	for vm := range mc.peers {
 		if !listed[vm] {
 			mc.drop(vm)
 		}
 	}
 	mc.listed = true
-	for _, sp := range mc.teams {
-		if mc.young(sp) {
-			sp.share = mc.even()
-			sp.upper.share = mc.groupEven()
-			mc.apply(sp)
+	for _, ts := range mc.teams {
+		if mc.isNew(ts) {
+			ts.share = mc.evenShare()
+			ts.group.share = mc.evenGroupShare()
+			mc.apply(ts)
 		}
 	}
 }
 
-// groupEven is the group's part by the number of its VMs.
-func (mc *Machine) groupEven() float64 {
-	return float64(mc.count()) / float64(mc.all())
+// evenGroupShare is the group's share in proportion to the number of its VMs.
+func (mc *Machine) evenGroupShare() float64 {
+	return float64(mc.groupSize()) / float64(mc.fleetSize())
 }
 
 func (mc *Machine) drop(vm VM) {
-	delete(mc.heard, vm)
-	for _, sp := range mc.teams {
-		delete(sp.wants, vm)
+	delete(mc.peers, vm)
+	for _, ts := range mc.teams {
+		delete(ts.reports, vm)
 	}
 }
 
-// Incoming takes what others told, directly or passed on.
+// Incoming processes demands of other VMs, received directly or forwarded.
 func (mc *Machine) Incoming(now time.Duration, demands []Demand) {
-	mc.advance(now)
+	mc.advanceClock(now)
 	for _, de := range demands {
-		mc.hear(de)
+		mc.record(de)
 	}
 }
 
-func (mc *Machine) hear(de Demand) {
+func (mc *Machine) record(de Demand) {
 	if de.VM == mc.cfg.Self || !(de.Rate >= 0) {
 		return
 	}
-	pe, ok := mc.heard[de.VM]
+	pe, ok := mc.peers[de.VM]
 	if !ok {
 		pe = new(peer)
-		mc.heard[de.VM] = pe
+		mc.peers[de.VM] = pe
 	}
-	if pe.ever && de.Sequence < pe.sequence {
-		// Passed on by a longer way than a newer one.
+	if pe.heard && de.Sequence < pe.sequence {
+		// Forwarded, and overtaken by a newer message.
 		return
 	}
-	if !pe.ever || de.Sequence > pe.sequence {
-		pe.at, pe.sequence, pe.ever = mc.now, de.Sequence, true
+	if !pe.heard || de.Sequence > pe.sequence {
+		pe.at, pe.sequence, pe.heard = mc.now, de.Sequence, true
 	}
-	if sp, ok := mc.teams[de.Team]; ok {
-		sp.wants[de.VM] = want{rate: de.Rate, held: de.Held, cut: de.Cut}
-		mc.hearLow(sp, de)
+	if ts, ok := mc.teams[de.Team]; ok {
+		ts.reports[de.VM] = report{rate: de.Rate, held: de.Held, partitioned: de.Partitioned}
+		mc.recordLow(ts, de)
 	}
 }
 
-// Outgoing is what to tell the others now. The slice is valid until the next
-// call.
+// Outgoing returns the demands to announce to the other VMs of the group now. The
+// slice is valid until the next call.
 func (mc *Machine) Outgoing(now time.Duration) []Demand {
-	mc.advance(now)
+	mc.advanceClock(now)
 	mc.sequence++
-	mc.told = mc.told[:0]
-	lo, cut := mc.look(), mc.cut()
-	for _, sp := range mc.teams {
-		rate := mc.bounded(sp, sp.bucket.measure(mc.now))
-		sp.told.add(mc.now, rate)
-		low, sums := mc.announce(sp, rate)
-		mc.told = append(mc.told, Demand{
-			Team:     sp.name,
-			Rate:     rate,
-			Share:    sp.share,
-			Held:     !lo.hears || mc.young(sp),
-			VM:       mc.cfg.Self,
-			Sequence: mc.sequence,
-			Cut:      cut,
-			Sums:     sums,
-			Leads:    mc.tier.leads,
-			Low:      low,
+	mc.announced = mc.announced[:0]
+	st, partitioned := mc.peerStatus(), mc.partitioned()
+	for _, ts := range mc.teams {
+		rate := mc.boundDemand(ts, ts.bucket.measureDemand(mc.now))
+		ts.announced.add(mc.now, rate)
+		low, hasLow := mc.announceSum(ts, rate)
+		mc.announced = append(mc.announced, Demand{
+			Team:        ts.name,
+			Rate:        rate,
+			Share:       ts.share,
+			Held:        !st.allHeard || mc.isNew(ts),
+			VM:          mc.cfg.Self,
+			Sequence:    mc.sequence,
+			Partitioned: partitioned,
+			HasLow:      hasLow,
+			Aggregates:  mc.groups.aggregates,
+			Low:         low,
 		})
 	}
-	return mc.told
+	return mc.announced
 }
 
-// bounded keeps a demand between the floor and the whole limit: beyond it there
-// is nothing to get, and a team that asks for a hundred times its limit on one
-// VM must not leave its callers on the others without any.
-func (mc *Machine) bounded(sp *split, rate float64) float64 {
-	limit := sp.limit.Rate
+// boundDemand bounds a demand to between the minimum and the whole limit. A higher
+// demand could not get more, and a team that requests a hundred times its limit on one
+// VM must not deprive its callers on the others of their shares.
+func (mc *Machine) boundDemand(ts *teamState, rate float64) float64 {
+	limit := ts.limit.Rate
 	if limit <= 0 {
-		limit = max(1, float64(sp.limit.Concurrent))
+		limit = max(1, float64(ts.limit.Concurrent))
 	}
-	return min(max(rate, mc.cfg.Floor*limit/float64(mc.all())), limit)
+	return min(max(rate, mc.cfg.Floor*limit/float64(mc.fleetSize())), limit)
 }
 
-// even is the part of a new VM. Before it knows who else there is, it takes a
-// small one: to have no VM list yet does not mean to be alone.
-func (mc *Machine) even() float64 {
+// evenShare is the share of a new VM within its group. Before the first call of Members
+// it is at most unlistedShare: a VM without a VM list need not be the only one.
+func (mc *Machine) evenShare() float64 {
 	if !mc.listed {
-		return min(unlistedShare, 1/float64(mc.count()))
+		return min(unlistedShare, 1/float64(mc.groupSize()))
 	}
-	return 1 / float64(mc.count())
+	return 1 / float64(mc.groupSize())
 }
 
-// unlistedShare is the part of a VM that has seen no VM list.
+// unlistedShare is the share of a VM that has no VM list yet.
 const unlistedShare = 0.1
 
-// count is the number of VMs known, this one included.
-func (mc *Machine) count() int {
-	return len(mc.heard) + 1
+// groupSize is the number of VMs of the group, this one included; without groups, of
+// all VMs.
+func (mc *Machine) groupSize() int {
+	return len(mc.peers) + 1
 }
 
-// Step works out the parts anew.
+// Step recomputes the shares and applies them to the buckets.
 func (mc *Machine) Step(now time.Duration) {
-	mc.advance(now)
-	lo := mc.look()
-	for _, sp := range mc.teams {
-		sp.share = mc.shareOf(sp, lo)
-		sp.upper.share = mc.groupShare(sp)
-		mc.apply(sp)
+	mc.advanceClock(now)
+	st := mc.peerStatus()
+	for _, ts := range mc.teams {
+		ts.share = mc.nextShare(ts, st)
+		ts.group.share = mc.nextGroupShare(ts)
+		mc.apply(ts)
 	}
 }
 
-// apply puts a team's part in force.
-func (mc *Machine) apply(sp *split) {
-	rate, most := math.Inf(1), math.MaxInt
-	if sp.limit.Rate > 0 {
-		rate = mc.shareOfAll(sp) * sp.limit.Rate
+// apply applies a team's share to its bucket.
+func (mc *Machine) apply(ts *teamState) {
+	rate, maxInFlight := math.Inf(1), math.MaxInt
+	if ts.limit.Rate > 0 {
+		rate = mc.fleetShare(ts) * ts.limit.Rate
 	}
-	if sp.limit.Concurrent > 0 {
-		// A VM with less than a whole place keeps one: otherwise a small
-		// limit would admit nothing anywhere.
-		most = max(1, int(mc.shareOfAll(sp)*float64(sp.limit.Concurrent)))
+	if ts.limit.Concurrent > 0 {
+		// A VM whose share is less than one search may run one: otherwise a
+		// small limit would admit nothing on any VM.
+		maxInFlight = max(1, int(mc.fleetShare(ts)*float64(ts.limit.Concurrent)))
 	}
-	sp.bucket.set(mc.now, rate, most)
+	ts.bucket.set(mc.now, rate, maxInFlight)
 }
 
-// Held tells whether this VM holds its part of a team's limits: it may lower it,
-// not raise it, since it is new, misses another VM, or knows of one that does.
+// Held reports whether this VM holds its share of a team's limits: it may lower the
+// share but not raise it, because it is new, misses another VM, or knows of a VM that
+// does. It is true for an unknown team.
 func (mc *Machine) Held(team string) bool {
-	sp, ok := mc.teams[team]
-	if !ok || mc.young(sp) || !mc.look().hears {
+	ts, ok := mc.teams[team]
+	if !ok || mc.isNew(ts) || !mc.peerStatus().allHeard {
 		return true
 	}
-	_, held := mc.others(sp)
+	_, held := mc.otherDemand(ts)
 	return held
 }
 
-// Share is this VM's part of a team's limits, 0 to 1.
+// Share is this VM's share of a team's limits, 0 to 1; 0 for an unknown team.
 func (mc *Machine) Share(team string) float64 {
-	if sp, ok := mc.teams[team]; ok {
-		return mc.shareOfAll(sp)
+	if ts, ok := mc.teams[team]; ok {
+		return mc.fleetShare(ts)
 	}
 	return 0
 }
 
-// shareOfAll is this VM's part of its group's part. One that is new among the
-// groups has an even part of the whole at most, however hot it is.
-func (mc *Machine) shareOfAll(sp *split) float64 {
-	if !mc.grouped() {
-		return sp.share
+// fleetShare is this VM's share of the whole limit: its share within the group times
+// the group's. A new VM has at most an even share, however high its demand is.
+func (mc *Machine) fleetShare(ts *teamState) float64 {
+	if !mc.hasGroups() {
+		return ts.share
 	}
-	part := sp.share * sp.upper.share
-	if mc.farYoung() {
-		return min(part, 1/float64(mc.all()))
+	share := ts.share * ts.group.share
+	if mc.shareCapped() {
+		return min(share, 1/float64(mc.fleetSize()))
 	}
-	return part
+	return share
 }
 
-func (mc *Machine) advance(now time.Duration) {
+func (mc *Machine) advanceClock(now time.Duration) {
 	if !mc.started {
 		mc.started = true
 		mc.now = now
