--- a/core/member/compose.go
+++ b/core/member/compose.go
@@ -4,17 +4,19 @@
 	"slices"
 )
 
-// compose makes a message to a VM.
-func (ma *Machine) compose(to *record, relayed bool) Message {
+// buildMessage returns the next message for a VM. While this VM joins, the message only asks for a
+// page of the data centre's table. relayed is true for messages to another data centre.
+func (ma *Machine) buildMessage(to *record, relayed bool) Message {
 	mg := Message{From: ma.self.Member, Joining: ma.joining}
 	if ma.joining {
-		mg.Want = Place{DataCentre: ma.self.DataCentre, After: ma.cursor}
+		mg.Want = Place{DataCentre: ma.self.DataCentre, After: ma.joinCursor}
 		return mg
 	}
-	mg.Digest = ma.table.area(ma.self.DataCentre).digest
-	mg.Members = ma.newsFor(to, relayed)
+	mg.Digest = ma.table.dataCentre(ma.self.DataCentre).digest
+	mg.Members = ma.updatesFor(to, relayed)
 	if relayed {
-		// What the other side knows best is itself.
+		// The receiver has the most accurate data about its own data centre, so its digest is the
+		// one worth comparing.
 		mg.Other = ma.link(to.DataCentre)
 	} else {
 		mg.Other = ma.anyLink()
@@ -23,28 +25,28 @@
 	return mg
 }
 
-// answer makes the answer to a message, with the page that it wants.
-func (ma *Machine) answer(to *record, mg Message) Message {
-	rp := ma.compose(to, to.DataCentre != ma.self.DataCentre)
+// buildReply returns the reply to a message, including the page that the sender asked for.
+func (ma *Machine) buildReply(to *record, mg Message) Message {
+	rp := ma.buildMessage(to, to.DataCentre != ma.self.DataCentre)
 	if ma.joining || mg.Want.DataCentre == "" {
 		return rp
 	}
-	ar, ok := ma.table.areas[mg.Want.DataCentre]
+	dc, ok := ma.table.dcs[mg.Want.DataCentre]
 	if !ok {
 		return rp
 	}
-	page, next := ar.page(mg.Want.After, ma.pageSize(to, mg.Joining))
+	page, next := dc.page(mg.Want.After, ma.pageSize(to, mg.Joining))
 	rp.Members = addMembers(rp.Members, page)
-	rp.Next = Place{DataCentre: ar.name, After: next}
+	rp.Next = Place{DataCentre: dc.name, After: next}
 	return rp
 }
 
-// pageSize is larger where messages are rare.
+// pageSize is larger for joining VMs and between data centres, where messages are rare.
 func (ma *Machine) pageSize(to *record, joining bool) int {
 	if joining || to.DataCentre != ma.self.DataCentre {
-		return ma.cfg.JoinPage
+		return ma.cfg.JoinPageSize
 	}
-	return ma.cfg.PagePerMessage
+	return ma.cfg.RepairPageSize
 }
 
 func addMembers(out, page []Member) []Member {
@@ -56,24 +58,24 @@
 	return out
 }
 
-// newsFor takes from the queues what rides to a VM. The VM's own state goes
-// first if it has reason to answer it.
-func (ma *Machine) newsFor(to *record, relayed bool) []Member {
+// updatesFor takes from the queues the updates to piggyback on a message. If the receiver is
+// considered suspect or gone, its own state goes first, so that it can refute it.
+func (ma *Machine) updatesFor(to *record, relayed bool) []Member {
 	var out []Member
 	if to.Incarnation > 0 && (to.Gone || to.suspected()) {
 		out = append(out, to.Member)
 	}
-	queue := ma.news
-	limit := Retransmits(len(ma.table.area(ma.self.DataCentre).records))
+	queue := ma.updates
+	limit := Retransmits(len(ma.table.dataCentre(ma.self.DataCentre).records))
 	if relayed {
 		re, ok := ma.relays[to.DataCentre]
 		if !ok {
 			return out
 		}
-		queue, limit = re.news, relayRetransmits
+		queue, limit = re.updates, relayRetransmits
 	}
 	queue.Take(limit, func(mb Member) bool {
-		if len(out) >= ma.cfg.NewsPerMessage {
+		if len(out) >= ma.cfg.UpdatesPerMessage {
 			return false
 		}
 		if mb.Addr == to.Addr {
@@ -85,11 +87,10 @@
 	return out
 }
 
-// anyLink is another data centre drawn by lot. To take them in turn would let the
-// turns fall in step with the answers in between, and one neighbour would hear
-// of the same data centre for ever.
+// anyLink describes another data centre, chosen at random. Round-robin could fall in step with the
+// replies sent in between, and one neighbour would then always receive the same data centre.
 func (ma *Machine) anyLink() Link {
-	names := ma.table.names
+	names := ma.table.dcNames
 	if len(names) < 2 {
 		return Link{}
 	}
@@ -101,10 +102,10 @@
 }
 
 func (ma *Machine) link(name string) Link {
-	ar := ma.table.area(name)
-	silent := never
-	if ar.heard != never {
-		silent = ma.now - ar.heard
+	dc := ma.table.dataCentre(name)
+	silent := neverHeard
+	if dc.lastHeard != neverHeard {
+		silent = ma.now - dc.lastHeard
 	}
-	return Link{DataCentre: name, Digest: ar.digest, Silent: silent}
+	return Link{DataCentre: name, Digest: dc.digest, Silent: silent}
 }
--- a/core/member/config.go
+++ b/core/member/config.go
@@ -5,77 +5,78 @@
 	"time"
 )
 
-// Defaults. docs/design/fleet.md tells how they were chosen.
+// Defaults. docs/design/fleet.md explains how they were chosen.
 const (
-	DefaultRings            = 3
-	DefaultPeriod           = time.Second
-	DefaultBeatTimeout      = 300 * time.Millisecond
-	DefaultProbeTimeout     = 400 * time.Millisecond
-	DefaultSuspicionTimeout = 900 * time.Millisecond
-	DefaultReprobeEvery     = 200 * time.Millisecond
-	DefaultHelpers          = 3
-	DefaultGreetEvery       = time.Second
-	DefaultRelays           = 2
-	DefaultRelayEvery       = 2 * time.Second
-	DefaultUnreachableAfter = 8 * time.Second
-	DefaultRejoinAfter      = 2 * time.Second
-	DefaultKeepGone         = 24 * time.Hour
-	DefaultNewsPerMessage   = 5
-	DefaultPagePerMessage   = 6
-	DefaultJoinPage         = 40
-	DefaultEagerBurst       = 4
-	DefaultEagerPerSecond   = 0.25
+	DefaultRings             = 3
+	DefaultPeriod            = time.Second
+	DefaultBeatTimeout       = 300 * time.Millisecond
+	DefaultProbeTimeout      = 400 * time.Millisecond
+	DefaultSuspicionTimeout  = 900 * time.Millisecond
+	DefaultReprobeEvery      = 200 * time.Millisecond
+	DefaultHelpers           = 3
+	DefaultContactEvery      = time.Second
+	DefaultRelays            = 2
+	DefaultRelayEvery        = 2 * time.Second
+	DefaultUnreachableAfter  = 8 * time.Second
+	DefaultRejoinAfter       = 2 * time.Second
+	DefaultGoneRetention     = 24 * time.Hour
+	DefaultUpdatesPerMessage = 5
+	DefaultRepairPageSize    = 6
+	DefaultJoinPageSize      = 40
+	DefaultUrgentBurst       = 4
+	DefaultUrgentPerSecond   = 0.25
 )
 
-// Config sets a machine. Self and Random are required; zero values elsewhere
-// take the default.
+// Config configures a Machine. Self and Random are required; other zero values are replaced by the
+// defaults.
 type Config struct {
 	Self   VM
 	Random *rand.Rand
 
-	// Rings is the number of VMs that each VM beats, and that beat it.
+	// Rings is the number of VMs that each VM sends beats to, and receives beats from.
 	Rings int
 	// Period is the time between two beats to the same VM.
 	Period time.Duration
-	// BeatTimeout is when a beat counts as not answered.
+	// BeatTimeout is the time after which a beat without an answer counts as failed.
 	BeatTimeout time.Duration
-	// ProbeTimeout is how long helpers and second tries are given.
+	// ProbeTimeout is the time allowed for helpers and direct retries before a VM is suspected.
 	ProbeTimeout time.Duration
-	// SuspicionTimeout is how long a suspected VM has to refute.
+	// SuspicionTimeout is the time a suspected VM has to refute before it is declared gone.
 	SuspicionTimeout time.Duration
-	// ReprobeEvery is the time between tries to reach a suspected VM.
+	// ReprobeEvery is the time between attempts to reach a VM that did not answer.
 	ReprobeEvery time.Duration
-	// Helpers is the number of VMs asked to try one that does not answer; a
-	// negative one asks none.
+	// Helpers is the number of VMs asked to probe a VM that does not answer; a negative number
+	// disables indirect probes.
 	Helpers int
-	// GreetEvery is the time between tries of a VM that is on the list but
-	// is not known to live.
-	GreetEvery time.Duration
+	// ContactEvery is the time between attempts to contact VMs that are on the VM list but not
+	// known to be live.
+	ContactEvery time.Duration
 
-	// Relays is the number of VMs of a data centre that talk to another.
+	// Relays is the number of VMs of a data centre that exchange beats with another data centre.
 	Relays int
-	// RelayEvery is the time between two beats of a relay.
+	// RelayEvery is the time between two beats of a relay to a data centre.
 	RelayEvery time.Duration
-	// UnreachableAfter is when a data centre that was not heard from counts
-	// as cut off.
+	// UnreachableAfter is the time without a message from a data centre after which it counts as
+	// unreachable.
 	UnreachableAfter time.Duration
 
-	// RejoinAfter is the length of a pause after which this VM takes what it
-	// knows for stale.
+	// RejoinAfter is the length of a pause of this process after which it treats its membership
+	// table as stale and joins again.
 	RejoinAfter time.Duration
-	// KeepGone is how long a VM that is gone is remembered, so that no late
-	// message brings it back.
-	KeepGone time.Duration
+	// GoneRetention is how long a VM that is gone stays in the table, so that a delayed message
+	// cannot bring it back.
+	GoneRetention time.Duration
 
-	// NewsPerMessage bounds the news in a message, PagePerMessage what is
-	// added while digests differ, JoinPage what a VM that joins is told.
-	NewsPerMessage int
-	PagePerMessage int
-	JoinPage       int
-	// EagerBurst and EagerPerSecond bound the rounds of beats that are sent
-	// at once for urgent news, beside the regular ones.
-	EagerBurst     float64
-	EagerPerSecond float64
+	// UpdatesPerMessage bounds the updates piggybacked on a message, RepairPageSize the members
+	// added to a message while digests differ, JoinPageSize the members sent to a joining VM or to
+	// another data centre.
+	UpdatesPerMessage int
+	RepairPageSize    int
+	JoinPageSize      int
+	// UrgentBurst and UrgentPerSecond bound the rounds of extra beats that are sent immediately for
+	// urgent updates, in addition to the regular ones.
+	UrgentBurst     float64
+	UrgentPerSecond float64
 }
 
 func (cfg Config) check() error {
@@ -100,17 +101,17 @@
 	orDefault(&cfg.SuspicionTimeout, DefaultSuspicionTimeout)
 	orDefault(&cfg.ReprobeEvery, DefaultReprobeEvery)
 	orDefault(&cfg.Helpers, DefaultHelpers)
-	orDefault(&cfg.GreetEvery, DefaultGreetEvery)
+	orDefault(&cfg.ContactEvery, DefaultContactEvery)
 	orDefault(&cfg.Relays, DefaultRelays)
 	orDefault(&cfg.RelayEvery, DefaultRelayEvery)
 	orDefault(&cfg.UnreachableAfter, DefaultUnreachableAfter)
 	orDefault(&cfg.RejoinAfter, DefaultRejoinAfter)
-	orDefault(&cfg.KeepGone, DefaultKeepGone)
-	orDefault(&cfg.NewsPerMessage, DefaultNewsPerMessage)
-	orDefault(&cfg.PagePerMessage, DefaultPagePerMessage)
-	orDefault(&cfg.JoinPage, DefaultJoinPage)
-	orDefault(&cfg.EagerBurst, DefaultEagerBurst)
-	orDefault(&cfg.EagerPerSecond, DefaultEagerPerSecond)
+	orDefault(&cfg.GoneRetention, DefaultGoneRetention)
+	orDefault(&cfg.UpdatesPerMessage, DefaultUpdatesPerMessage)
+	orDefault(&cfg.RepairPageSize, DefaultRepairPageSize)
+	orDefault(&cfg.JoinPageSize, DefaultJoinPageSize)
+	orDefault(&cfg.UrgentBurst, DefaultUrgentBurst)
+	orDefault(&cfg.UrgentPerSecond, DefaultUrgentPerSecond)
 	return cfg
 }
 
--- a/core/member/error.go
+++ b/core/member/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says what is wrong.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
@@ -10,14 +10,14 @@
 	KindConfig Kind = "config"
 )
 
-// Error is a failure of this package.
+// Error is returned by New for an invalid Config.
 type Error struct {
 	Op   string
 	Kind Kind
 	Msg  string
 }
 
-// Error gives operation, kind and message on one line.
+// Error returns operation, kind and message on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %s", e.Op, e.Kind, e.Msg)
 }
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -2,103 +2,103 @@
 
 import "time"
 
-// Event is something that happened. The types below are all there are.
+// Event is an input of Machine.Step; only the types below implement it.
 type Event interface {
 	apply(ma *Machine)
 }
 
-// Tick is due at Wake. Later ones are noticed: they show that this process was
-// paused.
+// Tick is due at the time given by Wake. A late Tick shows that this process was paused.
 type Tick struct {
-	// Slept is a pause that the monotonic clock does not show, as when the
-	// whole VM was stopped and its clocks with it.
+	// Slept is the length of a pause that the monotonic clock does not show, such as a suspension
+	// of the whole VM together with its clocks.
 	Slept time.Duration
 }
 
-// Listed brings the platform's VM list. Incarnations in it are ignored.
+// Listed carries the platform's current VM list. Incarnations in it are ignored.
 type Listed struct {
 	VMs []VM
 }
 
-// Received brings a beat of another VM; Tag returns with the Reply.
+// Received carries a beat from another VM; Tag is returned in the Reply.
 type Received struct {
 	Tag     uint64
 	Message Message
 }
 
-// Answered brings the answer to a Send.
+// Answered carries the reply to a Send.
 type Answered struct {
 	Exchange uint64
 	Message  Message
 }
 
-// Failed tells that a Send or an Ask came to nothing, so that no time is lost on
-// waiting for it.
+// Failed reports that a Send or an Ask failed, so that the machine need not wait for the timeout.
 type Failed struct {
 	Exchange uint64
 }
 
-// HelpAsked brings another VM's wish that this one tries Target; Tag returns
-// with Helped.
+// HelpAsked carries another VM's request to probe Target; Tag is returned in Helped.
 type HelpAsked struct {
 	Tag    uint64
 	Target Member
 }
 
-// HelpDone brings the answer to an Ask.
+// HelpDone carries the reply to an Ask.
 type HelpDone struct {
 	Exchange uint64
 	Reached  bool
-	// Target is what the helper heard from the target itself.
+	// Target is the state that the target reported of itself to the helper.
 	Target Member
 }
 
-// Leave begins this VM's planned stop.
+// Leave starts the planned stop of this VM.
 type Leave struct{}
 
-// Quit is the last event: this process ends.
+// Quit is the last event, sent when this process ends. Later events are ignored.
 type Quit struct{}
 
-// Action is something to be done. The types below are all there are.
+// Action is an output of Machine.Step, to be carried out by the caller; only the types below
+// implement it.
 type Action interface {
 	action()
 }
 
-// Send asks for a beat to a VM.
+// Send requests that a beat be sent to a VM. The caller then passes Answered or Failed with the
+// same Exchange.
 type Send struct {
 	Exchange uint64
 	To       VM
 	Message  Message
 }
 
-// Ask asks for a VM's help to reach another.
+// Ask requests that Helper be asked to probe Target. The caller then passes HelpDone or Failed with
+// the same Exchange.
 type Ask struct {
 	Exchange uint64
 	Helper   VM
 	Target   Member
 }
 
-// Reply answers a Received.
+// Reply is the reply to a Received.
 type Reply struct {
 	Tag     uint64
 	Message Message
 }
 
-// Helped answers a HelpAsked.
+// Helped is the reply to a HelpAsked. Target is set if it was reached.
 type Helped struct {
 	Tag     uint64
 	Reached bool
 	Target  Member
 }
 
-// Changed tells that a VM's state is another.
+// Changed reports that the state of a VM changed; Before is the previous state.
 type Changed struct {
 	Member Member
 	Before State
 }
 
-// Woke tells that this process was paused, for how long, and whether it had to
-// take a new incarnation. What it learned before is not to be acted on.
+// Woke reports that this process was paused for so long that it joins again under a new
+// incarnation. The caller must not act on membership data from before the pause.
 type Woke struct {
 	Pause       time.Duration
 	Incarnation uint64
--- a/core/member/example_test.go
+++ b/core/member/example_test.go
@@ -8,9 +8,9 @@
 	"laburnumvane/core/member"
 )
 
-// Two machines in one program, with a function call for a network. A program
-// with sockets does the same: it sends what Send asks for, gives the answer back
-// as Answered, and steps the machine with a Tick at Wake.
+// Two machines in one program, with function calls in place of a network. A program with sockets
+// works the same way: it sends the message of each Send, passes the reply as Answered, and steps
+// the machine with a Tick at the time given by Wake.
 func Example() {
 	east := member.VM{Addr: "10.0.0.1:7703", DataCentre: "east", Incarnation: 1}
 	west := member.VM{Addr: "10.0.0.2:7703", DataCentre: "east", Incarnation: 1}
@@ -54,8 +54,8 @@
 	// live: 1
 }
 
-// A queue spreads news of any type: each item rides on a bounded number of
-// messages, and what was sent least goes first.
+// A queue disseminates updates of any type: each item is piggybacked on a bounded number of
+// messages, and the items sent least often go first.
 func ExampleQueue() {
 	qu := member.NewQueue[string, string](10)
 	qu.Put("server 1", "leaving")
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -4,56 +4,56 @@
 	"time"
 )
 
-// purpose is why a message was sent.
+// purpose is the reason why a message was sent.
 type purpose uint8
 
 const (
 	purposeBeat purpose = iota
 	purposeRetry
-	purposeGreet
-	purposeEager
+	purposeContact
+	purposeUrgent
 	purposeRelay
-	purposeHelp
-	purposeAsk
+	purposeIndirect
+	purposeHelpRequest
 )
 
-// exchange is a message that an answer is waited for.
+// exchange is a request that waits for its reply.
 type exchange struct {
 	purpose  purpose
 	to       string
 	deadline time.Duration
-	// tag is the request that a purposeHelp answers.
+	// tag identifies the HelpAsked request that a purposeIndirect exchange serves.
 	tag uint64
 }
 
-// send starts an exchange.
+// send starts an exchange with a VM by a beat.
 func (ma *Machine) send(to *record, pu purpose, tag uint64) {
-	id := ma.open(exchange{purpose: pu, to: to.Addr, deadline: ma.now + ma.cfg.BeatTimeout, tag: tag})
-	ma.do(Send{Exchange: id, To: to.VM, Message: ma.compose(to, pu == purposeRelay)})
+	id := ma.openExchange(exchange{purpose: pu, to: to.Addr, deadline: ma.now + ma.cfg.BeatTimeout, tag: tag})
+	ma.emit(Send{Exchange: id, To: to.VM, Message: ma.buildMessage(to, pu == purposeRelay)})
 }
 
-func (ma *Machine) open(ex exchange) uint64 {
-	ma.numbers++
-	ma.exchanges[ma.numbers] = ex
-	return ma.numbers
+func (ma *Machine) openExchange(ex exchange) uint64 {
+	ma.lastExchange++
+	ma.exchanges[ma.lastExchange] = ex
+	return ma.lastExchange
 }
 
-// expire gives up exchanges whose time is over.
-func (ma *Machine) expire() {
-	var late []uint64
+// expireExchanges fails the exchanges whose deadline has passed.
+func (ma *Machine) expireExchanges() {
+	var expired []uint64
 	for id, ex := range ma.exchanges {
 		if ma.now >= ex.deadline {
-			late = append(late, id)
+			expired = append(expired, id)
 		}
 	}
-	// The order of a map must not show in what is sent.
-	sortNumbers(late)
-	for _, id := range late {
-		ma.fail(id)
+	// Map iteration is random; sorting keeps the actions deterministic.
+	sortIDs(expired)
+	for _, id := range expired {
+		ma.failExchange(id)
 	}
 }
 
-func (ma *Machine) fail(id uint64) {
+func (ma *Machine) failExchange(id uint64) {
 	ex, ok := ma.exchanges[id]
 	if !ok {
 		return
@@ -61,58 +61,58 @@
 	delete(ma.exchanges, id)
 	switch ex.purpose {
 	case purposeBeat:
-		ma.doubt(ex.to)
-	case purposeHelp:
-		ma.do(Helped{Tag: ex.tag})
+		ma.startProbing(ex.to)
+	case purposeIndirect:
+		ma.emit(Helped{Tag: ex.tag})
 	case purposeRelay:
 		ma.relayFailed(ex.to)
 	}
 }
 
 func (ev Failed) apply(ma *Machine) {
-	ma.fail(ev.Exchange)
+	ma.failExchange(ev.Exchange)
 }
 
 func (ev Answered) apply(ma *Machine) {
 	ex, ok := ma.exchanges[ev.Exchange]
 	if !ok {
-		// It came too late for its exchange; what it says is as good as any.
-		ma.read(ev.Message)
+		// The exchange has timed out, but the content of the reply is still valid.
+		ma.mergeMessage(ev.Message)
 		return
 	}
 	delete(ma.exchanges, ev.Exchange)
 	ma.lastAnswer = ma.now
-	ma.read(ev.Message)
-	ma.trust(ex.to)
+	ma.mergeMessage(ev.Message)
+	ma.stopProbing(ex.to)
 	switch ex.purpose {
-	case purposeHelp:
-		ma.do(Helped{Tag: ex.tag, Reached: true, Target: ev.Message.From})
+	case purposeIndirect:
+		ma.emit(Helped{Tag: ex.tag, Reached: true, Target: ev.Message.From})
 	case purposeRelay:
 		ma.relayAnswered(ex.to)
 	}
 	if ma.joining {
-		ma.joined(ev.Message)
+		ma.saveJoinProgress(ev.Message)
 	}
 }
 
 func (ev Received) apply(ma *Machine) {
 	mg := ev.Message
-	ma.read(mg)
+	ma.mergeMessage(mg)
 	to := ma.table.byAddr[mg.From.Addr]
 	if to == nil {
 		return
 	}
-	ma.do(Reply{Tag: ev.Tag, Message: ma.answer(to, mg)})
+	ma.emit(Reply{Tag: ev.Tag, Message: ma.buildReply(to, mg)})
 }
 
 func (ev HelpAsked) apply(ma *Machine) {
-	ma.hear(ev.Target)
+	ma.receiveState(ev.Target)
 	to, ok := ma.table.byAddr[ev.Target.Addr]
 	if !ok {
-		ma.do(Helped{Tag: ev.Tag})
+		ma.emit(Helped{Tag: ev.Tag})
 		return
 	}
-	ma.send(to, purposeHelp, ev.Tag)
+	ma.send(to, purposeIndirect, ev.Tag)
 }
 
 func (ev HelpDone) apply(ma *Machine) {
@@ -123,58 +123,58 @@
 	delete(ma.exchanges, ev.Exchange)
 	ma.lastAnswer = ma.now
 	if ev.Reached {
-		ma.hear(ev.Target)
-		ma.trust(ex.to)
+		ma.receiveState(ev.Target)
+		ma.stopProbing(ex.to)
 	}
 }
 
-// read takes in what a message tells.
-func (ma *Machine) read(mg Message) {
+// mergeMessage merges the content of a message into the table.
+func (ma *Machine) mergeMessage(mg Message) {
 	if mg.From.Addr == ma.self.Addr {
 		return
 	}
-	ma.hear(mg.From)
+	ma.receiveState(mg.From)
 	with := mg.From.DataCentre
-	if ar, ok := ma.table.areas[with]; ok {
-		ar.heard = ma.now
+	if dc, ok := ma.table.dcs[with]; ok {
+		dc.lastHeard = ma.now
 	}
 	if mg.Joining {
 		return
 	}
 	for _, mb := range mg.Members {
-		ma.hear(mb)
+		ma.receiveState(mb)
 	}
-	ma.compare(diffKey{with: with, about: with}, mg.Digest)
-	ma.readLink(with, mg.Other)
-	ma.turnPage(with, mg.Next)
+	ma.compareDigest(diffKey{with: with, about: with}, mg.Digest)
+	ma.mergeLink(with, mg.Other)
+	ma.savePullCursor(with, mg.Next)
 }
 
-func (ma *Machine) hear(mb Member) {
+func (ma *Machine) receiveState(mb Member) {
 	if mb.Addr == ma.self.Addr {
-		ma.hearOfSelf(mb)
+		ma.checkOwnState(mb)
 		return
 	}
-	ma.learn(mb)
+	ma.mergeState(mb)
 }
 
-func (ma *Machine) readLink(with string, li Link) {
+func (ma *Machine) mergeLink(with string, li Link) {
 	if li.DataCentre == "" {
 		return
 	}
-	ar := ma.table.area(li.DataCentre)
+	dc := ma.table.dataCentre(li.DataCentre)
 	if li.Silent >= 0 && li.DataCentre != ma.self.DataCentre {
-		ar.heard = max(ar.heard, ma.now-li.Silent)
+		dc.lastHeard = max(dc.lastHeard, ma.now-li.Silent)
 	}
-	ma.compare(diffKey{with: with, about: li.DataCentre}, li.Digest)
+	ma.compareDigest(diffKey{with: with, about: li.DataCentre}, li.Digest)
 }
 
-// joined notes how far this VM has been told of its data centre.
-func (ma *Machine) joined(mg Message) {
+// saveJoinProgress records how much of the data centre's table this VM has received.
+func (ma *Machine) saveJoinProgress(mg Message) {
 	if mg.From.DataCentre != ma.self.DataCentre || mg.Joining {
 		return
 	}
-	ma.joinHeard = true
-	ma.cursor = mg.Next.After
+	ma.joinAnswered = true
+	ma.joinCursor = mg.Next.After
 	if mg.Next.After == "" {
 		ma.joining = false
 	}
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -2,38 +2,37 @@
 
 import "time"
 
-// Message is what two VMs tell each other, in a beat and in its answer.
+// Message is the content of a beat and of its reply.
 type Message struct {
-	// From is the sender as it knows itself.
+	// From is the sender's own state.
 	From Member
-	// Joining tells that the sender is new or was paused: it speaks for
-	// nobody but itself.
+	// Joining is set if the sender is new or was paused: the message then carries no state but the
+	// sender's own.
 	Joining bool
-	// Want asks for a page of the receiver's table, empty for none.
+	// Want requests a page of the receiver's table; the zero value requests none.
 	Want Place
-	// Members are news and, while digests differ, a part of the table.
+	// Members are state updates and, while digests differ, a page of the table.
 	Members []Member
-	// Next is where the page after the one that was wanted begins; its After
-	// is empty if there is none.
+	// Next is the start of the page after the requested one; its After is empty if that was the
+	// last page.
 	Next Place
-	// Digest covers the sender's data centre.
+	// Digest covers the members of the sender's data centre.
 	Digest uint64
-	// Other is one other data centre, with its digest and the time since it
-	// was heard from; empty where there is none.
+	// Other describes one other data centre, with its digest and the time since its last message;
+	// zero if there is none.
 	Other Link
 }
 
-// Place is a place in the table of a data centre: all VMs after an address.
+// Place is a cursor in the table of a data centre: it selects the VMs with an address after After.
 type Place struct {
 	DataCentre string
 	After      string
 }
 
-// Link is what a VM knows of another data centre.
+// Link is the sender's view of another data centre.
 type Link struct {
 	DataCentre string
 	Digest     uint64
-	// Silent is the time since the data centre was heard from; negative if
-	// it never was.
+	// Silent is the time since the last message from the data centre; negative if there was none.
 	Silent time.Duration
 }
--- a/core/member/property_test.go
+++ b/core/member/property_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-// All VMs that have heard the same hold the same, in whatever order and however
-// often it came.
-func TestMergeIsALattice(t *testing.T) {
+// VMs that have received the same updates hold the same state, in whatever order and however often
+// the updates arrived.
+func TestMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is := is.NewRelaxed(&fatal{t})
 		a, b, c := drawMember(t, "a"), drawMember(t, "b"), drawMember(t, "c")
@@ -32,59 +32,59 @@
 	})
 }
 
-// fatal lets is report to rapid.
+// fatal adapts rapid.T to the interface that package is expects.
 type fatal struct{ *rapid.T }
 
-// What one VM holds of another's incarnation, over any faults: gone stays gone,
-// and leaving never goes back to live or suspect.
-func TestNothingReverts(t *testing.T) {
+// Under any faults, a VM's view of an incarnation never reverts: gone stays gone, and leaving never
+// becomes live or suspect.
+func TestStateNeverReverts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		wo := newWorld(rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"))
-		wo.fleet(t, 6, 2)
-		wo.settle()
-		watchReversals(rt, wo)
+		sim := newSimulation(rapid.Uint64().Draw(rt, "seed"), rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(rt, "loss"))
+		sim.fleet(t, 6, 2)
+		sim.settle()
+		failOnReversal(rt, sim)
 		next := uint64(2000)
 		for range rapid.IntRange(1, 8).Draw(rt, "faults") {
-			pr := wo.order[rapid.IntRange(0, len(wo.order)-1).Draw(rt, "vm")]
+			pr := sim.order[rapid.IntRange(0, len(sim.order)-1).Draw(rt, "vm")]
 			next++
-			disturb(t, rt, wo, pr, next)
-			wo.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms"))*time.Millisecond, nil)
+			injectFault(t, rt, sim, pr, next)
+			sim.run(time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms"))*time.Millisecond, nil)
 		}
-		wo.run(20*time.Second, nil)
+		sim.run(20*time.Second, nil)
 	})
 }
 
-func disturb(t *testing.T, rt *rapid.T, wo *world, pr *proc, incarnation uint64) {
+func injectFault(t *testing.T, rt *rapid.T, sim *simulation, pr *proc, incarnation uint64) {
 	switch rapid.IntRange(0, 6).Draw(rt, "fault") {
 	case 0:
 		pr.dead = true
 	case 1:
-		wo.boot(t, pr.self.Addr, pr.self.DataCentre, incarnation)
-		wo.list(wo.vms()...)
+		sim.boot(t, pr.self.Addr, pr.self.DataCentre, incarnation)
+		sim.setList(sim.vms()...)
 	case 2:
-		wo.step(pr, member.Leave{})
+		sim.step(pr, member.Leave{})
 	case 3:
-		wo.step(pr, member.Quit{})
+		sim.step(pr, member.Quit{})
 		pr.dead = true
 	case 4:
-		wo.pause(pr, time.Duration(rapid.IntRange(0, 70_000).Draw(rt, "pause"))*time.Millisecond)
+		sim.pause(pr, time.Duration(rapid.IntRange(0, 70_000).Draw(rt, "pause"))*time.Millisecond)
 	case 5:
-		other := wo.order[rapid.IntRange(0, len(wo.order)-1).Draw(rt, "other")]
-		wo.cut = func(from, to *proc) bool { return from == pr && to == other }
+		other := sim.order[rapid.IntRange(0, len(sim.order)-1).Draw(rt, "other")]
+		sim.blocked = func(from, to *proc) bool { return from == pr && to == other }
 	case 6:
 		side := pr.self.DataCentre
-		wo.cut = func(from, to *proc) bool { return (from.self.DataCentre == side) != (to.self.DataCentre == side) }
+		sim.blocked = func(from, to *proc) bool { return (from.self.DataCentre == side) != (to.self.DataCentre == side) }
 	}
 }
 
-// watchReversals fails as soon as any VM's view goes back.
-func watchReversals(rt *rapid.T, wo *world) {
+// failOnReversal fails the test as soon as any VM's view of another reverts.
+func failOnReversal(rt *rapid.T, sim *simulation) {
 	type key struct {
 		observer *proc
 		addr     string
 	}
 	seen := map[key]member.Member{}
-	wo.onAct = func(pr *proc, ac member.Action) {
+	sim.onAction = func(pr *proc, ac member.Action) {
 		ch, ok := ac.(member.Changed)
 		if !ok {
 			return
--- a/core/member/queue_test.go
+++ b/core/member/queue_test.go
@@ -9,56 +9,56 @@
 	"laburnumvane/core/member"
 )
 
-// rumour plays nine VMs that pass one item on, a message each in every round,
-// and counts those that have it in the end. A share of the messages times out.
-type rumour struct {
+// gossip simulates VMs that disseminate one item, with one message per VM and round, and counts the
+// VMs that have it. A share of the messages is lost.
+type gossip struct {
 	random *rand.Rand
 	lost   float64
 	queues []*member.Queue[string, int]
 	have   []bool
 }
 
-func newRumour(vms int, lost float64, seed uint64) *rumour {
-	ru := &rumour{
+func newGossip(vms int, lost float64, seed uint64) *gossip {
+	gs := &gossip{
 		random: rand.New(rand.NewPCG(seed, seed)),
 		lost:   lost,
 		queues: make([]*member.Queue[string, int], vms),
 		have:   make([]bool, vms),
 	}
-	for i := range ru.queues {
-		ru.queues[i] = member.NewQueue[string, int](1)
+	for i := range gs.queues {
+		gs.queues[i] = member.NewQueue[string, int](1)
 	}
-	ru.hear(0)
-	return ru
+	gs.deliver(0)
+	return gs
 }
 
-func (ru *rumour) hear(vm int) {
-	if !ru.have[vm] {
-		ru.have[vm] = true
-		ru.queues[vm].Put("server", 1)
+func (gs *gossip) deliver(vm int) {
+	if !gs.have[vm] {
+		gs.have[vm] = true
+		gs.queues[vm].Put("server", 1)
 	}
 }
 
-// round lets each VM send one message. With confirmed, items count once the
-// message has arrived, else when it is sent.
-func (ru *rumour) round(confirmed bool) {
-	limit := member.Retransmits(len(ru.queues))
-	for from, qu := range ru.queues {
-		to := (from + 1 + ru.random.IntN(len(ru.queues)-1)) % len(ru.queues)
-		rides := qu.Len() > 0
-		arrives := ru.random.Float64() >= ru.lost
+// round lets each VM send one message. With confirmed, items are counted as sent only once the
+// message has arrived.
+func (gs *gossip) round(confirmed bool) {
+	limit := member.Retransmits(len(gs.queues))
+	for from, qu := range gs.queues {
+		to := (from + 1 + gs.random.IntN(len(gs.queues)-1)) % len(gs.queues)
+		included := qu.Len() > 0
+		arrives := gs.random.Float64() >= gs.lost
 		if !confirmed || arrives {
 			qu.Sent(limit, func(int) bool { return true })
 		}
-		if rides && arrives {
-			ru.hear(to)
+		if included && arrives {
+			gs.deliver(to)
 		}
 	}
 }
 
-func (ru *rumour) heard() int {
+func (gs *gossip) holders() int {
 	n := 0
-	for _, ok := range ru.have {
+	for _, ok := range gs.have {
 		if ok {
 			n++
 		}
@@ -66,10 +66,10 @@
 	return n
 }
 
-// A server leaves, and some VMs go on sending it work for good. The VMs are short
-// of processor time, nine of ten beats time out, and the sign was used up on beats
-// that nobody read. Counted when a beat is answered, it outlives any such time.
-func TestRumourOutlivesLostMessages(t *testing.T) {
+// When VMs are short of processor time and nine of ten beats time out, an update counted at sending
+// is used up on beats that nobody reads: some VMs then never learn that a server leaves, and keep
+// sending it work. Counting when a beat is answered avoids this.
+func TestUpdateSurvivesMessageLoss(t *testing.T) {
 	const vms, rounds, seeds = 9, 2_000, 50
 	tests := []struct {
 		name      string
@@ -87,11 +87,11 @@
 			is := is.New(t)
 			all := true
 			for seed := range uint64(seeds) {
-				ru := newRumour(vms, tt.lost, seed)
+				gs := newGossip(vms, tt.lost, seed)
 				for range rounds {
-					ru.round(tt.confirmed)
+					gs.round(tt.confirmed)
 				}
-				all = all && ru.heard() == vms
+				all = all && gs.holders() == vms
 			}
 			is.Equal(all, tt.all)
 		})
--- a/core/member/rank.go
+++ b/core/member/rank.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// successors returns the VMs after self on each ring of its data centre, each
-// once. VMs that are gone or were never heard from have no place on a ring.
+// successors returns the VMs after self on each ring of its data centre, without duplicates. VMs
+// that are gone or were never heard from are not on the rings.
 func (tb *table) successors(self *record) []*record {
 	var out []*record
-	for ring := range self.places {
+	for ring := range self.ringHashes {
 		next := tb.successor(self, ring)
 		if next != nil && !slices.Contains(out, next) {
 			out = append(out, next)
@@ -18,64 +18,62 @@
 	return out
 }
 
-// successor is the record whose place on the ring is the least above self's, or
-// else the least of all.
+// successor returns the next record after self on the ring, wrapping at the end; nil if there is no
+// other VM.
 func (tb *table) successor(self *record, ring int) *record {
 	var best *record
-	for _, rc := range tb.area(self.DataCentre).records {
-		if rc == self || !rc.present() {
+	for _, rc := range tb.dataCentre(self.DataCentre).records {
+		if rc == self || !rc.onRing() {
 			continue
 		}
-		// Wrapping subtraction gives the way round the ring from self.
-		if best == nil || rc.places[ring]-self.places[ring] < best.places[ring]-self.places[ring] {
+		// Unsigned subtraction wraps and so gives the distance from self around the ring.
+		if best == nil || rc.ringHashes[ring]-self.ringHashes[ring] < best.ringHashes[ring]-self.ringHashes[ring] {
 			best = rc
 		}
 	}
 	return best
 }
 
-// present tells whether the VM is to be watched.
-func (rc *record) present() bool {
+// onRing reports whether the VM has a place on the rings and so is monitored.
+func (rc *record) onRing() bool {
 	st := rc.State()
 	return st != StateGone && st != StateCandidate
 }
 
-// ranked orders the VMs of the data centre from by their rank for talking to
-// the data centre to. Those that can take duties come first. The others follow,
-// as a data centre whose VMs were all replaced while it was cut off can only be
-// reached through the list.
-func (tb *table) ranked(from, to string) []*record {
-	type place struct {
+// relayCandidates orders the VMs of data centre from by their rank for relaying to data centre to.
+// Live VMs come first. The others follow, because a data centre whose VMs were all replaced during
+// a partition can only be reached through the VM list.
+func (tb *table) relayCandidates(from, to string) []*record {
+	type candidate struct {
 		rc   *record
-		able bool
+		live bool
 		rank uint64
 	}
-	var places []place
-	for _, rc := range tb.area(from).records {
+	var candidates []candidate
+	for _, rc := range tb.dataCentre(from).records {
 		st := rc.State()
 		if st != StateGone {
-			places = append(places, place{rc: rc, able: st == StateLive, rank: hash("relay", from, to, rc.Addr)})
+			candidates = append(candidates, candidate{rc: rc, live: st == StateLive, rank: hash("relay", from, to, rc.Addr)})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
-		if a.able != b.able {
-			if a.able {
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		if a.live != b.live {
+			if a.live {
 				return -1
 			}
 			return 1
 		}
 		return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.rc.Addr, b.rc.Addr))
 	})
-	out := make([]*record, len(places))
-	for i, pl := range places {
-		out[i] = pl.rc
+	out := make([]*record, len(candidates))
+	for i, ca := range candidates {
+		out[i] = ca.rc
 	}
 	return out
 }
 
-// Rank returns the n VMs that rank first for a duty, highest first. All who
-// hold the same VMs agree on the result, and when a VM goes only its own duties
-// move.
+// Rank returns the n VMs that rank first for a duty, highest first, by rendezvous hashing. All
+// callers with the same VMs get the same result, and when a VM leaves only its own duties move.
 func Rank(vms []VM, duty string, n int) []VM {
 	out := slices.Clone(vms)
 	rank := func(vm VM) uint64 { return hash("duty", duty, vm.Addr) }
--- a/core/member/relay.go
+++ b/core/member/relay.go
@@ -5,80 +5,80 @@
 	"time"
 )
 
-// relayRetransmits is on how many of a relay's messages an item rides; the other
-// relay sends it too, and the digests mend the rest.
+// relayRetransmits is the number of a relay's messages that an item is piggybacked on. It can be
+// small because the other relay sends the item too and the digest repair covers the rest.
 const relayRetransmits = 3
 
-// repairPace is how much faster a relay beats while tables differ.
-const repairPace = 4
+// repairBeatFactor is the factor by which a relay sends beats more often while tables differ.
+const repairBeatFactor = 4
 
-// relay is this VM's duty towards another data centre.
+// relay is the state of this VM's beats to another data centre.
 type relay struct {
-	to    string
-	next  time.Duration
-	place int
-	// skips counts failures: each moves on to the next VM there.
-	skips int
-	peer  string
-	news  *Queue[string, Member]
+	to   string
+	next time.Duration
+	rank int
+	// failures counts failed beats: each selects the next VM of the other data centre.
+	failures int
+	peer     string
+	updates  *Queue[string, Member]
 }
 
-// relay sends the beats to other data centres that are due.
-func (ma *Machine) relay() {
+// sendRelayBeats sends the beats to other data centres that are due.
+func (ma *Machine) sendRelayBeats() {
 	if ma.joining {
 		return
 	}
-	ma.duties()
-	for _, name := range ma.table.names {
+	ma.updateRelays()
+	for _, name := range ma.table.dcNames {
 		re, ok := ma.relays[name]
 		if !ok || ma.now < re.next {
 			continue
 		}
 		re.next = ma.now + ma.cfg.RelayEvery
 		if ma.repairing(name) {
-			re.next = ma.now + ma.cfg.RelayEvery/repairPace
+			re.next = ma.now + ma.cfg.RelayEvery/repairBeatFactor
 		}
-		ma.relayBeat(re)
+		ma.sendRelayBeat(re)
 	}
 }
 
-func (ma *Machine) relayBeat(re *relay) {
-	ranked := ma.table.ranked(re.to, ma.self.DataCentre)
+func (ma *Machine) sendRelayBeat(re *relay) {
+	ranked := ma.table.relayCandidates(re.to, ma.self.DataCentre)
 	if len(ranked) == 0 {
 		return
 	}
-	peer := ranked[(re.place+re.skips)%len(ranked)]
+	peer := ranked[(re.rank+re.failures)%len(ranked)]
 	re.peer = peer.Addr
 	ma.send(peer, purposeRelay, 0)
 }
 
-// duties computes for which other data centres this VM ranks high enough.
-func (ma *Machine) duties() {
-	if ma.placed == ma.table.version {
+// updateRelays recomputes the data centres for which this VM is a relay, if the membership has
+// changed.
+func (ma *Machine) updateRelays() {
+	if ma.relaysVersion == ma.table.version {
 		return
 	}
-	ma.placed = ma.table.version
-	for _, name := range ma.table.names {
+	ma.relaysVersion = ma.table.version
+	for _, name := range ma.table.dcNames {
 		if name == ma.self.DataCentre {
 			continue
 		}
-		place := ma.place(name)
+		rank := ma.rank(name)
 		re, has := ma.relays[name]
 		switch {
-		case place < 0 && has:
+		case rank < 0 && has:
 			delete(ma.relays, name)
-		case place >= 0 && !has:
-			ma.relays[name] = &relay{to: name, place: place, next: ma.now, news: NewQueue[string, Member](newsRoom)}
-		case place >= 0:
-			re.place = place
+		case rank >= 0 && !has:
+			ma.relays[name] = &relay{to: name, rank: rank, next: ma.now, updates: NewQueue[string, Member](maxQueuedUpdates)}
+		case rank >= 0:
+			re.rank = rank
 		}
 	}
 }
 
-// place is this VM's rank for talking to a data centre, -1 if it is none of its
-// relays.
-func (ma *Machine) place(to string) int {
-	first := ma.table.ranked(ma.self.DataCentre, to)
+// rank returns this VM's rank among the relays to a data centre, or -1 if it is not one of them.
+func (ma *Machine) rank(to string) int {
+	first := ma.table.relayCandidates(ma.self.DataCentre, to)
 	first = first[:min(ma.cfg.Relays, len(first))]
 	return slices.Index(first, ma.self)
 }
@@ -86,10 +86,11 @@
 func (ma *Machine) relayFailed(addr string) {
 	for _, re := range ma.relays {
 		if re.peer == addr {
-			re.skips++
+			re.failures++
 			re.peer = ""
-			// The other data centre may be cut off: trying at the
-			// usual pace finds out soon enough and costs no more.
+			// The next VM is tried sooner than after the regular interval, but not at once: if the
+			// whole data centre is unreachable, this still finds the recovery soon enough at little
+			// cost.
 			re.next = min(re.next, ma.now+ma.cfg.RelayEvery/2)
 		}
 	}
--- a/core/member/repair.go
+++ b/core/member/repair.go
@@ -1,27 +1,28 @@
 package member
 
-// diffScore is how many more digests must have differed than agreed before the
-// tables are compared. News that are on their way make digests differ for a
-// moment; a VM that missed some differs from most of those it talks to.
+// repairThreshold is the score of digest comparisons (differences less matches) at which table
+// pages are exchanged. Updates in transit make digests differ briefly; a VM that missed an update
+// differs from most VMs it exchanges messages with.
 const (
-	diffScore    = 5
-	diffScoreMax = 10
+	repairThreshold = 5
+	maxDiffScore    = 10
 )
 
-// diffKey names a comparison: with the VMs of a data centre, about one.
+// diffKey identifies a series of digest comparisons: with VMs of data centre with, about the
+// members of data centre about.
 type diffKey struct {
 	with, about string
 }
 
-// diff is how a comparison went, and how far its repair is.
+// diff is the result of a series of digest comparisons and the progress of the repair.
 type diff struct {
 	score int
-	// push and pull are where the next pages begin.
+	// push and pull are the cursors of the next page to send and to request.
 	push, pull string
 }
 
-func (ma *Machine) compare(key diffKey, digest uint64) {
-	same := ma.table.area(key.about).digest == digest
+func (ma *Machine) compareDigest(key diffKey, digest uint64) {
+	same := ma.table.dataCentre(key.about).digest == digest
 	di, ok := ma.diffs[key]
 	if !ok {
 		if same {
@@ -31,7 +32,7 @@
 		ma.diffs[key] = di
 	}
 	if !same {
-		di.score = min(diffScoreMax, di.score+ma.diffStep(key))
+		di.score = min(maxDiffScore, di.score+ma.diffWeight(key))
 		return
 	}
 	di.score--
@@ -40,56 +41,57 @@
 	}
 }
 
-// diffStep counts a difference towards another data centre for more: its relays
-// are few and talk seldom.
-func (ma *Machine) diffStep(key diffKey) int {
+// diffWeight gives differences with another data centre a higher weight, because its relays are few
+// and exchange messages rarely.
+func (ma *Machine) diffWeight(key diffKey) int {
 	if key.with != ma.self.DataCentre {
-		return diffScore - 2
+		return repairThreshold - 2
 	}
 	return 1
 }
 
-// repair adds to a message a page of this VM's table and the wish for one of the
-// receiver's, while they are known to differ. Both ways are needed: either may
-// lack what the other has.
+// repair adds to a message a page of this VM's table and a request for a page of the receiver's,
+// while the tables are known to differ. Both directions are needed, because either table may lack
+// entries of the other.
 func (ma *Machine) repair(to *record, mg *Message) {
-	about, di := ma.worst(to.DataCentre)
+	about, di := ma.largestDiff(to.DataCentre)
 	if di == nil {
 		return
 	}
-	page, next := ma.table.area(about).page(di.push, ma.pageSize(to, false))
+	page, next := ma.table.dataCentre(about).page(di.push, ma.pageSize(to, false))
 	di.push = next
 	mg.Members = addMembers(mg.Members, page)
 	mg.Want = Place{DataCentre: about, After: di.pull}
 }
 
-// worst is the data centre about which the difference with another is largest;
-// its own first, in order of names.
-func (ma *Machine) worst(with string) (string, *diff) {
-	best := ""
-	var worst *diff
-	for _, about := range ma.table.names {
+// largestDiff returns the data centre whose members differ most between this VM and the VMs of data
+// centre with, and nil if no difference reaches the threshold. This VM's own data centre takes
+// precedence, then the order of names.
+func (ma *Machine) largestDiff(with string) (string, *diff) {
+	name := ""
+	var largestDiff *diff
+	for _, about := range ma.table.dcNames {
 		di, ok := ma.diffs[diffKey{with: with, about: about}]
-		if !ok || di.score < diffScore {
+		if !ok || di.score < repairThreshold {
 			continue
 		}
-		if worst == nil || di.score > worst.score || about == ma.self.DataCentre {
-			best, worst = about, di
+		if largestDiff == nil || di.score > largestDiff.score || about == ma.self.DataCentre {
+			name, largestDiff = about, di
 		}
 	}
-	return best, worst
+	return name, largestDiff
 }
 
-// turnPage notes where the next page to be asked for begins.
-func (ma *Machine) turnPage(with string, next Place) {
+// savePullCursor records where the next page to request begins.
+func (ma *Machine) savePullCursor(with string, next Place) {
 	di, ok := ma.diffs[diffKey{with: with, about: next.DataCentre}]
 	if ok && next.DataCentre != "" {
 		di.pull = next.After
 	}
 }
 
-// repairing tells whether tables differ from another data centre's.
+// repairing reports whether a repair with another data centre is in progress.
 func (ma *Machine) repairing(with string) bool {
-	_, di := ma.worst(with)
+	_, di := ma.largestDiff(with)
 	return di != nil
 }
--- a/core/member/session_test.go
+++ b/core/member/scenario_test.go
@@ -10,51 +10,51 @@
 	"laburnumvane/internal/golden"
 )
 
-// sessions are what one VM of four does over some seconds, to the message.
-var sessions = []struct {
+// scenarios are recorded in golden files: every action of one VM of four over some seconds.
+var scenarios = []struct {
 	name string
-	do   func(wo *world, prs []*proc)
+	do   func(sim *simulation, prs []*proc)
 }{
-	{"join", func(wo *world, _ []*proc) { wo.run(4*time.Second, nil) }},
-	{"silentDeath", func(wo *world, prs []*proc) {
-		wo.settle()
-		wo.run(4*time.Second, nil)
+	{"join", func(sim *simulation, _ []*proc) { sim.run(4*time.Second, nil) }},
+	{"silentDeath", func(sim *simulation, prs []*proc) {
+		sim.settle()
+		sim.run(4*time.Second, nil)
 		prs[1].dead = true
-		wo.run(4*time.Second, nil)
+		sim.run(4*time.Second, nil)
 	}},
-	{"pauseOfAMinute", func(wo *world, prs []*proc) {
-		wo.settle()
-		wo.run(4*time.Second, nil)
-		wo.pause(prs[0], time.Minute)
-		wo.run(3*time.Second, nil)
+	{"pauseOfAMinute", func(sim *simulation, prs []*proc) {
+		sim.settle()
+		sim.run(4*time.Second, nil)
+		sim.pause(prs[0], time.Minute)
+		sim.run(3*time.Second, nil)
 	}},
-	{"plannedStop", func(wo *world, prs []*proc) {
-		wo.settle()
-		wo.run(4*time.Second, nil)
-		wo.step(prs[0], member.Leave{})
-		wo.run(2*time.Second, nil)
-		wo.step(prs[0], member.Quit{})
+	{"plannedStop", func(sim *simulation, prs []*proc) {
+		sim.settle()
+		sim.run(4*time.Second, nil)
+		sim.step(prs[0], member.Leave{})
+		sim.run(2*time.Second, nil)
+		sim.step(prs[0], member.Quit{})
 	}},
 }
 
-func TestSessions(t *testing.T) {
-	for _, tt := range sessions {
+func TestScenarios(t *testing.T) {
+	for _, tt := range scenarios {
 		t.Run(tt.name, func(t *testing.T) {
-			wo := newWorld(1, 0)
-			prs := wo.fleet(t, 4, 1)
+			sim := newSimulation(1, 0)
+			prs := sim.fleet(t, 4, 1)
 			var out strings.Builder
-			wo.onAct = func(pr *proc, ac member.Action) {
+			sim.onAction = func(pr *proc, ac member.Action) {
 				if pr == prs[0] {
-					fmt.Fprintf(&out, "%8.3fs %s\n", wo.Now().Seconds(), line(ac))
+					fmt.Fprintf(&out, "%8.3fs %s\n", sim.Now().Seconds(), actionText(ac))
 				}
 			}
-			tt.do(wo, prs)
+			tt.do(sim, prs)
 			golden.Check(t, tt.name, out.String())
 		})
 	}
 }
 
-func line(ac member.Action) string {
+func actionText(ac member.Action) string {
 	switch ac := ac.(type) {
 	case member.Send:
 		return fmt.Sprintf("send #%d to %s: %s", ac.Exchange, ac.To.Addr, messageText(ac.Message))
--- a/core/member/state.go
+++ b/core/member/state.go
@@ -6,22 +6,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// VM names one process of one VM.
+// VM identifies one process of one VM.
 type VM struct {
 	Addr       string
 	DataCentre string
 	Region     string
-	// Incarnation is higher for each later process at the same address, and
-	// is never 0.
+	// Incarnation is higher for each later process at the same address and never 0 for a running
+	// process; 0 marks a candidate.
 	Incarnation uint64
 }
 
-// State is what is known of a VM.
+// State is the membership state of a VM.
 type State uint8
 
-// States. Only Live takes part in rankings.
+// States. Only VMs in StateLive are ranked for duties.
 const (
-	// StateCandidate is on the VM list and was never heard from.
+	// StateCandidate is a VM on the platform's list that was never heard from.
 	StateCandidate State = iota
 	StateLive
 	StateSuspect
@@ -29,7 +29,7 @@
 	StateGone
 )
 
-// String is the state's name in status replies and logs.
+// String returns the state's name as used in status replies and logs.
 func (st State) String() string {
 	names := [...]string{"candidate", "live", "suspect", "leaving", "gone"}
 	if int(st) >= len(names) {
@@ -38,19 +38,18 @@
 	return names[st]
 }
 
-// Member is all that is known of one process. It is an immutable value.
+// Member is the state of one process as known to a VM. It is an immutable value.
 type Member struct {
 	VM
-	// Count is odd while the process is suspected. To suspect is to add one
-	// to an even count, to refute is to add one to an odd count; only the
-	// process itself refutes.
+	// Count is odd while the process is suspected. A suspicion adds one to an even count, a
+	// refutation adds one to an odd count; only the process itself refutes.
 	Count   uint32
 	Leaving bool
 	Gone    bool
 }
 
-// State sums the member up. Leaving goes before suspect: any sign that a VM
-// leaves wins over any that it is healthy.
+// State derives the state. Leaving takes precedence over suspect: a planned stop is final whether
+// or not the VM is healthy.
 func (mb Member) State() State {
 	switch {
 	case mb.Incarnation == 0:
@@ -70,13 +69,13 @@
 	return mb.Count%2 == 1
 }
 
-// WithSuspicion returns the member suspected.
+// WithSuspicion returns the member with an odd count.
 func (mb Member) WithSuspicion() Member {
 	mb.Count |= 1
 	return mb
 }
 
-// WithRefutation returns the member with a count that answers a suspicion.
+// WithRefutation returns the member with a count that refutes the suspicion numbered count.
 func (mb Member) WithRefutation(count uint32) Member {
 	if count >= mb.Count {
 		mb.Count = count + count%2
@@ -84,20 +83,20 @@
 	return mb
 }
 
-// WithLeaving returns the member leaving.
+// WithLeaving returns the member with Leaving set.
 func (mb Member) WithLeaving() Member {
 	mb.Leaving = true
 	return mb
 }
 
-// WithGone returns the member gone.
+// WithGone returns the member with Gone set.
 func (mb Member) WithGone() Member {
 	mb.Gone = true
 	return mb
 }
 
-// Merge returns what is known when both are. The order of merges does not
-// matter, nor does it matter how often one is repeated.
+// Merge combines two states of the same address. It is commutative, associative and idempotent, so
+// the order and the repetition of updates do not matter.
 func (mb Member) Merge(other Member) Member {
 	switch {
 	case other.Incarnation > mb.Incarnation:
@@ -111,8 +110,8 @@
 	return mb
 }
 
-// digest is the member's part of its data centre's digest. Suspicions are left
-// out: they come and go, and the digest is there to find lasting differences.
+// digest returns the member's contribution to the digest of its data centre. Suspicions are
+// excluded: they are short-lived, and the digest serves to find lasting differences.
 func (mb Member) digest() uint64 {
 	if mb.Gone || mb.Incarnation == 0 {
 		return 0
@@ -124,12 +123,12 @@
 	return h
 }
 
-// hash covers the parts and where each ends.
+// hash hashes the parts, separated so that their boundaries count.
 func hash(parts ...string) uint64 {
 	return xxhash.Sum64String(strings.Join(parts, "\x00"))
 }
 
-// mix spreads the bits of x (the finalizer of splitmix64).
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/core/member/table.go
+++ b/core/member/table.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// record is a VM in the table.
+// record is the entry of a VM in the table.
 type record struct {
 	Member
-	// listed tells whether the platform's VM list has it.
+	// listed is set if the VM is on the platform's VM list.
 	listed bool
-	// since is when its state last changed here.
-	since time.Duration
-	// places are its hashes, one for each ring.
-	places []uint64
+	// stateSince is when the state last changed in this table.
+	stateSince time.Duration
+	// ringHashes are the VM's positions, one for each ring.
+	ringHashes []uint64
 }
 
-// area is a data centre in the table.
-type area struct {
+// dcTable holds the records of one data centre.
+type dcTable struct {
 	name string
 	// records are ordered by address.
 	records []*record
-	// digest covers the records that are neither gone nor candidates.
+	// digest is the XOR of the digests of all records; those of gone VMs and candidates are 0.
 	digest uint64
-	// heard is when any VM of the data centre was last heard from; negative
-	// if none was.
-	heard time.Duration
+	// lastHeard is when a message from any VM of the data centre was last received, here or by a
+	// neighbour; neverHeard if none was.
+	lastHeard time.Duration
 }
 
-// table is all VMs that this one knows of.
+// table holds all VMs known to this one.
 type table struct {
 	byAddr map[string]*record
-	areas  map[string]*area
-	// names are the data centres in order.
-	names []string
-	rings int
-	// version counts changes of what rankings depend on.
+	dcs    map[string]*dcTable
+	// dcNames are the names of the data centres, sorted.
+	dcNames []string
+	rings   int
+	// version counts changes to the data that rankings depend on.
 	version uint64
 }
 
-const never = time.Duration(-1)
+const neverHeard = time.Duration(-1)
 
 func newTable(rings int) *table {
-	return &table{byAddr: make(map[string]*record), areas: make(map[string]*area), rings: rings}
+	return &table{byAddr: make(map[string]*record), dcs: make(map[string]*dcTable), rings: rings}
 }
 
-func (tb *table) area(name string) *area {
-	ar, ok := tb.areas[name]
+func (tb *table) dataCentre(name string) *dcTable {
+	dc, ok := tb.dcs[name]
 	if !ok {
-		ar = &area{name: name, heard: never}
-		tb.areas[name] = ar
-		tb.names = append(tb.names, name)
-		slices.Sort(tb.names)
+		dc = &dcTable{name: name, lastHeard: neverHeard}
+		tb.dcs[name] = dc
+		tb.dcNames = append(tb.dcNames, name)
+		slices.Sort(tb.dcNames)
 	}
-	return ar
+	return dc
 }
 
-func (ar *area) search(addr string) (int, bool) {
-	return slices.BinarySearchFunc(ar.records, addr, func(rc *record, addr string) int {
+func (dc *dcTable) search(addr string) (int, bool) {
+	return slices.BinarySearchFunc(dc.records, addr, func(rc *record, addr string) int {
 		switch {
 		case rc.Addr < addr:
 			return -1
@@ -68,70 +68,70 @@
 	})
 }
 
-// merge takes in what is known of a process and returns the state before and
-// whether anything is new.
-func (tb *table) merge(now time.Duration, mb Member) (before State, news bool) {
+// merge merges a received state into the table, and returns the state before and whether anything
+// changed.
+func (tb *table) merge(now time.Duration, mb Member) (before State, changed bool) {
 	rc, ok := tb.byAddr[mb.Addr]
 	if !ok {
 		rc = tb.insert(mb.VM)
 	}
-	was := rc.Member
-	next := was.Merge(mb)
-	if next == was {
-		return was.State(), false
+	old := rc.Member
+	next := old.Merge(mb)
+	if next == old {
+		return old.State(), false
 	}
 	tb.set(now, rc, next)
-	return was.State(), true
+	return old.State(), true
 }
 
 func (tb *table) set(now time.Duration, rc *record, next Member) {
-	was := rc.Member
-	if next.DataCentre != was.DataCentre {
-		// A new process may have been given another place.
+	old := rc.Member
+	if next.DataCentre != old.DataCentre {
+		// A new process may run at the same address in another data centre.
 		tb.remove(rc)
 		rc.Member = next
-		tb.place(rc)
+		tb.add(rc)
 	} else {
-		tb.area(was.DataCentre).digest ^= was.digest() ^ next.digest()
+		tb.dataCentre(old.DataCentre).digest ^= old.digest() ^ next.digest()
 		rc.Member = next
 	}
-	if was.State() != next.State() {
-		rc.since = now
+	if old.State() != next.State() {
+		rc.stateSince = now
 		tb.version++
 	}
 }
 
 func (tb *table) insert(vm VM) *record {
 	vm.Incarnation = 0
-	rc := &record{Member: Member{VM: vm}, places: make([]uint64, tb.rings)}
-	for i := range rc.places {
-		rc.places[i] = mix(hash("ring", vm.Addr) + uint64(i))
+	rc := &record{Member: Member{VM: vm}, ringHashes: make([]uint64, tb.rings)}
+	for i := range rc.ringHashes {
+		rc.ringHashes[i] = mix(hash("ring", vm.Addr) + uint64(i))
 	}
-	tb.place(rc)
+	tb.add(rc)
 	return rc
 }
 
-func (tb *table) place(rc *record) {
-	ar := tb.area(rc.DataCentre)
-	i, _ := ar.search(rc.Addr)
-	ar.records = slices.Insert(ar.records, i, rc)
-	ar.digest ^= rc.digest()
+func (tb *table) add(rc *record) {
+	dc := tb.dataCentre(rc.DataCentre)
+	i, _ := dc.search(rc.Addr)
+	dc.records = slices.Insert(dc.records, i, rc)
+	dc.digest ^= rc.digest()
 	tb.byAddr[rc.Addr] = rc
 	tb.version++
 }
 
 func (tb *table) remove(rc *record) {
-	ar := tb.area(rc.DataCentre)
-	if i, ok := ar.search(rc.Addr); ok {
-		ar.records = slices.Delete(ar.records, i, i+1)
-		ar.digest ^= rc.digest()
+	dc := tb.dataCentre(rc.DataCentre)
+	if i, ok := dc.search(rc.Addr); ok {
+		dc.records = slices.Delete(dc.records, i, i+1)
+		dc.digest ^= rc.digest()
 	}
 	delete(tb.byAddr, rc.Addr)
 	tb.version++
 }
 
-// list takes in the platform's list.
-func (tb *table) list(vms []VM) {
+// setListed replaces the platform's VM list. Candidates that are no longer on it are removed.
+func (tb *table) setListed(vms []VM) {
 	for _, rc := range tb.byAddr {
 		rc.listed = false
 	}
@@ -142,11 +142,11 @@
 		}
 		rc.listed = true
 	}
-	tb.forget(func(rc *record) bool { return rc.State() == StateCandidate && !rc.listed })
+	tb.removeIf(func(rc *record) bool { return rc.State() == StateCandidate && !rc.listed })
 }
 
-// forget removes the records for which drop holds.
-func (tb *table) forget(drop func(*record) bool) {
+// removeIf removes the records for which drop returns true.
+func (tb *table) removeIf(drop func(*record) bool) {
 	for _, rc := range tb.byAddr {
 		if drop(rc) {
 			tb.remove(rc)
@@ -154,22 +154,22 @@
 	}
 }
 
-// page returns at most n members of a data centre after an address, and where
-// the next page begins: empty when this one is the last. What is gone is told
-// too: it keeps others from taking it for live.
-func (ar *area) page(after string, n int) (page []Member, next string) {
-	i, found := ar.search(after)
+// page returns at most n members of a data centre with an address after the given one, and the
+// start of the next page, empty if this is the last. VMs that are gone are included, so that the
+// receiver does not consider them live.
+func (dc *dcTable) page(after string, n int) (page []Member, next string) {
+	i, found := dc.search(after)
 	if found {
 		i++
 	}
-	for ; i < len(ar.records); i++ {
-		if ar.records[i].Incarnation == 0 {
+	for ; i < len(dc.records); i++ {
+		if dc.records[i].Incarnation == 0 {
 			continue
 		}
 		if len(page) == n {
 			return page, page[n-1].Addr
 		}
-		page = append(page, ar.records[i].Member)
+		page = append(page, dc.records[i].Member)
 	}
 	return page, ""
 }
