--- a/core/server/bench_test.go
+++ b/core/server/bench_test.go
@@ -12,7 +12,7 @@
 
 var sizes = []int{10, 1_000, 32_000}
 
-// One decision: a tally of replies, a failure, and a state change.
+// The cost of one step: for replies, for a failure, and for a change of state.
 func BenchmarkStep(b *testing.B) {
 	events := []struct {
 		name string
@@ -41,8 +41,8 @@
 	}
 }
 
-// One server's holdings change in a register of 270 shards, by step and by
-// building all maps anew, as the thin version did. Each server holds one shard.
+// The cost of changing one server's holdings in a register of 270 shards: by an incremental update,
+// and by rebuilding all maps for comparison. Each server holds one shard.
 func BenchmarkMaps(b *testing.B) {
 	const shards = 270
 	holding := func(id, version int) []server.Holding {
@@ -68,7 +68,7 @@
 			for i := range b.N {
 				id := i % n
 				all[view.ServerID(id)] = holding(id, 1+(i/n+1)%2)
-				rebuilt(all)
+				rebuild(all)
 			}
 		})
 	}
--- a/core/server/doc.go
+++ b/core/server/doc.go
@@ -1,5 +1,5 @@
-// Package server decides what state each upstream server is in, from replies,
-// failures, hints that lag or lie, other VMs' signs and the configuration.
+// Package server derives the state of each upstream server from replies, failures, hints of the
+// load endpoint (which may lag or be wrong), signs sent by other VMs, and the configuration.
 //
 // # Usage
 //
@@ -10,21 +10,23 @@
 //	}
 //	at, ok := tb.Next() // when tb.Wake(now) is due
 //
-// The rules, strongest first:
+// The rules, in order of precedence:
 //
-//   - An old incarnation's news counts for nothing. Incarnations of one address
-//     only grow; the one exception is a probe that was begun after the server
-//     was gone: whoever answers it is the process there now. Of a server that
-//     had said it leaves that is believed a minute later only.
-//   - A sign of leaving (its own word in a reply or a hint, another VM's sign)
-//     holds for the incarnation it names, whatever says later that it is well.
-//   - Gone needs several failures of real traffic and failed probes as well, for
-//     a wave of timeouts is more often our own overload than a dead server. A
-//     shard's last replica is never gone, only suspect: with nothing better to
-//     try, trying is free.
-//   - Hints move a server out of unknown and mark it leaving. They never mend a
-//     suspect by themselves, for a server can answer its health endpoint long
-//     after it has stopped answering searches.
+//   - Events of an older incarnation are ignored. The incarnations of an address
+//     only increase, with one exception: a probe started after the server was
+//     gone is answered by the current process, whatever its incarnation. If the
+//     old process had announced that it leaves, this holds only a minute later.
+//   - An announcement that a server leaves (its own, in a reply or a hint, or
+//     another VM's sign) holds for the incarnation it names, even if later
+//     events show that incarnation healthy.
+//   - A server becomes gone only after several failures of real traffic and
+//     failed probes as well, because a wave of timeouts is more often caused by
+//     an overload of this VM than by a crash. A shard's last replica becomes
+//     suspect but never gone: there is nothing better to try, so trying it
+//     costs nothing.
+//   - Hints end the state unknown and report that a server leaves. They do not
+//     end the state suspect, because a server may answer its health endpoint
+//     long after it has stopped answering searches.
 //
-// A Table belongs to one goroutine. Times are monotonic, from process start.
+// A Table is not safe for concurrent use. Times are monotonic, from process start.
 package server
--- a/core/server/event.go
+++ b/core/server/event.go
@@ -2,31 +2,31 @@
 
 import "laburnumvane/core/view"
 
-// Kind says what an event tells.
+// Kind is the kind of an Event.
 type Kind uint8
 
 // Kinds of events.
 const (
-	// Reply sums up replies to real sub-requests, all of one incarnation.
+	// Reply summarises replies to real sub-requests, all of one incarnation.
 	Reply Kind = iota
-	// Failure sums up exchanges that failed; with Probe, one failed probe.
+	// Failure summarises failed exchanges; with Probe set, it is one failed probe.
 	Failure
-	// Hint is the load endpoint's account; with Probe, the answer to a probe.
+	// Hint is the state reported by the load endpoint; with Probe set, it is the answer to a probe.
 	Hint
-	// Told is another VM's sign.
-	Told
-	// Removed tells that the configuration no longer has the server.
+	// SignReceived is a sign from another VM.
+	SignReceived
+	// Removed reports that the server is no longer in the configuration.
 	Removed
-	// Listed tells that the configuration has it again.
+	// Listed reports that the server is in the configuration again.
 	Listed
-	// Wake tells that the time from Table.Next has come.
+	// Wake reports that the time returned by Table.Next has come.
 	Wake
 )
 
-// Says is what a server says of itself.
+// Says is the state that a server reports of itself.
 type Says uint8
 
-// What a server can say.
+// States that a server can report.
 const (
 	SaysNothing Says = iota
 	SaysCold
@@ -34,44 +34,43 @@
 	SaysDraining
 )
 
-// Event is one thing learnt of a server.
+// Event is an observation about a server.
 type Event struct {
 	Kind Kind
-	// Incarnation is the one that the news is of; 0 where it is not told.
+	// Incarnation is the server's incarnation that the event refers to; 0 if unknown.
 	Incarnation uint64
 	Says        Says
-	// Good, Shed and Cold count the replies that ran, that were shed, and that
-	// were refused for coldness.
+	// Good, Shed and Cold count the replies that were executed, that were refused because of
+	// load, and that were refused because the server was cold.
 	Good, Shed, Cold int
-	// Failed counts the failures.
+	// Failed counts the failed exchanges.
 	Failed int
-	// Probe marks the outcome of a probe that the table asked for.
+	// Probe is set for the outcome of a probe that the table requested.
 	Probe bool
-	// Sign is set with Told.
+	// Sign is the kind of the sign, for SignReceived.
 	Sign SignKind
 
-	// last is set by the table where the server is a shard's last replica.
+	// last is set by the table if the server is the last live replica of a shard.
 	last bool
 }
 
-// SignKind is what one VM tells the others of a server. The numbers go over
-// the wire.
+// SignKind is the kind of a Sign. The numbers are part of the wire format.
 type SignKind uint32
 
-// Kinds of signs; of one incarnation's signs the lowest number is the strongest.
+// Kinds of signs; among the signs of one incarnation, the lowest number takes precedence.
 const (
-	// SignLeaving: the server said itself that it leaves. It is a fact of that
-	// incarnation and is believed.
+	// SignLeaving: the server has announced that it leaves. It is a fact about that incarnation, so
+	// the receiver applies it.
 	SignLeaving SignKind = 1
-	// SignUnreachable: the sender cannot reach it. That may be the sender's
-	// own trouble, so it only makes the receiver probe.
+	// SignUnreachable: the sender cannot reach the server. The cause may be the sender's own
+	// network, so the receiver only probes the server.
 	SignUnreachable SignKind = 2
-	// SignReturned: a new incarnation was met. The receiver probes at once
-	// instead of waiting out its backoff.
+	// SignReturned: the sender has seen a new incarnation. The receiver probes at once instead of
+	// waiting for its backoff to end.
 	SignReturned SignKind = 3
 )
 
-// String is the sign's name in logs and sessions.
+// String returns the kind's name for logs and tests.
 func (sk SignKind) String() string {
 	switch sk {
 	case SignLeaving:
@@ -85,38 +84,38 @@
 	}
 }
 
-// Sign is a sign with the server that it is of.
+// Sign is what one VM reports to the others about a server.
 type Sign struct {
 	Addr        string
 	Incarnation uint64
 	Kind        SignKind
 }
 
-// ActionKind says what an action asks for.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
-	// Publish: the server's status has changed.
+	// Publish: the server's status has changed and is to be published.
 	Publish ActionKind = iota
-	// Probe: ask the server's load endpoint and step with what comes of it.
+	// Probe: send a probe to the server's load endpoint and step with the outcome.
 	Probe
-	// Spread: tell the other VMs the action's sign.
+	// Spread: send the action's Sign to the other VMs.
 	Spread
 )
 
-// Action is something for the caller to do.
+// Action is a request to the caller. Sign is set for Spread.
 type Action struct {
 	Kind ActionKind
 	ID   view.ServerID
 	Sign Sign
 }
 
-// Status is what a machine has decided.
+// Status is the state of a server with the reason for it.
 type Status struct {
 	State       view.State
 	Why         string
 	Incarnation uint64
-	// Weight is the share of a full server's work to send, 0 to 1.
+	// Weight is the share of a full server's load to send to it, from 0 to 1.
 	Weight float32
 }
--- a/core/server/example_test.go
+++ b/core/server/example_test.go
@@ -15,7 +15,7 @@
 	fmt.Println(tb.Status(0).State)
 	for _, ac := range tb.Step(time.Second, 0, server.Event{Kind: server.Reply, Incarnation: 7, Says: server.SaysDraining}) {
 		if ac.Kind == server.Spread {
-			fmt.Println("tell the others:", ac.Sign.Addr, ac.Sign.Kind)
+			fmt.Println("send to other VMs:", ac.Sign.Addr, ac.Sign.Kind)
 		}
 	}
 	tb.Step(2*time.Second, 0, server.Event{Kind: server.Hint, Incarnation: 7, Says: server.SaysServing})
@@ -24,7 +24,7 @@
 	fmt.Println(tb.Status(0).State, tb.Status(0).Weight)
 	// Output:
 	// serving
-	// tell the others: 10.0.0.7:9000 leaving
+	// send to other VMs: 10.0.0.7:9000 leaving
 	// draining - a reply says that it leaves
 	// cold 0.125
 }
--- a/core/server/machine.go
+++ b/core/server/machine.go
@@ -7,93 +7,95 @@
 	"laburnumvane/core/view"
 )
 
-// The reasons shown for a state.
+// Reasons for a state, as shown to operators.
 const (
-	WhyUnheard      = "not heard from yet"
-	WhyHint         = "its load endpoint says so"
-	WhyReplies      = "replies show it"
-	WhySaysCold     = "says itself that it is cold"
-	WhyNew          = "new incarnation, ramping"
-	WhyBack         = "answers again, ramping"
-	WhySheds        = "sheds load"
-	WhySaidLeaving  = "a reply says that it leaves"
-	WhyHintLeaving  = "its load endpoint says that it leaves"
-	WhySignLeaving  = "another VM was told that it leaves"
-	WhyRemoved      = "no longer in the configuration"
-	WhyFails        = "requests to it fail"
-	WhyUnreachable  = "requests and probes fail"
-	WhyLastReplica  = "requests and probes fail, but it is a shard's last replica"
-	WhyLeftAndQuiet = "left, and no longer answers"
+	WhyUnknown         = "not heard from yet"
+	WhyHint            = "its load endpoint says so"
+	WhyReplies         = "replies show it"
+	WhyReportsCold     = "says itself that it is cold"
+	WhyNewIncarnation  = "new incarnation, ramping"
+	WhyRecovered       = "answers again, ramping"
+	WhyShedding        = "sheds load"
+	WhyReplyLeaving    = "a reply says that it leaves"
+	WhyHintLeaving     = "its load endpoint says that it leaves"
+	WhySignLeaving     = "another VM was told that it leaves"
+	WhyRemoved         = "no longer in the configuration"
+	WhyFailures        = "requests to it fail"
+	WhyUnreachable     = "requests and probes fail"
+	WhyLastReplica     = "requests and probes fail, but it is a shard's last replica"
+	WhyLeftUnreachable = "left, and no longer answers"
 )
 
 const (
-	// suspectFailures in a row make a server suspect; one or two are the
-	// weather of any network.
+	// suspectFailures is the number of consecutive failures that make a server suspect; one or two
+	// occur in any network.
 	suspectFailures = 3
-	// goneFailures and goneProbes are the evidence for gone: real traffic and
-	// probes both.
+	// goneFailures and goneProbes are the failures needed before a server becomes gone: of real
+	// traffic and of probes.
 	goneFailures = 4
 	goneProbes   = 2
-	// trustProbes answered in a row let an idle VM's suspect ramp again.
-	trustProbes = 3
-
-	// scoreKeep is what one outcome leaves of the failure score; above
-	// suspectScore a server is suspect even if some requests go well, as with
-	// one that answers fast errors, and below mendScore it is well again.
-	scoreKeep    = 0.8
-	suspectScore = 0.5
-	mendScore    = 0.3
-	// calmScore is a score so low that nothing is held against the server.
-	calmScore = 0.05
+	// readmitProbes is the number of consecutive answered probes after which a suspect server ramps
+	// up on a VM without traffic to it.
+	readmitProbes = 3
+
+	// scoreDecay is the factor of the moving average of failures for each outcome. Above
+	// suspectScore a server is suspect even if some requests succeed, as with one that returns fast
+	// errors; below recoveredScore it counts as recovered.
+	scoreDecay     = 0.8
+	suspectScore   = 0.5
+	recoveredScore = 0.3
+	// negligibleScore is the score below which past failures are ignored.
+	negligibleScore = 0.05
 
 	rampSteps = 3
-	// sayingColdStep is as far as a server ramps that still calls itself cold.
-	sayingColdStep = 2
-	rampEvery      = 2 * time.Second
+	// maxColdStep is the last step of the ramp for a server that still reports to be cold.
+	maxColdStep      = 2
+	rampStepInterval = 2 * time.Second
 
-	shedShare = 0.25
-	shedHold  = time.Second
-	shedEvery = 250 * time.Millisecond
-	shedFloor = 1.0 / 8
+	shedThreshold    = 0.25
+	shedRecoverAfter = time.Second
+	minShedInterval  = 250 * time.Millisecond
+	minShedWeight    = 1.0 / 8
 
 	suspectWeight = 1.0 / 32
 
-	probeFirst = 100 * time.Millisecond
-	probeLeast = 250 * time.Millisecond
-	probeMost  = 8 * time.Second
-	probeLeft  = 2 * time.Second
-	// probeLost is when a probe without any outcome is given up.
-	probeLost = 10 * time.Second
+	firstProbeDelay      = 100 * time.Millisecond
+	minProbeBackoff      = 250 * time.Millisecond
+	maxProbeBackoff      = 8 * time.Second
+	leavingProbeInterval = 2 * time.Second
+	// probeTimeout is the time after which a probe without any outcome is repeated.
+	probeTimeout = 10 * time.Second
 
-	// lateNews is how long the words of a process that is over can be under way.
-	lateNews = time.Minute
+	// maxMessageDelay bounds the time for which messages of an ended process may still arrive.
+	maxMessageDelay = time.Minute
 
 	never = time.Duration(1<<63 - 1)
 )
 
-// machine is one server's state. It is small and flat: a VM may hold 32,000.
+// machine holds the state of one server. It is kept small and flat, because a VM may know 32,000
+// servers.
 type machine struct {
 	Status
-	// leaving is why the incarnation leaves; empty while nothing says so.
-	leaving    string
-	removed    bool
-	saysCold   bool
-	good       bool
-	step       uint8
-	probeFails uint8
-	probeGoods uint8
-	failures   uint16
-	score      float32
-	backoff    time.Duration
-	probeAt    time.Duration
-	goneAt     time.Duration
-	stepAt     time.Duration
-	shedAt     time.Duration
-	// queued is the earliest wake that the table's queue holds.
-	queued time.Duration
+	// leaving is the reason why the incarnation leaves; empty if it does not.
+	leaving        string
+	removed        bool
+	reportsCold    bool
+	stepConfirmed  bool
+	step           uint8
+	probeFailures  uint8
+	probeSuccesses uint8
+	failures       uint16
+	score          float32
+	backoff        time.Duration
+	probeAt        time.Duration
+	goneAt         time.Duration
+	stepAt         time.Duration
+	shedAt         time.Duration
+	// queuedWake is the earliest wake time of this server in the table's queue.
+	queuedWake time.Duration
 }
 
-// effect is what a step asks of the table besides publishing.
+// effect is what a step requests of the table besides publishing the status.
 type effect struct {
 	probe bool
 	sign  SignKind
@@ -101,10 +103,10 @@
 
 func newMachine() machine {
 	return machine{
-		Status:  Status{State: view.StateUnknown, Why: WhyUnheard, Weight: 1},
-		probeAt: never,
-		stepAt:  never,
-		queued:  never,
+		Status:     Status{State: view.StateUnknown, Why: WhyUnknown, Weight: 1},
+		probeAt:    never,
+		stepAt:     never,
+		queuedWake: never,
 	}
 }
 
@@ -115,33 +117,33 @@
 func (mc *machine) handle(now time.Duration, ev Event, rnd *rand.Rand) effect {
 	switch ev.Kind {
 	case Reply:
-		return mc.replied(now, ev, rnd)
+		return mc.handleReply(now, ev, rnd)
 	case Failure:
-		return mc.failed(now, ev, rnd)
+		return mc.handleFailure(now, ev, rnd)
 	case Hint:
-		return mc.hinted(now, ev, rnd)
-	case Told:
-		return mc.told(now, ev, rnd)
+		return mc.handleHint(now, ev, rnd)
+	case SignReceived:
+		return mc.handleSign(now, ev, rnd)
 	case Removed:
 		mc.removed = true
-		mc.settle(view.StateDraining, WhyRemoved, 0)
+		mc.setState(view.StateDraining, WhyRemoved, 0)
 		mc.probeAt, mc.stepAt = never, never
 	case Listed:
-		mc.listed(now, rnd)
+		mc.handleListed(now, rnd)
 	case Wake:
-		return mc.woken(now, rnd)
+		return mc.handleWake(now, rnd)
 	}
 	return effect{}
 }
 
-// meet takes the incarnation of a piece of news and tells whether the news
-// counts. A new incarnation wipes out all that was known of the old one.
-func (mc *machine) meet(now time.Duration, ev Event, rnd *rand.Rand) (counts bool, ef effect) {
+// checkIncarnation compares an event's incarnation with the known one and reports whether the event
+// counts. A new incarnation resets everything known of the old one.
+func (mc *machine) checkIncarnation(now time.Duration, ev Event, rnd *rand.Rand) (counts bool, ef effect) {
 	if ev.Incarnation == mc.Incarnation || ev.Incarnation == 0 {
 		return true, ef
 	}
 	first := mc.Incarnation == 0
-	fresh := ev.Kind == Hint && ev.Probe && mc.startsAnew(now)
+	fresh := ev.Kind == Hint && ev.Probe && mc.acceptsLowerIncarnation(now)
 	if ev.Incarnation < mc.Incarnation && !fresh {
 		return false, ef
 	}
@@ -150,83 +152,83 @@
 		return true, ef
 	}
 	mc.leaving = ""
-	mc.forgive()
+	mc.resetFailures()
 	if !mc.removed {
-		mc.ramp(now, 0, WhyNew, rnd)
+		mc.setRampStep(now, 0, WhyNewIncarnation, rnd)
 	}
 	return true, effect{sign: SignReturned}
 }
 
-// startsAnew tells whether a probe's answer may come from a process with a lower
-// incarnation. Of a server that left, the old process's words may still be under
-// way, and its load endpoint may lag, until the longest deadline has passed.
-func (mc *machine) startsAnew(now time.Duration) bool {
+// acceptsLowerIncarnation reports whether a probe's answer may come from a process with a lower
+// incarnation. If the old process had announced that it leaves, its messages may still be in
+// transit, and its load endpoint may lag, until the longest deadline has passed.
+func (mc *machine) acceptsLowerIncarnation(now time.Duration) bool {
 	if mc.State != view.StateGone {
 		return false
 	}
-	return mc.leaving == "" || now-mc.goneAt >= lateNews
+	return mc.leaving == "" || now-mc.goneAt >= maxMessageDelay
 }
 
-// forgive forgets failures and probes.
-func (mc *machine) forgive() {
-	mc.failures, mc.probeFails, mc.probeGoods = 0, 0, 0
+// resetFailures clears the record of failures and probes.
+func (mc *machine) resetFailures() {
+	mc.failures, mc.probeFailures, mc.probeSuccesses = 0, 0, 0
 	mc.score = 0
 	mc.backoff = 0
-	mc.saysCold = false
+	mc.reportsCold = false
 	mc.probeAt = never
 }
 
-func (mc *machine) woken(now time.Duration, rnd *rand.Rand) effect {
+func (mc *machine) handleWake(now time.Duration, rnd *rand.Rand) effect {
 	if now >= mc.stepAt {
-		mc.stepped(now, rnd)
+		mc.handleStepDue(now, rnd)
 	}
 	if now < mc.probeAt {
 		return effect{}
 	}
-	mc.probeAt = now + probeLost
+	mc.probeAt = now + probeTimeout
 	return effect{probe: true}
 }
 
-func (mc *machine) stepped(now time.Duration, rnd *rand.Rand) {
+func (mc *machine) handleStepDue(now time.Duration, rnd *rand.Rand) {
 	mc.stepAt = never
 	switch mc.State {
 	case view.StateShedding:
 		mc.Weight = min(1, mc.Weight*2)
 		if mc.Weight == 1 {
-			mc.settle(view.StateServing, WhyReplies, 1)
+			mc.setState(view.StateServing, WhyReplies, 1)
 			return
 		}
-		mc.stepAt = now + shedHold
+		mc.stepAt = now + shedRecoverAfter
 	case view.StateCold:
-		mc.climb(now, rnd)
+		mc.nextRampStep(now, rnd)
 	}
 }
 
-// climb goes up the ramp, if the step so far was borne out by replies.
-func (mc *machine) climb(now time.Duration, rnd *rand.Rand) {
+// nextRampStep moves to the next step of the ramp if replies have confirmed the current one.
+func (mc *machine) nextRampStep(now time.Duration, rnd *rand.Rand) {
 	step := mc.step
-	if mc.good && !(mc.saysCold && step >= sayingColdStep) {
+	if mc.stepConfirmed && !(mc.reportsCold && step >= maxColdStep) {
 		step++
 	}
 	if step >= rampSteps {
-		mc.settle(view.StateServing, WhyReplies, 1)
+		mc.setState(view.StateServing, WhyReplies, 1)
 		return
 	}
-	mc.ramp(now, step, mc.Why, rnd)
+	mc.setRampStep(now, step, mc.Why, rnd)
 }
 
-// ramp makes the server cold with the weight of a step: 1/8, 1/4, 1/2.
-func (mc *machine) ramp(now time.Duration, step uint8, why string, rnd *rand.Rand) {
+// setRampStep makes the server cold, with a weight of 1/8, 1/4 or 1/2 by the step.
+func (mc *machine) setRampStep(now time.Duration, step uint8, why string, rnd *rand.Rand) {
 	mc.step = step
-	mc.good = false
-	mc.settle(view.StateCold, why, 1/float32(uint(1)<<(rampSteps-step)))
-	// Jitter keeps the VMs from raising a server's load all in one moment.
-	mc.stepAt = now + rampEvery*3/4 + jitter(rnd, rampEvery/2)
+	mc.stepConfirmed = false
+	mc.setState(view.StateCold, why, 1/float32(uint(1)<<(rampSteps-step)))
+	// Jitter prevents all VMs from raising the server's load at the same moment.
+	mc.stepAt = now + rampStepInterval*3/4 + jitter(rnd, rampStepInterval/2)
 }
 
-// later puts off the next probe, twice as long each time, with jitter.
-func (mc *machine) later(now time.Duration, rnd *rand.Rand) {
-	mc.backoff = min(max(2*mc.backoff, probeLeast), probeMost)
+// scheduleProbe schedules the next probe, with a backoff that doubles each time, and jitter.
+func (mc *machine) scheduleProbe(now time.Duration, rnd *rand.Rand) {
+	mc.backoff = min(max(2*mc.backoff, minProbeBackoff), maxProbeBackoff)
 	mc.probeAt = now + mc.backoff/2 + jitter(rnd, mc.backoff/2)
 }
 
@@ -234,6 +236,6 @@
 	return time.Duration(rnd.Int64N(int64(most)))
 }
 
-func (mc *machine) settle(st view.State, why string, weight float32) {
+func (mc *machine) setState(st view.State, why string, weight float32) {
 	mc.State, mc.Why, mc.Weight = st, why, weight
 }
--- a/core/server/maps.go
+++ b/core/server/maps.go
@@ -7,36 +7,36 @@
 	"laburnumvane/core/view"
 )
 
-// Holding is the part of one snapshot of one register that a server holds.
+// Holding lists the shards of one snapshot of one register that a server holds.
 type Holding struct {
 	Key     view.RegisterKey
 	Version uint64
-	// Shards is the number of shards in that snapshot's map.
+	// Shards is the total number of shards of that snapshot.
 	Shards int
-	// Held lists the shards in ascending order.
+	// Held lists the held shards in ascending order.
 	Held []int
 }
 
-func (ho Holding) same(other Holding) bool {
-	return ho.names(other) && ho.Shards == other.Shards && slices.Equal(ho.Held, other.Held)
+func (ho Holding) equal(other Holding) bool {
+	return ho.sameSnapshot(other) && ho.Shards == other.Shards && slices.Equal(ho.Held, other.Held)
 }
 
-func (ho Holding) names(other Holding) bool {
+func (ho Holding) sameSnapshot(other Holding) bool {
 	return ho.Key == other.Key && ho.Version == other.Version
 }
 
-// Maps keeps the shard maps of all registers. A change of one server copies
-// only the lists of the shards that it holds, so that searches keep the maps
-// that they began with.
+// Maps keeps the shard maps of all registers. A change of one server copies only the lists of the
+// shards that it holds, so that searches in progress keep the maps they started with. It is not
+// safe for concurrent use.
 type Maps struct {
-	// Live tells which servers may take work.
+	// live reports whether a server may take work.
 	live      func(view.ServerID) bool
 	byServer  map[view.ServerID][]Holding
 	registers map[view.RegisterKey]view.Register
 	changed   bool
 }
 
-// NewMaps makes empty maps. Live tells which servers may take work.
+// NewMaps returns empty maps. live reports whether a server may take work.
 func NewMaps(live func(view.ServerID) bool) *Maps {
 	return &Maps{
 		live:      live,
@@ -45,53 +45,53 @@
 	}
 }
 
-// Set replaces what a server holds and tells whether that is news.
+// Set replaces what a server holds and reports whether this changed anything.
 func (mp *Maps) Set(id view.ServerID, held []Holding) bool {
-	news := false
+	differs := false
 	for _, old := range mp.byServer[id] {
-		if !slices.ContainsFunc(held, old.same) {
-			mp.leave(id, old)
-			news = true
+		if !slices.ContainsFunc(held, old.equal) {
+			mp.removeHolding(id, old)
+			differs = true
 		}
 	}
 	for _, ho := range held {
-		if !slices.ContainsFunc(mp.byServer[id], ho.same) {
-			mp.join(id, ho)
-			news = true
+		if !slices.ContainsFunc(mp.byServer[id], ho.equal) {
+			mp.addHolding(id, ho)
+			differs = true
 		}
 	}
-	if news {
+	if differs {
 		mp.byServer[id] = slices.Clone(held)
 	}
 	if len(held) == 0 {
 		delete(mp.byServer, id)
 	}
-	mp.changed = mp.changed || news
-	return news
+	mp.changed = mp.changed || differs
+	return differs
 }
 
-// Drop takes one snapshot from a server, as after a refusal, and tells whether
-// the maps had it.
+// Drop removes one snapshot from a server, for instance after a refusal, and reports whether the
+// server held it.
 func (mp *Maps) Drop(id view.ServerID, key view.RegisterKey, version uint64) bool {
 	at := slices.IndexFunc(mp.byServer[id], func(ho Holding) bool {
-		return ho.names(Holding{Key: key, Version: version})
+		return ho.sameSnapshot(Holding{Key: key, Version: version})
 	})
 	if at < 0 {
 		return false
 	}
-	mp.leave(id, mp.byServer[id][at])
+	mp.removeHolding(id, mp.byServer[id][at])
 	mp.byServer[id] = slices.Delete(slices.Clone(mp.byServer[id]), at, at+1)
 	mp.changed = true
 	return true
 }
 
-// Held is what a server holds. The caller must not change it.
+// Held returns what a server holds. The caller must not modify it.
 func (mp *Maps) Held(id view.ServerID) []Holding {
 	return mp.byServer[id]
 }
 
-// Registers returns the maps for a view, and whether they have changed since
-// the last call; unchanged ones are not returned again.
+// Registers returns a copy of the maps for a view and true, or nil and false if they have not
+// changed since the last call.
 func (mp *Maps) Registers() (map[view.RegisterKey]view.Register, bool) {
 	if !mp.changed {
 		return nil, false
@@ -100,7 +100,7 @@
 	return maps.Clone(mp.registers), true
 }
 
-// Newest is the newest version of a register that any server holds.
+// Newest returns the newest version of a register that any server holds, or 0 if there is none.
 func (mp *Maps) Newest(key view.RegisterKey) uint64 {
 	if sns := mp.registers[key].Snapshots; len(sns) > 0 {
 		return sns[0].Version
@@ -108,19 +108,19 @@
 	return 0
 }
 
-// Last tells whether a server is the only live replica of some shard in the
-// newest snapshot that it holds of a register.
+// Last reports whether a server is the only live replica of some shard in any snapshot that it
+// holds.
 func (mp *Maps) Last(id view.ServerID) bool {
 	for _, ho := range mp.byServer[id] {
 		sn, ok := mp.snapshot(ho)
-		if ok && mp.alone(id, ho, sn) {
+		if ok && mp.isLastReplica(id, ho, sn) {
 			return true
 		}
 	}
 	return false
 }
 
-func (mp *Maps) alone(id view.ServerID, ho Holding, sn view.Snapshot) bool {
+func (mp *Maps) isLastReplica(id view.ServerID, ho Holding, sn view.Snapshot) bool {
 	for _, shard := range ho.Held {
 		if shard < 0 || shard >= len(sn.Replicas) {
 			continue
@@ -137,25 +137,26 @@
 
 func (mp *Maps) snapshot(ho Holding) (view.Snapshot, bool) {
 	sns := mp.registers[ho.Key].Snapshots
-	at, ok := find(sns, ho)
+	at, ok := findSnapshot(sns, ho)
 	if !ok {
 		return view.Snapshot{}, false
 	}
 	return sns[at], true
 }
 
-// find looks for a holding's snapshot. Two servers that claim different shard
-// counts for one version are kept apart, for their maps must not mix.
-func find(sns []view.Snapshot, ho Holding) (int, bool) {
+// findSnapshot returns the index of a holding's snapshot. If two servers report different shard
+// counts for one version, they are kept as separate snapshots, because their maps must not be
+// mixed.
+func findSnapshot(sns []view.Snapshot, ho Holding) (int, bool) {
 	at := slices.IndexFunc(sns, func(sn view.Snapshot) bool {
 		return sn.Version == ho.Version && sn.Shards() == ho.Shards
 	})
 	return at, at >= 0
 }
 
-func (mp *Maps) join(id view.ServerID, ho Holding) {
+func (mp *Maps) addHolding(id view.ServerID, ho Holding) {
 	sns := slices.Clone(mp.registers[ho.Key].Snapshots)
-	at, ok := find(sns, ho)
+	at, ok := findSnapshot(sns, ho)
 	if !ok {
 		at, _ = slices.BinarySearchFunc(sns, ho.Version, func(sn view.Snapshot, version uint64) int {
 			if sn.Version > version {
@@ -175,9 +176,9 @@
 	mp.registers[ho.Key] = view.Register{Snapshots: sns}
 }
 
-func (mp *Maps) leave(id view.ServerID, ho Holding) {
+func (mp *Maps) removeHolding(id view.ServerID, ho Holding) {
 	sns := slices.Clone(mp.registers[ho.Key].Snapshots)
-	at, ok := find(sns, ho)
+	at, ok := findSnapshot(sns, ho)
 	if !ok {
 		return
 	}
--- a/core/server/maps_test.go
+++ b/core/server/maps_test.go
@@ -34,8 +34,8 @@
 	return out
 }
 
-// rebuilt makes the maps in the plain way, from all holdings.
-func rebuilt(byServer map[view.ServerID][]server.Holding) view.Register {
+// rebuild builds the maps from scratch from all holdings, as a reference.
+func rebuild(byServer map[view.ServerID][]server.Holding) view.Register {
 	bySnapshot := map[uint64]view.Snapshot{}
 	for id, held := range byServer {
 		for _, ho := range held {
@@ -58,8 +58,8 @@
 	return rg
 }
 
-// plain sorts the lists, whose order has no meaning, without touching rg.
-func plain(rg view.Register) view.Register {
+// normalised returns a copy with sorted lists, because their order has no meaning.
+func normalised(rg view.Register) view.Register {
 	var out view.Register
 	for _, sn := range rg.Snapshots {
 		cp := view.Snapshot{Version: sn.Version}
@@ -76,10 +76,9 @@
 	return out
 }
 
-// A search is never sent by a map that mixes snapshots: the maps changed step
-// by step equal those built anew from all holdings, through repartitions,
-// dropped snapshots and removed servers; and a map that a search has taken is
-// never changed under it.
+// A search never uses a map that mixes snapshots: the incrementally updated maps equal those
+// rebuilt from all holdings, through repartitions, dropped snapshots and removed servers, and a map
+// taken by a search is never modified afterwards.
 func TestMapsEqualRebuilt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
@@ -105,18 +104,18 @@
 				continue
 			}
 			got := registers[members]
-			is.Equal(plain(got), plain(rebuilt(model)))
-			searches = append(searches, taken{got: got, copied: plain(got)})
+			is.Equal(normalised(got), normalised(rebuild(model)))
+			searches = append(searches, taken{got: got, copied: normalised(got)})
 		}
 		for _, tk := range searches {
-			is.Equal(plain(tk.got), tk.copied)
+			is.Equal(normalised(tk.got), tk.copied)
 		}
 	})
 }
 
-// The caller's shard stays tried when its other replica is gone: Last says so
-// of the one that is left, and of no server that has company.
-func TestLast(t *testing.T) {
+// Last is true for the only live replica of a shard, so that it is still tried when the other
+// replica is gone, and false for servers with another live replica.
+func TestLastReplica(t *testing.T) {
 	is := is.New(t)
 	gone := map[view.ServerID]bool{}
 	mp := server.NewMaps(func(id view.ServerID) bool { return !gone[id] })
@@ -129,8 +128,8 @@
 	is.True(!mp.Last(7))
 }
 
-// The caller gets an answer from one map or the other, never from a mixture,
-// when two servers claim different shard counts for one version.
+// Two servers report different shard counts for one version. A search gets one map or the other,
+// never a mixture.
 func TestMapsKeepShardCountsApart(t *testing.T) {
 	is := is.New(t)
 	mp := server.NewMaps(func(view.ServerID) bool { return true })
--- a/core/server/polls.go
+++ b/core/server/polls.go
@@ -9,157 +9,157 @@
 )
 
 const (
-	// pollBytes is a first guess of one exchange with a load endpoint; the
-	// moving average of what they cost takes over.
-	pollBytes  = 700
-	pollWeight = 8
-	// pollsInFlight bounds the polls that wait for an answer, so that a data
-	// centre that swallows bytes holds up a few of them only.
-	pollsInFlight = 32
-	// askAgain is the first pause before a server is asked again that lags
-	// behind the newest snapshot; it doubles.
-	askAgain     = 250 * time.Millisecond
-	askAgainMost = 8 * time.Second
+	// initialPollBytes is the assumed cost of a poll before any was measured; a moving average with
+	// weight 1/pollCostWeight replaces it.
+	initialPollBytes = 700
+	pollCostWeight   = 8
+	// maxPollsInFlight bounds the polls that wait for an answer, so that a data centre that
+	// swallows packets delays only a few of them.
+	maxPollsInFlight = 32
+	// minLagBackoff is the first pause before a server that lags behind the newest snapshot is
+	// polled again; it doubles up to maxLagBackoff.
+	minLagBackoff = 250 * time.Millisecond
+	maxLagBackoff = 8 * time.Second
 )
 
-// PollsConfig sets polls.
+// PollsConfig configures Polls. All fields are required.
 type PollsConfig struct {
 	Rand *rand.Rand
-	// BytesPerSecond bounds what polls cost in the long run.
+	// BytesPerSecond bounds the average traffic of polls.
 	BytesPerSecond float64
-	// Burst is the bytes that may be spent at once after a quiet time: a boot
-	// or a new snapshot has each server asked once.
+	// Burst is the number of bytes that may be spent at once after an idle time, so that after a
+	// boot or a new snapshot each server can be polled at once.
 	Burst float64
-	// Every is the pause between two rounds through all servers where the
-	// bytes would allow shorter ones.
+	// Every is the minimum mean interval between two regular polls of a server; it is longer where
+	// BytesPerSecond requires.
 	Every time.Duration
 }
 
-// Polls decides which server's load endpoint is asked when. Each server is
-// asked in rounds, and out of turn where something is to be learnt.
+// Polls schedules the polls of the servers' load endpoints. Each server is polled in regular
+// rounds, and in addition when new information is expected. It is not safe for concurrent use.
 type Polls struct {
-	cfg      PollsConfig
-	servers  []polled
-	asks     sched.Queue[view.ServerID]
-	count    int
-	tokens   float64
-	at       time.Duration
-	cost     float64
-	inFlight int
+	cfg        PollsConfig
+	servers    []pollState
+	queue      sched.Queue[view.ServerID]
+	count      int
+	tokens     float64
+	refilledAt time.Duration
+	meanCost   float64
+	inFlight   int
 }
 
-type polled struct {
+type pollState struct {
 	used bool
-	// due is when the server's own entry of the queue is valid.
-	due   time.Duration
-	again time.Duration
+	// due is the time of the valid queue entry of the server; others are skipped.
+	due        time.Duration
+	lagBackoff time.Duration
 }
 
-// NewPolls makes polls without servers.
+// NewPolls returns polls without servers and with a full burst.
 func NewPolls(cfg PollsConfig) *Polls {
-	return &Polls{cfg: cfg, tokens: cfg.Burst, cost: pollBytes}
+	return &Polls{cfg: cfg, tokens: cfg.Burst, meanCost: initialPollBytes}
 }
 
-// Use begins or ends the polling of a server.
+// Use starts or stops the polling of a server.
 func (po *Polls) Use(now time.Duration, id view.ServerID, used bool) {
 	for int(id) >= len(po.servers) {
-		po.servers = append(po.servers, polled{})
+		po.servers = append(po.servers, pollState{})
 	}
-	pd := &po.servers[id]
-	if pd.used == used {
+	ps := &po.servers[id]
+	if ps.used == used {
 		return
 	}
-	pd.used = used
-	pd.again = 0
+	ps.used = used
+	ps.lagBackoff = 0
 	if !used {
 		po.count--
-		pd.due = never
+		ps.due = never
 		return
 	}
 	po.count++
-	// The first round is spread over a fifth of a second, so that VMs that
-	// boot together do not ask each server in the same moment.
-	po.ask(id, now+jitter(po.cfg.Rand, 200*time.Millisecond))
+	// The first round is spread over 200 ms, so that VMs booted together do not poll each server at
+	// the same moment.
+	po.schedule(id, now+jitter(po.cfg.Rand, 200*time.Millisecond))
 }
 
-// Urge asks a server soon, as something was learnt that makes its account worth
-// having.
+// Urge polls a server soon, because an event suggests that its reported state has changed.
 func (po *Polls) Urge(now time.Duration, id view.ServerID) {
 	if !po.servers[id].used {
 		return
 	}
-	po.servers[id].again = 0
-	if at := now + jitter(po.cfg.Rand, askAgain/5); at < po.servers[id].due {
-		po.ask(id, at)
+	po.servers[id].lagBackoff = 0
+	if at := now + jitter(po.cfg.Rand, minLagBackoff/5); at < po.servers[id].due {
+		po.schedule(id, at)
 	}
 }
 
-// Behind asks a server again that lags behind the newest snapshot, after a
-// pause that doubles each time.
+// Behind polls a server again that lags behind the newest snapshot, after a pause that doubles each
+// time.
 func (po *Polls) Behind(now time.Duration, id view.ServerID) {
-	pd := &po.servers[id]
-	if !pd.used {
+	ps := &po.servers[id]
+	if !ps.used {
 		return
 	}
-	pd.again = min(max(askAgain, 2*pd.again), askAgainMost)
-	if at := now + pd.again/2 + jitter(po.cfg.Rand, pd.again); at < pd.due {
-		po.ask(id, at)
+	ps.lagBackoff = min(max(minLagBackoff, 2*ps.lagBackoff), maxLagBackoff)
+	if at := now + ps.lagBackoff/2 + jitter(po.cfg.Rand, ps.lagBackoff); at < ps.due {
+		po.schedule(id, at)
 	}
 }
 
-func (po *Polls) ask(id view.ServerID, at time.Duration) {
+func (po *Polls) schedule(id view.ServerID, at time.Duration) {
 	po.servers[id].due = at
-	po.asks.Push(at, id)
+	po.queue.Push(at, id)
 }
 
-// Take returns the next server to ask, if one is due and may be afforded. Each
-// taken one must be ended by Done.
+// Take returns the next server to poll, if one is due and the byte budget allows it. Done must be
+// called once for each server taken.
 func (po *Polls) Take(now time.Duration) (view.ServerID, bool) {
 	po.refill(now)
-	if po.inFlight >= pollsInFlight || po.tokens < po.cost {
+	if po.inFlight >= maxPollsInFlight || po.tokens < po.meanCost {
 		return 0, false
 	}
-	for id, ok := po.asks.Pop(now); ok; id, ok = po.asks.Pop(now) {
-		pd := &po.servers[id]
-		if !pd.used || pd.due > now {
+	for id, ok := po.queue.Pop(now); ok; id, ok = po.queue.Pop(now) {
+		ps := &po.servers[id]
+		if !ps.used || ps.due > now {
 			continue
 		}
-		po.tokens -= po.cost
+		po.tokens -= po.meanCost
 		po.inFlight++
-		po.ask(id, now+po.round()*3/4+jitter(po.cfg.Rand, po.round()/2+1))
+		po.schedule(id, now+po.roundInterval()*3/4+jitter(po.cfg.Rand, po.roundInterval()/2+1))
 		return id, true
 	}
 	return 0, false
 }
 
-// round is the mean pause between two regular polls of one server.
-func (po *Polls) round() time.Duration {
-	afford := float64(po.count) * po.cost / po.cfg.BytesPerSecond * float64(time.Second)
+// roundInterval returns the mean interval between two regular polls of one server.
+func (po *Polls) roundInterval() time.Duration {
+	afford := float64(po.count) * po.meanCost / po.cfg.BytesPerSecond * float64(time.Second)
 	return max(po.cfg.Every, time.Duration(afford))
 }
 
-// Done takes what a poll cost, in bytes; 0 where it failed.
+// Done ends a poll and takes its size in bytes; 0 if it failed.
 func (po *Polls) Done(bytes int) {
 	po.inFlight--
 	if bytes > 0 {
-		po.cost += (float64(bytes) - po.cost) / pollWeight
+		po.meanCost += (float64(bytes) - po.meanCost) / pollCostWeight
 	}
 }
 
-// Next is when Take is worth calling again; false where nothing waits.
+// Next returns when Take should be called again; false if nothing is queued or a poll has to end
+// first.
 func (po *Polls) Next(now time.Duration) (time.Duration, bool) {
-	at, ok := po.asks.Next()
-	if !ok || po.inFlight >= pollsInFlight {
+	at, ok := po.queue.Next()
+	if !ok || po.inFlight >= maxPollsInFlight {
 		return 0, false
 	}
 	po.refill(now)
-	if lack := po.cost - po.tokens; lack > 0 {
+	if lack := po.meanCost - po.tokens; lack > 0 {
 		at = max(at, now+time.Duration(lack/po.cfg.BytesPerSecond*float64(time.Second))+1)
 	}
 	return at, true
 }
 
 func (po *Polls) refill(now time.Duration) {
-	po.tokens = min(po.cfg.Burst, po.tokens+(now-po.at).Seconds()*po.cfg.BytesPerSecond)
-	po.at = now
+	po.tokens = min(po.cfg.Burst, po.tokens+(now-po.refilledAt).Seconds()*po.cfg.BytesPerSecond)
+	po.refilledAt = now
 }
--- a/core/server/polls_test.go
+++ b/core/server/polls_test.go
@@ -21,7 +21,7 @@
 	return po
 }
 
-// run polls until end, each poll costing bytes, and counts for each server.
+// run polls until end, at the given size of each poll, and counts the polls of each server.
 func run(po *server.Polls, from, end time.Duration, bytes int) (asked map[view.ServerID]int, sum int) {
 	asked = map[view.ServerID]int{}
 	for now := from; now <= end; {
@@ -39,9 +39,9 @@
 	return asked, sum
 }
 
-// The node's 8 KB a second for control are kept: whatever the number of
-// servers, polls spend the burst and then two KB a second.
-func TestPollsKeepBytes(t *testing.T) {
+// The VM's budget of 8 KB/s for control traffic is kept: whatever the number of servers, polls use
+// the burst and then 2 KB/s.
+func TestPollsStayWithinByteBudget(t *testing.T) {
 	for _, n := range []int{10, 75, 648, 32_000} {
 		is := is.New(t)
 		_, sum := run(pollsOf(n), 0, 10*time.Minute, 900)
@@ -49,16 +49,16 @@
 	}
 }
 
-// The caller's first search finds its shards: after a boot every one of the few
-// hundred servers that a VM uses is asked within a second.
+// After a boot, each of the few hundred servers that a VM uses is polled within a second, so that
+// the first search finds its shards.
 func TestPollsAskAllAtBoot(t *testing.T) {
 	is := is.New(t)
 	asked, _ := run(pollsOf(270), 0, time.Second, 900)
 	is.Equal(len(asked), 270)
 }
 
-// A new snapshot is found soon: the servers of today's installations are each
-// asked at least every 20 s, and any one of 30 within 3 s.
+// A new snapshot is detected soon: with 30 servers, each is polled at least every 20 s, and some
+// within 3 s.
 func TestPollsRounds(t *testing.T) {
 	is := is.New(t)
 	po := pollsOf(30)
@@ -69,10 +69,9 @@
 	is.Equal(len(asked), 30)
 }
 
-// A server that lags behind the newest snapshot is asked again within half a
-// second, then after twice the pause each time; one
-// that is no longer used is not asked at all.
-func TestPollsAskAgain(t *testing.T) {
+// A server that lags behind the newest snapshot is polled again within half a second, then after
+// twice the pause each time. A server that is no longer used is not polled at all.
+func TestPollsRetryLaggingServer(t *testing.T) {
 	is := is.New(t)
 	po := pollsOf(2)
 	run(po, 0, time.Minute, 700)
--- a/core/server/session_test.go
+++ b/core/server/scenario_test.go
@@ -17,34 +17,34 @@
 	addr = "10.0.0.7:9000"
 )
 
-// line is one event of a session; at is when it comes.
-type line struct {
+// timedEvent is an event of a scenario and its time.
+type timedEvent struct {
 	at time.Duration
 	ev server.Event
 }
 
-func good(inc uint64, n int) server.Event {
-	return server.Event{Kind: server.Reply, Incarnation: inc, Says: server.SaysServing, Good: n}
+func good(incarnation uint64, n int) server.Event {
+	return server.Event{Kind: server.Reply, Incarnation: incarnation, Says: server.SaysServing, Good: n}
 }
 
-func says(inc uint64, sy server.Says) server.Event {
-	return server.Event{Kind: server.Reply, Incarnation: inc, Says: sy}
+func says(incarnation uint64, sy server.Says) server.Event {
+	return server.Event{Kind: server.Reply, Incarnation: incarnation, Says: sy}
 }
 
-func hint(inc uint64, sy server.Says) server.Event {
-	return server.Event{Kind: server.Hint, Incarnation: inc, Says: sy}
+func hint(incarnation uint64, sy server.Says) server.Event {
+	return server.Event{Kind: server.Hint, Incarnation: incarnation, Says: sy}
 }
 
-func probed(inc uint64) server.Event {
-	return server.Event{Kind: server.Hint, Incarnation: inc, Says: server.SaysServing, Probe: true}
+func probed(incarnation uint64) server.Event {
+	return server.Event{Kind: server.Hint, Incarnation: incarnation, Says: server.SaysServing, Probe: true}
 }
 
 func fail(n int) server.Event {
 	return server.Event{Kind: server.Failure, Failed: n}
 }
 
-func told(inc uint64, sk server.SignKind) server.Event {
-	return server.Event{Kind: server.Told, Incarnation: inc, Sign: sk}
+func signed(incarnation uint64, sk server.SignKind) server.Event {
+	return server.Event{Kind: server.SignReceived, Incarnation: incarnation, Sign: sk}
 }
 
 var (
@@ -53,60 +53,60 @@
 	listed      = server.Event{Kind: server.Listed}
 )
 
-// player steps one server through lines, with its wakes between them.
-type player struct {
+// runner steps one server through events, with the wakes due between them, and records the output.
+type runner struct {
 	tb  *server.Table
 	out strings.Builder
 }
 
-func newPlayer(last bool) *player {
+func newRunner(last bool) *runner {
 	tb := server.New(server.Config{
 		Rand: rand.New(rand.NewPCG(1, 1)),
 		Last: func(view.ServerID) bool { return last },
 	})
 	tb.Add(0, addr)
-	return &player{tb: tb}
+	return &runner{tb: tb}
 }
 
-func (pl *player) play(lines []line) server.Status {
-	for _, ln := range lines {
-		pl.until(ln.at)
-		fmt.Fprintf(&pl.out, "%v in %s\n", ln.at, describe(ln.ev))
-		pl.show(ln.at, pl.tb.Step(ln.at, 0, ln.ev))
+func (rn *runner) run(events []timedEvent) server.Status {
+	for _, te := range events {
+		rn.wakeUntil(te.at)
+		fmt.Fprintf(&rn.out, "%v in %s\n", te.at, describe(te.ev))
+		rn.write(te.at, rn.tb.Step(te.at, 0, te.ev))
 	}
-	return pl.tb.Status(0)
+	return rn.tb.Status(0)
 }
 
-// until takes every wake that is due before at.
-func (pl *player) until(at time.Duration) {
+// wakeUntil handles every wake that is due before at.
+func (rn *runner) wakeUntil(at time.Duration) {
 	for {
-		next, ok := pl.tb.Next()
+		next, ok := rn.tb.Next()
 		if !ok || next > at {
 			return
 		}
-		pl.show(next, pl.tb.Wake(next))
+		rn.write(next, rn.tb.Wake(next))
 	}
 }
 
-func (pl *player) show(at time.Duration, actions []server.Action) {
+func (rn *runner) write(at time.Duration, actions []server.Action) {
 	for _, ac := range actions {
 		switch ac.Kind {
 		case server.Publish:
-			st := pl.tb.Status(0)
-			fmt.Fprintf(&pl.out, "%v out %s weight=%.3f incarnation=%d: %s\n", at.Round(ms), st.State, st.Weight, st.Incarnation, st.Why)
+			st := rn.tb.Status(0)
+			fmt.Fprintf(&rn.out, "%v out %s weight=%.3f incarnation=%d: %s\n", at.Round(ms), st.State, st.Weight, st.Incarnation, st.Why)
 		case server.Probe:
-			fmt.Fprintf(&pl.out, "%v out probe\n", at.Round(ms))
+			fmt.Fprintf(&rn.out, "%v out probe\n", at.Round(ms))
 		case server.Spread:
-			fmt.Fprintf(&pl.out, "%v out spread %s incarnation=%d\n", at.Round(ms), ac.Sign.Kind, ac.Sign.Incarnation)
+			fmt.Fprintf(&rn.out, "%v out spread %s incarnation=%d\n", at.Round(ms), ac.Sign.Kind, ac.Sign.Incarnation)
 		}
 	}
 }
 
 func describe(ev server.Event) string {
-	kinds := [...]string{"reply", "failure", "hint", "told", "removed", "listed", "wake"}
+	kinds := [...]string{"reply", "failure", "hint", "sign", "removed", "listed", "wake"}
 	words := [...]string{"", " cold", " serving", " draining"}
 	text := kinds[ev.Kind] + words[ev.Says]
-	if ev.Kind == server.Told {
+	if ev.Kind == server.SignReceived {
 		text += " " + ev.Sign.String()
 	}
 	if ev.Probe {
@@ -123,39 +123,39 @@
 	return text
 }
 
-func TestSessions(t *testing.T) {
+func TestScenarios(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		lines []line
-		end   time.Duration
+		name   string
+		events []timedEvent
+		end    time.Duration
 	}{
-		{"drain", []line{
+		{"drain", []timedEvent{
 			{0, good(1, 1)}, {100 * ms, says(1, server.SaysDraining)}, {200 * ms, good(1, 5)},
 			{300 * ms, hint(1, server.SaysServing)}, {2500 * ms, probed(1)}, {9 * time.Second, probeFailed},
 			{15 * time.Second, probeFailed}, {30 * time.Second, probed(2)}, {31 * time.Second, good(2, 3)},
 			{33 * time.Second, good(2, 9)}, {36 * time.Second, good(2, 9)},
 		}, 40 * time.Second},
-		{"crash", []line{
+		{"crash", []timedEvent{
 			{0, good(1, 1)}, {100 * ms, fail(2)}, {120 * ms, fail(2)}, {300 * ms, probeFailed}, {600 * ms, probeFailed},
 			{900 * ms, fail(1)}, {1100 * ms, probeFailed}, {4 * time.Second, probed(2)}, {4100 * ms, good(2, 4)},
 		}, 7 * time.Second},
-		{"shedWave", []line{
+		{"shedWave", []timedEvent{
 			{0, good(1, 1)}, {100 * ms, server.Event{Kind: server.Reply, Incarnation: 1, Good: 2, Shed: 2}},
 			{200 * ms, server.Event{Kind: server.Reply, Incarnation: 1, Good: 2, Shed: 2}},
 			{400 * ms, server.Event{Kind: server.Reply, Incarnation: 1, Shed: 9}}, {600 * ms, good(1, 9)},
 		}, 5 * time.Second},
-		{"removedAndBack", []line{
+		{"removedAndBack", []timedEvent{
 			{0, good(1, 1)}, {time.Second, removed}, {1100 * ms, good(1, 4)}, {5 * time.Second, listed}, {6 * time.Second, good(1, 4)},
 		}, 9 * time.Second},
-		{"suspectOfIdleVM", []line{
+		{"suspectOfIdleVM", []timedEvent{
 			{0, good(1, 1)}, {100 * ms, fail(3)}, {300 * ms, probed(1)}, {600 * ms, probed(1)}, {1200 * ms, probed(1)},
 		}, 2 * time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			pl := newPlayer(false)
-			pl.play(tt.lines)
-			pl.until(tt.end)
-			golden.Check(t, tt.name, pl.out.String())
+			rn := newRunner(false)
+			rn.run(tt.events)
+			rn.wakeUntil(tt.end)
+			golden.Check(t, tt.name, rn.out.String())
 		})
 	}
 }
--- a/core/server/table.go
+++ b/core/server/table.go
@@ -8,16 +8,16 @@
 	"laburnumvane/core/view"
 )
 
-// Config sets a table.
+// Config configures a Table.
 type Config struct {
-	// Rand gives jitter.
+	// Rand is the source of jitter.
 	Rand *rand.Rand
-	// Last tells whether a server is the last live replica of some shard. It
-	// is asked only before a server would become gone.
+	// Last reports whether a server is the last live replica of some shard. It is called only
+	// before a server would become gone. If it is nil, no server counts as a last replica.
 	Last func(view.ServerID) bool
 }
 
-// Table holds the machines of all servers that this VM knows.
+// Table holds the states of all servers that this VM knows.
 type Table struct {
 	cfg      Config
 	machines []machine
@@ -27,19 +27,19 @@
 	actions  []Action
 }
 
-// wake is a server's time; one that is no longer the machine's own is skipped
-// when it comes up.
+// wake is a scheduled wake of a server; it is skipped if the machine has been queued for an earlier
+// time since.
 type wake struct {
 	at time.Duration
 	id view.ServerID
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(cfg Config) *Table {
 	return &Table{cfg: cfg, ids: make(map[string]view.ServerID)}
 }
 
-// Add takes a server; ids are given in order from 0.
+// Add adds a server. Ids must be assigned in order from 0; otherwise Add panics.
 func (tb *Table) Add(id view.ServerID, addr string) {
 	if int(id) != len(tb.machines) {
 		panic("server.Table.Add: ids must be given in order")
@@ -49,37 +49,37 @@
 	tb.ids[addr] = id
 }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (tb *Table) Len() int { return len(tb.machines) }
 
-// Status is what was decided of a server.
+// Status returns the current status of a server.
 func (tb *Table) Status(id view.ServerID) Status {
 	return tb.machines[id].Status
 }
 
-// Calm tells whether a server is well and nothing is held against it, so that
-// its good replies need no counting.
+// Calm reports whether a server is serving without recent failures, so that its successful replies
+// need not be reported.
 func (tb *Table) Calm(id view.ServerID) bool {
 	mc := &tb.machines[id]
-	return mc.State == view.StateServing && mc.failures == 0 && mc.score < calmScore
+	return mc.State == view.StateServing && mc.failures == 0 && mc.score < negligibleScore
 }
 
-// Step takes one event of a server. The actions are valid until the next call.
+// Step handles an event of a server. The actions are valid until the next call of a method.
 func (tb *Table) Step(now time.Duration, id view.ServerID, ev Event) []Action {
 	tb.actions = tb.actions[:0]
 	tb.step(now, id, ev)
 	return tb.actions
 }
 
-// Wake takes the time to every server that is due.
+// Wake steps every server whose wake time has come.
 func (tb *Table) Wake(now time.Duration) []Action {
 	tb.actions = tb.actions[:0]
 	for wk, ok := tb.queue.Pop(now); ok; wk, ok = tb.queue.Pop(now) {
 		mc := &tb.machines[wk.id]
-		if wk.at != mc.queued {
+		if wk.at != mc.queuedWake {
 			continue
 		}
-		mc.queued = never
+		mc.queuedWake = never
 		if mc.wake() > now {
 			tb.enqueue(wk.id)
 			continue
@@ -89,28 +89,28 @@
 	return tb.actions
 }
 
-// Next is when Wake is due; false where nothing waits.
+// Next returns the time at which Wake is due; false if none is scheduled.
 func (tb *Table) Next() (time.Duration, bool) {
 	return tb.queue.Next()
 }
 
-// Learn takes another VM's sign. Signs of servers that the configuration does
-// not know here are dropped: the sender's document is newer, and the server's
-// own refusal tells the same once this VM has it.
+// Learn handles a sign from another VM. Signs of servers that are not in this VM's configuration
+// are dropped: the sender's configuration is newer, and once this VM has it, the server's own
+// refusals show the same.
 func (tb *Table) Learn(now time.Duration, sg Sign) []Action {
 	tb.actions = tb.actions[:0]
 	id, ok := tb.ids[sg.Addr]
 	if !ok {
 		return nil
 	}
-	tb.step(now, id, Event{Kind: Told, Incarnation: sg.Incarnation, Sign: sg.Kind})
+	tb.step(now, id, Event{Kind: SignReceived, Incarnation: sg.Incarnation, Sign: sg.Kind})
 	return tb.actions
 }
 
 func (tb *Table) step(now time.Duration, id view.ServerID, ev Event) {
 	mc := &tb.machines[id]
 	before := mc.Status
-	if tb.cfg.Last != nil && mc.nearlyGone(ev) {
+	if tb.cfg.Last != nil && mc.mayBecomeGone(ev) {
 		ev.last = tb.cfg.Last(id)
 	}
 	ef := mc.handle(now, ev, tb.cfg.Rand)
@@ -124,15 +124,15 @@
 		sg := Sign{Addr: tb.addrs[id], Incarnation: mc.Incarnation, Kind: ef.sign}
 		tb.actions = append(tb.actions, Action{Kind: Spread, ID: id, Sign: sg})
 	}
-	if mc.wake() < mc.queued {
+	if mc.wake() < mc.queuedWake {
 		tb.enqueue(id)
 	}
 }
 
 func (tb *Table) enqueue(id view.ServerID) {
 	mc := &tb.machines[id]
-	mc.queued = mc.wake()
-	if mc.queued != never {
-		tb.queue.Push(mc.queued, wake{at: mc.queued, id: id})
+	mc.queuedWake = mc.wake()
+	if mc.queuedWake != never {
+		tb.queue.Push(mc.queuedWake, wake{at: mc.queuedWake, id: id})
 	}
 }
