--- a/core/pick/bench_test.go
+++ b/core/pick/bench_test.go
@@ -10,7 +10,7 @@
 	"laburnumvane/core/view"
 )
 
-// shardsOf places shards on three servers each.
+// shardsOf returns shards, each with replicas on random servers.
 func shardsOf(servers, replicas int, rnd *rand.Rand) [][]view.ServerID {
 	shards := make([][]view.ServerID, 4096)
 	for i := range shards {
@@ -21,8 +21,8 @@
 	return shards
 }
 
-// One decision and the two updates around it, over registers of three sizes, on
-// shards drawn at random so that the memory of all servers is touched.
+// The cost of one pick and the two updates around it, for registers of several sizes. The shards
+// are random, so that the memory of all servers is accessed.
 func BenchmarkPick(b *testing.B) {
 	for _, bc := range []struct{ servers, replicas int }{{10, 3}, {1000, 3}, {32_000, 3}, {32_000, 16}, {32_000, 100}} {
 		b.Run(fmt.Sprintf("servers=%d/replicas=%d", bc.servers, bc.replicas), func(b *testing.B) {
@@ -30,12 +30,12 @@
 			for i := range list {
 				list[i] = view.Server{ID: view.ServerID(i), DataCentre: []string{"east", "west", "north"}[i%3], State: view.StateServing}
 			}
-			ri := newRig(list...)
+			fx := newFixture(list...)
 			for i := range list {
-				ri.end(view.ServerID(i), 1, pick.Replied, time.Duration(1+ri.rnd.IntN(9))*ms)
+				fx.end(view.ServerID(i), 1, pick.Replied, time.Duration(1+fx.rnd.IntN(9))*ms)
 			}
-			shards := shardsOf(bc.servers, bc.replicas, ri.rnd)
-			ch := ri.tb.Chooser(0, &ri.vw, ri.rnd)
+			shards := shardsOf(bc.servers, bc.replicas, fx.rnd)
+			ch := fx.tb.Chooser(0, &fx.vw, fx.rnd)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
@@ -43,8 +43,8 @@
 				if !ok {
 					b.Fatal("none")
 				}
-				ri.tb.Begin(id)
-				ri.tb.End(0, id, pick.Replied, ms)
+				fx.tb.Begin(id)
+				fx.tb.End(0, id, pick.Replied, ms)
 				i++
 			}
 		})
--- a/core/pick/example_test.go
+++ b/core/pick/example_test.go
@@ -9,7 +9,7 @@
 	"laburnumvane/core/view"
 )
 
-// One of two replicas answers errors at once: the other gets the work.
+// One of two replicas returns errors immediately: the other one gets the work.
 func ExampleChooser_Pick() {
 	vw := view.View{}.WithServers([]view.Server{
 		{ID: 0, DataCentre: "east", State: view.StateServing},
--- a/core/pick/pick.go
+++ b/core/pick/pick.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// window bounds the replicas looked at for one pick: of a longer list so
-	// many are taken, evenly spaced, from a random one on.
-	window = 8
-	// probeShare is one in how many picks may probe a sick replica.
-	probeShare = 16
-	// draws is the number of replicas compared; wideDraws where more than half
-	// look sick, so that a well one among three is always found.
+	// sampleSize bounds the replicas considered for one pick: of a longer list, so many are taken,
+	// evenly spaced from a random start.
+	sampleSize = 8
+	// probeOneIn: one in so many picks may probe a failing replica.
+	probeOneIn = 16
+	// draws is the number of replicas compared, wideDraws if more than half appear to be failing,
+	// so that a healthy one among three is always found.
 	draws     = 2
 	wideDraws = 4
-	// spillFactor is how many times more the own data centre's best must cost
-	// than the best elsewhere before work leaves it.
+	// spillFactor is the ratio between the cost of the best local server and that of the best
+	// remote one above which work goes to the remote one.
 	spillFactor = 2
-	// likeShare of a cost, one fifth, is no difference: without it the whole
-	// work would follow the smallest change of latency.
-	likeShare = 5
-	// hop is added to an unknown latency elsewhere.
-	hop = 2 * time.Millisecond
-	// failurePenalty and refusalPenalty multiply the cost of a server that
-	// fails or refuses all.
+	// costTolerance: a server must be cheaper by one part in costTolerance to be preferred.
+	// Otherwise all work would follow the smallest change of latency.
+	costTolerance = 5
+	// remoteLatency is added to an unknown latency of servers in other data centres.
+	remoteLatency = 2 * time.Millisecond
+	// failurePenalty and refusalPenalty increase the cost, in proportion to the shares of failures
+	// and refusals.
 	failurePenalty = 16
 	refusalPenalty = 4
-	// mostWait keeps the product of wait and penalty within 64 bits.
-	mostWait = int64(time.Hour)
+	// maxWait keeps the product of wait and penalty within 64 bits.
+	maxWait = int64(time.Hour)
 )
 
-// Weights of states whose server has no weight of its own.
+// Default weights by state, for servers without a weight of their own.
 const (
 	coldWeight     = 0.1
 	sheddingWeight = 0.5
@@ -43,137 +43,135 @@
 
 // Chooser picks replicas for one search under one view.
 type Chooser struct {
-	tb      *Table
-	servers []*load
-	vw      *view.View
-	rnd     *rand.Rand
-	now     time.Duration
-	careful bool
+	tb       *Table
+	servers  []*serverStats
+	vw       *view.View
+	rnd      *rand.Rand
+	now      time.Duration
+	noProbes bool
 }
 
-// Chooser makes the chooser of one search.
+// Chooser returns a chooser for one search.
 func (tb *Table) Chooser(now time.Duration, vw *view.View, rnd *rand.Rand) Chooser {
 	return Chooser{tb: tb, servers: *tb.servers.Load(), vw: vw, rnd: rnd, now: now}
 }
 
-// WithoutProbes returns a chooser that never probes a sick server: a
-// sub-request that cannot be sent again must not be the one to find out.
+// WithoutProbes returns a chooser that never probes a failing server. It is for sub-requests that
+// cannot be repeated and so must not be used as probes.
 func (ch Chooser) WithoutProbes() Chooser {
-	ch.careful = true
+	ch.noProbes = true
 	return ch
 }
 
 // candidate is a replica that may be picked.
 type candidate struct {
-	id    view.ServerID
-	ld    *load
-	near  bool
-	sick  bool
-	probe bool
-	thin  bool
-	taken bool
+	id      view.ServerID
+	stats   *serverStats
+	local   bool
+	failing bool
+	probe   bool
+	skipped bool
+	tried   bool
 }
 
-// field is the live replicas looked at for one pick.
-type field struct {
-	all  [window]candidate
-	n    int
-	sick int
-	// probes counts those that are sick or were until lately.
+// candidateSet holds the live replicas considered for one pick.
+type candidateSet struct {
+	list    [sampleSize]candidate
+	n       int
+	failing int
+	// probes counts the servers that are failing or recovering.
 	probes int
 }
 
-// Pick returns a replica that is not leaving and not in tried; false if there
-// is none.
+// Pick returns a replica that is not leaving and not in tried, or false if there is none.
 func (ch Chooser) Pick(replicas, tried []view.ServerID) (view.ServerID, bool) {
-	var fd field
-	open := ch.gather(&fd, replicas, tried)
-	if open == 0 {
+	var cs candidateSet
+	untried := ch.gather(&cs, replicas, tried)
+	if untried == 0 {
 		return 0, false
 	}
-	if open == 1 {
-		return fd.only(), true
+	if untried == 1 {
+		return cs.onlyUntried(), true
 	}
-	if fd.probes > 0 {
-		if id, ok := ch.probe(&fd); ok {
+	if cs.probes > 0 {
+		if id, ok := ch.probe(&cs); ok {
 			return id, true
 		}
 	}
-	// Where more than half look sick, none is left out for it.
-	rule := wellOnly
-	if fd.sick > fd.n/2 {
-		rule = sickToo
+	// If more than half appear to be failing, none is excluded for it.
+	rule := healthyOnly
+	if cs.failing > cs.n/2 {
+		rule = includeFailing
 	}
-	near, nearCost := ch.best(&fd, true, rule)
-	far, farCost := ch.best(&fd, false, rule)
-	if near == nil && far == nil {
-		// Weights and sickness left none: a poor replica is better than an
-		// uncovered shard.
-		near, nearCost = ch.best(&fd, true, anyOpen)
-		far, farCost = ch.best(&fd, false, anyOpen)
+	local, localCost := ch.best(&cs, true, rule)
+	remote, remoteCost := ch.best(&cs, false, rule)
+	if local == nil && remote == nil {
+		// Weights and failures excluded all: a poor replica is better than an uncovered shard.
+		local, localCost = ch.best(&cs, true, anyUntried)
+		remote, remoteCost = ch.best(&cs, false, anyUntried)
 	}
-	if near == nil || far != nil && nearCost > spillFactor*farCost {
-		return far.id, true
+	if local == nil || remote != nil && localCost > spillFactor*remoteCost {
+		return remote.id, true
 	}
-	return near.id, true
+	return local.id, true
 }
 
-// gather fills the field and tells how many of it were not tried yet.
-func (ch Chooser) gather(fd *field, replicas, tried []view.ServerID) int {
-	if len(replicas) <= window {
-		return ch.add(fd, replicas, tried)
+// gather fills the set and returns the number of candidates not tried yet.
+func (ch Chooser) gather(cs *candidateSet, replicas, tried []view.ServerID) int {
+	if len(replicas) <= sampleSize {
+		return ch.add(cs, replicas, tried)
 	}
-	var sample [window]view.ServerID
+	var sample [sampleSize]view.ServerID
 	at := ch.rnd.IntN(len(replicas))
-	// Spaced evenly: a list may be sorted by data centre.
-	step := len(replicas) / window
+	// Even spacing matters because the list may be sorted by data centre.
+	step := len(replicas) / sampleSize
 	for i := range sample {
 		sample[i] = replicas[at%len(replicas)]
 		at += step
 	}
-	if open := ch.add(fd, sample[:], tried); open > 0 {
-		return open
+	if untried := ch.add(cs, sample[:], tried); untried > 0 {
+		return untried
 	}
 	for i := range replicas {
-		*fd = field{}
-		if open := ch.add(fd, replicas[i:i+1], tried); open > 0 {
-			return open
+		*cs = candidateSet{}
+		if untried := ch.add(cs, replicas[i:i+1], tried); untried > 0 {
+			return untried
 		}
 	}
 	return 0
 }
 
-func (ch Chooser) add(fd *field, replicas, tried []view.ServerID) int {
-	open := 0
+func (ch Chooser) add(cs *candidateSet, replicas, tried []view.ServerID) int {
+	untried := 0
 	for _, id := range replicas {
 		sv := ch.vw.ServerRef(id)
 		if sv.State.Leaving() {
 			continue
 		}
-		cd := &fd.all[fd.n]
+		cd := &cs.list[cs.n]
 		cd.id = id
-		cd.ld = ch.servers[id]
-		cd.near = sv.DataCentre == ch.tb.cfg.DataCentre
-		cd.sick = cd.ld.sick()
-		cd.probe = cd.ld.healing.Load()
-		cd.thin = ch.thinned(sv)
-		cd.taken = contains(tried, id)
-		if cd.sick {
-			fd.sick++
+		cd.stats = ch.servers[id]
+		cd.local = sv.DataCentre == ch.tb.cfg.DataCentre
+		cd.failing = cd.stats.failing()
+		cd.probe = cd.stats.recovering.Load()
+		cd.skipped = ch.skipByWeight(sv)
+		cd.tried = contains(tried, id)
+		if cd.failing {
+			cs.failing++
 		}
 		if cd.probe {
-			fd.probes++
+			cs.probes++
 		}
-		if !cd.taken {
-			open++
+		if !cd.tried {
+			untried++
 		}
-		fd.n++
+		cs.n++
 	}
-	return open
+	return untried
 }
 
-// thinned leaves a server of low weight out of some picks.
-func (ch Chooser) thinned(sv *view.Server) bool {
+// skipByWeight reports whether a server of low weight is skipped for this pick, chosen at random.
+func (ch Chooser) skipByWeight(sv *view.Server) bool {
 	weight := weightOf(sv)
 	return weight < 1 && ch.rnd.Float32() >= weight
 }
@@ -194,58 +192,58 @@
 	}
 }
 
-func (fd *field) only() view.ServerID {
-	for i := range fd.n {
-		if !fd.all[i].taken {
-			return fd.all[i].id
+func (cs *candidateSet) onlyUntried() view.ServerID {
+	for i := range cs.n {
+		if !cs.list[i].tried {
+			return cs.list[i].id
 		}
 	}
-	panic("pick: an open candidate was counted and is not there")
+	panic("pick: an untried candidate was counted and is not there")
 }
 
-// probe lets one sub-request through to a server that is or was sick now and
-// then. The server
-// is probed by real work, since one that answers pings may fail searches.
-func (ch Chooser) probe(fd *field) (view.ServerID, bool) {
-	if ch.careful || ch.rnd.IntN(probeShare) != 0 {
+// probe occasionally lets one sub-request through to a failing or recovering server. Real
+// sub-requests serve as probes because a server that answers pings may still fail searches.
+func (ch Chooser) probe(cs *candidateSet) (view.ServerID, bool) {
+	if ch.noProbes || ch.rnd.IntN(probeOneIn) != 0 {
 		return 0, false
 	}
-	for i := range fd.n {
-		cd := &fd.all[i]
-		if cd.probe && !cd.taken && cd.ld.probe(ch.now) {
+	for i := range cs.n {
+		cd := &cs.list[i]
+		if cd.probe && !cd.tried && cd.stats.probe(ch.now) {
 			return cd.id, true
 		}
 	}
 	return 0, false
 }
 
-// rule says which candidates may be drawn.
+// rule selects the candidates that may be drawn.
 type rule uint8
 
 const (
-	wellOnly rule = iota
-	sickToo
-	anyOpen
+	healthyOnly rule = iota
+	includeFailing
+	anyUntried
 )
 
 func (ru rule) allows(cd *candidate) bool {
 	switch ru {
-	case wellOnly:
-		return !cd.taken && !cd.thin && !cd.sick
-	case sickToo:
-		return !cd.taken && !cd.thin
+	case healthyOnly:
+		return !cd.tried && !cd.skipped && !cd.failing
+	case includeFailing:
+		return !cd.tried && !cd.skipped
 	default:
-		return !cd.taken
+		return !cd.tried
 	}
 }
 
-// best compares a few candidates drawn at random, near or far ones.
-func (ch Chooser) best(fd *field, near bool, ru rule) (*candidate, int64) {
-	var list [window]uint8
+// best returns the cheapest of a few candidates drawn at random from the local or the remote ones,
+// and its cost; nil if the rule allows none.
+func (ch Chooser) best(cs *candidateSet, local bool, ru rule) (*candidate, int64) {
+	var list [sampleSize]uint8
 	n := 0
-	for i := range fd.n {
-		cd := &fd.all[i]
-		if cd.near == near && ru.allows(cd) {
+	for i := range cs.n {
+		cd := &cs.list[i]
+		if cd.local == local && ru.allows(cd) {
 			list[n] = uint8(i)
 			n++
 		}
@@ -254,60 +252,61 @@
 		return nil, 0
 	}
 	count := draws
-	if ru != wellOnly {
+	if ru != healthyOnly {
 		count = wideDraws
 	}
-	var won *candidate
+	var cheapest *candidate
 	cost := int64(0)
 	for range min(count, n) {
 		at := ch.rnd.IntN(n)
-		cd := &fd.all[list[at]]
+		cd := &cs.list[list[at]]
 		n--
 		list[at] = list[n]
-		if co := ch.cost(fd, cd); won == nil || co < cost-cost/likeShare {
-			won, cost = cd, co
+		if co := ch.cost(cs, cd); cheapest == nil || co < cost-cost/costTolerance {
+			cheapest, cost = cd, co
 		}
 	}
-	return won, cost
+	return cheapest, cost
 }
 
-// cost is the wait that a new sub-request would see, in nanoseconds.
-func (ch Chooser) cost(fd *field, cd *candidate) int64 {
-	ld := cd.ld
-	latency := ld.latency.Load()
-	failures := ld.failures.Load()
-	refusals := ld.refusals.Load()
-	if halvings := ld.stale(ch.now); halvings > 0 {
+// cost returns the expected wait of a new sub-request, in nanoseconds, including penalties.
+func (ch Chooser) cost(cs *candidateSet, cd *candidate) int64 {
+	st := cd.stats
+	latency := st.latency.Load()
+	failures := st.failures.Load()
+	refusals := st.refusals.Load()
+	if halvings := st.staleHalvings(ch.now); halvings > 0 {
 		failures >>= halvings
 		refusals >>= halvings
-		if best := fd.guess(cd.near); latency > best {
+		if best := cs.assumedLatency(cd.local); latency > best {
 			latency = best + (latency-best)>>halvings
 		}
 	}
 	if latency == 0 {
-		latency = fd.guess(cd.near)
+		latency = cs.assumedLatency(cd.local)
 	}
-	penalty := whole + failurePenalty*failures + refusalPenalty*refusals
-	wait := (ld.inFlight.Load() + 1) * latency
-	return min(wait, mostWait) * penalty / whole
+	penalty := fixedOne + failurePenalty*failures + refusalPenalty*refusals
+	wait := (st.inFlight.Load() + 1) * latency
+	return min(wait, maxWait) * penalty / fixedOne
 }
 
-// guess is the latency taken for a server that has not answered yet, or not for
-// long: that of the best of the others, since only its own replies can tell.
-func (fd *field) guess(near bool) int64 {
+// assumedLatency is the latency assumed for a server that has not answered yet, or not recently:
+// the lowest of all candidates, so that the server is tried and its own replies replace the
+// assumption.
+func (cs *candidateSet) assumedLatency(local bool) int64 {
 	least := int64(math.MaxInt64)
-	for i := range fd.n {
-		if latency := fd.all[i].ld.latency.Load(); latency > 0 {
+	for i := range cs.n {
+		if latency := cs.list[i].stats.latency.Load(); latency > 0 {
 			least = min(least, latency)
 		}
 	}
 	if least == math.MaxInt64 {
 		least = int64(time.Millisecond)
 	}
-	if near {
+	if local {
 		return least
 	}
-	return least + int64(hop)
+	return least + int64(remoteLatency)
 }
 
 func contains(ids []view.ServerID, id view.ServerID) bool {
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -14,42 +14,42 @@
 
 const ms = time.Millisecond
 
-// rig is a table over servers 0, 1, ... and one shard that they all hold.
-type rig struct {
-	tb  *pick.Table
-	vw  view.View
-	rnd *rand.Rand
-	all []view.ServerID
-	now time.Duration
+// fixture is a table with servers 0, 1, ... and one shard that all of them hold.
+type fixture struct {
+	tb    *pick.Table
+	vw    view.View
+	rnd   *rand.Rand
+	shard []view.ServerID
+	now   time.Duration
 }
 
-func newRig(servers ...view.Server) *rig {
-	ri := &rig{tb: pick.New(pick.Config{DataCentre: "east"}), rnd: rand.New(rand.NewPCG(1, 2))}
+func newFixture(servers ...view.Server) *fixture {
+	fx := &fixture{tb: pick.New(pick.Config{DataCentre: "east"}), rnd: rand.New(rand.NewPCG(1, 2))}
 	for i := range servers {
 		servers[i].ID = view.ServerID(i)
-		ri.all = append(ri.all, servers[i].ID)
+		fx.shard = append(fx.shard, servers[i].ID)
 	}
-	ri.vw = ri.vw.WithServers(servers)
-	ri.tb.Grow(len(servers))
-	return ri
+	fx.vw = fx.vw.WithServers(servers)
+	fx.tb.Grow(len(servers))
+	return fx
 }
 
 func east(st view.State) view.Server { return view.Server{DataCentre: "east", State: st} }
 func west() view.Server              { return view.Server{DataCentre: "west", State: view.StateServing} }
 
-func (ri *rig) end(id view.ServerID, n int, rs pick.Result, latency time.Duration) {
+func (fx *fixture) end(id view.ServerID, n int, rs pick.Result, latency time.Duration) {
 	for range n {
-		ri.tb.Begin(id)
-		ri.tb.End(ri.now, id, rs, latency)
+		fx.tb.Begin(id)
+		fx.tb.End(fx.now, id, rs, latency)
 	}
 }
 
-// shares is how often each server is picked, of a thousand.
-func (ri *rig) shares(tried ...view.ServerID) map[view.ServerID]int {
+// pickCounts returns how often each server is chosen in 1000 picks.
+func (fx *fixture) pickCounts(tried ...view.ServerID) map[view.ServerID]int {
 	counts := make(map[view.ServerID]int)
-	ch := ri.tb.Chooser(ri.now, &ri.vw, ri.rnd).WithoutProbes()
+	ch := fx.tb.Chooser(fx.now, &fx.vw, fx.rnd).WithoutProbes()
 	for range 1000 {
-		if id, ok := ch.Pick(ri.all, tried); ok {
+		if id, ok := ch.Pick(fx.shard, tried); ok {
 			counts[id]++
 		}
 	}
@@ -62,173 +62,173 @@
 		name    string
 		servers []view.Server
 		tried   []view.ServerID
-		before  func(ri *rig)
-		// least and most bound the picks of a thousand, by server.
-		least []int
-		most  []int
+		before  func(fx *fixture)
+		// lower and upper bound the number of picks of each server, out of 1000.
+		lower []int
+		upper []int
 	}{
 		{
-			name:    "equals share",
+			name:    "equal servers share evenly",
 			servers: []view.Server{east(serving), east(serving), east(serving)},
-			least:   []int{250, 250, 250},
-			most:    []int{420, 420, 420},
+			lower:   []int{250, 250, 250},
+			upper:   []int{420, 420, 420},
 		},
 		{
-			name:    "own data centre first",
+			name:    "local data centre first",
 			servers: []view.Server{west(), east(serving), west()},
-			most:    []int{0, 1000, 0},
+			upper:   []int{0, 1000, 0},
 		},
 		{
-			name:    "none near",
+			name:    "no local server",
 			servers: []view.Server{west(), west()},
-			least:   []int{400, 400},
-			most:    []int{600, 600},
+			lower:   []int{400, 400},
+			upper:   []int{600, 600},
 		},
 		{
 			name:    "leaving servers get nothing",
 			servers: []view.Server{east(view.StateDraining), east(view.StateGone), west()},
-			most:    []int{0, 0, 1000},
+			upper:   []int{0, 0, 1000},
 		},
 		{
-			name:    "all leave",
+			name:    "all are leaving",
 			servers: []view.Server{east(view.StateDraining), east(view.StateGone)},
-			most:    []int{0, 0},
+			upper:   []int{0, 0},
 		},
 		{
-			name:    "tried ones are passed over",
+			name:    "tried servers are skipped",
 			servers: []view.Server{east(serving), east(serving), west()},
 			tried:   []view.ServerID{0, 1},
-			most:    []int{0, 0, 1000},
+			upper:   []int{0, 0, 1000},
 		},
 		{
-			name:    "a busy server waits",
+			name:    "a busy server is avoided",
 			servers: []view.Server{east(serving), east(serving)},
-			before: func(ri *rig) {
+			before: func(fx *fixture) {
 				for range 5 {
-					ri.tb.Begin(0)
+					fx.tb.Begin(0)
 				}
 			},
-			most: []int{0, 1000},
+			upper: []int{0, 1000},
 		},
 		{
 			name:    "a slow server is avoided",
 			servers: []view.Server{east(serving), east(serving)},
-			before: func(ri *rig) {
-				ri.end(0, 50, pick.Replied, 100*ms)
-				ri.end(1, 50, pick.Replied, 5*ms)
+			before: func(fx *fixture) {
+				fx.end(0, 50, pick.Replied, 100*ms)
+				fx.end(1, 50, pick.Replied, 5*ms)
 			},
-			most: []int{0, 1000},
+			upper: []int{0, 1000},
 		},
 		{
-			name:    "near ones a little worse keep the work",
+			name:    "slightly slower local servers keep the work",
 			servers: []view.Server{east(serving), west()},
-			before: func(ri *rig) {
-				ri.end(0, 50, pick.Replied, 7*ms)
-				ri.end(1, 50, pick.Replied, 5*ms)
+			before: func(fx *fixture) {
+				fx.end(0, 50, pick.Replied, 7*ms)
+				fx.end(1, 50, pick.Replied, 5*ms)
 			},
-			most: []int{1000, 0},
+			upper: []int{1000, 0},
 		},
 		{
-			name:    "near ones clearly worse spill",
+			name:    "much slower local servers lose the work",
 			servers: []view.Server{east(serving), west()},
-			before: func(ri *rig) {
-				ri.end(0, 50, pick.Replied, 30*ms)
-				ri.end(1, 50, pick.Replied, 5*ms)
+			before: func(fx *fixture) {
+				fx.end(0, 50, pick.Replied, 30*ms)
+				fx.end(1, 50, pick.Replied, 5*ms)
 			},
-			most: []int{0, 1000},
+			upper: []int{0, 1000},
 		},
 		{
-			name:    "a cold server gets a trickle",
+			name:    "a cold server gets little work",
 			servers: []view.Server{east(view.StateCold), east(serving)},
-			least:   []int{20, 850},
-			most:    []int{150, 980},
+			lower:   []int{20, 850},
+			upper:   []int{150, 980},
 		},
 		{
-			name:    "a ramping server gets its weight",
+			name:    "a ramping server gets work by its weight",
 			servers: []view.Server{{DataCentre: "east", State: serving, Weight: 0.5}, east(serving)},
-			least:   []int{180, 650},
-			most:    []int{350, 820},
+			lower:   []int{180, 650},
+			upper:   []int{350, 820},
 		},
 		{
-			name:    "only cold ones: better than none",
+			name:    "cold servers are used if there are no others",
 			servers: []view.Server{east(view.StateCold), east(view.StateCold)},
-			least:   []int{300, 300},
-			most:    []int{700, 700},
+			lower:   []int{300, 300},
+			upper:   []int{700, 700},
 		},
 		{
-			name:    "fast errors attract nothing",
+			name:    "fast errors attract no work",
 			servers: []view.Server{east(serving), east(serving), east(serving)},
-			before: func(ri *rig) {
-				ri.end(1, 50, pick.Replied, 5*ms)
-				ri.end(2, 50, pick.Replied, 5*ms)
-				ri.end(0, 50, pick.Replied, 5*ms)
-				ri.end(0, 8, pick.Failed, 0)
+			before: func(fx *fixture) {
+				fx.end(1, 50, pick.Replied, 5*ms)
+				fx.end(2, 50, pick.Replied, 5*ms)
+				fx.end(0, 50, pick.Replied, 5*ms)
+				fx.end(0, 8, pick.Failed, 0)
 			},
-			least: []int{0, 400, 400},
-			most:  []int{0, 600, 600},
+			lower: []int{0, 400, 400},
+			upper: []int{0, 600, 600},
 		},
 		{
-			name:    "shedding attracts less",
+			name:    "a shedding server gets less",
 			servers: []view.Server{east(serving), east(serving)},
-			before: func(ri *rig) {
-				ri.end(0, 20, pick.Replied, 5*ms)
-				ri.end(1, 20, pick.Replied, 5*ms)
-				ri.end(0, 4, pick.Refused, 0)
+			before: func(fx *fixture) {
+				fx.end(0, 20, pick.Replied, 5*ms)
+				fx.end(1, 20, pick.Replied, 5*ms)
+				fx.end(0, 4, pick.Refused, 0)
 			},
-			most: []int{0, 1000},
+			upper: []int{0, 1000},
 		},
 		{
-			name:    "sick near, well far",
+			name:    "failing local, healthy remote",
 			servers: []view.Server{east(serving), west(), west()},
-			before:  func(ri *rig) { ri.end(0, 20, pick.Failed, 0) },
-			least:   []int{0, 400, 400},
-			most:    []int{0, 600, 600},
+			before:  func(fx *fixture) { fx.end(0, 20, pick.Failed, 0) },
+			lower:   []int{0, 400, 400},
+			upper:   []int{0, 600, 600},
 		},
 		{
-			name:    "two of three sick: the well one is found",
+			name:    "two of three failing: the healthy one is found",
 			servers: []view.Server{east(serving), east(serving), east(serving)},
-			before: func(ri *rig) {
-				ri.end(0, 20, pick.Failed, 0)
-				ri.end(1, 20, pick.Failed, 0)
-				ri.end(2, 20, pick.Replied, 5*ms)
+			before: func(fx *fixture) {
+				fx.end(0, 20, pick.Failed, 0)
+				fx.end(1, 20, pick.Failed, 0)
+				fx.end(2, 20, pick.Replied, 5*ms)
 			},
-			most: []int{0, 0, 1000},
+			upper: []int{0, 0, 1000},
 		},
 		{
-			name:    "all sick: the signal is wrong, all serve",
+			name:    "all failing: none is excluded",
 			servers: []view.Server{east(serving), east(serving), east(serving)},
-			before: func(ri *rig) {
+			before: func(fx *fixture) {
 				for id := range view.ServerID(3) {
-					ri.end(id, 20, pick.Failed, 0)
+					fx.end(id, 20, pick.Failed, 0)
 				}
-				// What one is given makes it the dearest.
+				// Each sub-request in flight raises a server's cost, so that they alternate.
 			},
-			least: []int{200, 200, 200},
-			most:  []int{470, 470, 470},
+			lower: []int{200, 200, 200},
+			upper: []int{470, 470, 470},
 		},
 		{
-			name:    "only a sick one is left to try",
+			name:    "only a failing server is left to try",
 			servers: []view.Server{east(serving), east(serving), east(serving)},
 			tried:   []view.ServerID{1, 2},
-			before:  func(ri *rig) { ri.end(0, 20, pick.Failed, 0) },
-			most:    []int{1000, 0, 0},
+			before:  func(fx *fixture) { fx.end(0, 20, pick.Failed, 0) },
+			upper:   []int{1000, 0, 0},
 		},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			ri := newRig(tc.servers...)
+			fx := newFixture(tc.servers...)
 			if tc.before != nil {
-				tc.before(ri)
+				tc.before(fx)
 			}
-			got := ri.shares(tc.tried...)
+			got := fx.pickCounts(tc.tried...)
 			sum := 0
-			for id, most := range tc.most {
+			for id, upper := range tc.upper {
 				n := got[view.ServerID(id)]
-				sum += most
-				is.True(n <= most)
-				if tc.least != nil {
-					is.True(n >= tc.least[id])
+				sum += upper
+				is.True(n <= upper)
+				if tc.lower != nil {
+					is.True(n >= tc.lower[id])
 				}
 			}
 			if sum == 0 {
@@ -238,56 +238,55 @@
 	}
 }
 
-// One of three servers answers errors at once from some moment on. Its share of
-// the work falls to the probes, a few a second, and comes back when it is well.
+// One of three servers starts to return errors immediately. It must get only probes, a few per
+// second at most, and regain its share once it is healthy.
 func TestFastErrors(t *testing.T) {
 	is := is.New(t)
-	ri := newRig(east(view.StateServing), east(view.StateServing), east(view.StateServing))
+	fx := newFixture(east(view.StateServing), east(view.StateServing), east(view.StateServing))
 	bad := 0
 	run := func(n int, broken bool) int {
 		bad = 0
 		for range n {
-			ri.now += ms
-			id, ok := ri.tb.Chooser(ri.now, &ri.vw, ri.rnd).Pick(ri.all, nil)
+			fx.now += ms
+			id, ok := fx.tb.Chooser(fx.now, &fx.vw, fx.rnd).Pick(fx.shard, nil)
 			is.True(ok)
 			if id == 0 {
 				bad++
 			}
 			if id == 0 && broken {
-				ri.end(id, 1, pick.Failed, 0)
+				fx.end(id, 1, pick.Failed, 0)
 			} else {
-				ri.end(id, 1, pick.Replied, 5*ms)
+				fx.end(id, 1, pick.Replied, 5*ms)
 			}
 		}
 		return bad
 	}
 	is.True(run(1000, false) > 250)
-	ri.end(0, 8, pick.Failed, 0) // what was in flight when it broke
-	is.True(ri.tb.Sick(0))
-	is.True(run(10_000, true) <= 7) // in 10 s, each wait twice the one before, up to 4 s
-	is.True(ri.tb.Sick(0))
+	fx.end(0, 8, pick.Failed, 0) // in flight when it started to fail
+	is.True(fx.tb.Sick(0))
+	is.True(run(10_000, true) <= 7) // in 10 s, with a probe interval that doubles up to 4 s
+	is.True(fx.tb.Sick(0))
 	run(6000, false)
-	is.True(!ri.tb.Sick(0))
+	is.True(!fx.tb.Sick(0))
 	is.True(run(3000, false) > 700)
 }
 
-// The same without a burst: it never looks sick, since the first few failures
-// make it too dear to be drawn. What is held against it fades, so that it is
-// tried again every few seconds, and it gets its share back once it is well.
-func TestDearServerIsTriedAgain(t *testing.T) {
+// A server becomes slow without failing, and so too expensive to be picked. Old observations lose
+// weight, so that it is tried again every few seconds and regains its share once it is fast.
+func TestExpensiveServerIsTriedAgain(t *testing.T) {
 	is := is.New(t)
-	ri := newRig(east(view.StateServing), east(view.StateServing), east(view.StateServing))
+	fx := newFixture(east(view.StateServing), east(view.StateServing), east(view.StateServing))
 	run := func(n int, latency time.Duration) int {
 		got := 0
 		for range n {
-			ri.now += ms
-			id, _ := ri.tb.Chooser(ri.now, &ri.vw, ri.rnd).Pick(ri.all, nil)
+			fx.now += ms
+			id, _ := fx.tb.Chooser(fx.now, &fx.vw, fx.rnd).Pick(fx.shard, nil)
 			if id != 0 {
-				ri.end(id, 1, pick.Replied, 5*ms)
+				fx.end(id, 1, pick.Replied, 5*ms)
 				continue
 			}
 			got++
-			ri.end(id, 1, pick.Replied, latency)
+			fx.end(id, 1, pick.Replied, latency)
 		}
 		return got
 	}
@@ -297,9 +296,8 @@
 	is.True(run(3000, 5*ms) > 700)
 }
 
-// Whatever was seen, a pick is a replica that neither leaves nor was tried, and
-// there is one if any such is left; at most half of the live replicas are left
-// out for sickness.
+// Whatever was observed, a pick is a replica that neither leaves nor was tried, and one is found as
+// long as any is left.
 func TestPickProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "replicas")
@@ -310,27 +308,27 @@
 				State:      view.State(rapid.IntRange(0, 6).Draw(rt, "state")),
 			}
 		}
-		ri := newRig(servers...)
+		fx := newFixture(servers...)
 		for id := range view.ServerID(n) {
-			ri.end(id, rapid.IntRange(0, 12).Draw(rt, "replies"), pick.Replied, ms)
-			ri.end(id, rapid.IntRange(0, 12).Draw(rt, "failures"), pick.Failed, 0)
+			fx.end(id, rapid.IntRange(0, 12).Draw(rt, "replies"), pick.Replied, ms)
+			fx.end(id, rapid.IntRange(0, 12).Draw(rt, "failures"), pick.Failed, 0)
 		}
 		var tried []view.ServerID
 		for range n + 1 {
 			left := 0
 			for id := range view.ServerID(n) {
-				if !servers[id].State.Leaving() && !isIn(tried, id) {
+				if !servers[id].State.Leaving() && !contains(tried, id) {
 					left++
 				}
 			}
-			id, ok := ri.tb.Chooser(ri.now, &ri.vw, ri.rnd).Pick(ri.all, tried)
+			id, ok := fx.tb.Chooser(fx.now, &fx.vw, fx.rnd).Pick(fx.shard, tried)
 			if ok != (left > 0) {
 				rt.Fatalf("picked: %v, left: %d", ok, left)
 			}
 			if !ok {
 				return
 			}
-			if servers[id].State.Leaving() || isIn(tried, id) {
+			if servers[id].State.Leaving() || contains(tried, id) {
 				rt.Fatalf("picked %d of tried %v", id, tried)
 			}
 			tried = append(tried, id)
@@ -338,44 +336,44 @@
 	})
 }
 
-// The well replicas are crowded. With up to half of a shard's replicas sick,
-// those are left out all the same; with more, they share the work, for to crowd
-// the few others further would turn a partial fault into a whole one.
-func TestNeverMostLeftOut(t *testing.T) {
+// The healthy replicas are busy. With up to half of a shard's replicas failing, these are excluded
+// all the same. With more, they share the work, because overloading the few others would turn a
+// partial failure into a complete one.
+func TestFailingExcludedOnlyUpToHalf(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 8).Draw(rt, "replicas")
-		sick := rapid.IntRange(0, n).Draw(rt, "sick")
+		failing := rapid.IntRange(0, n).Draw(rt, "failing")
 		servers := make([]view.Server, n)
 		for i := range servers {
 			servers[i] = east(view.StateServing)
 		}
-		ri := newRig(servers...)
+		fx := newFixture(servers...)
 		for id := range view.ServerID(n) {
-			if int(id) < sick {
-				ri.end(id, 20, pick.Failed, 0)
+			if int(id) < failing {
+				fx.end(id, 20, pick.Failed, 0)
 				continue
 			}
 			for range 100 {
-				ri.tb.Begin(id)
+				fx.tb.Begin(id)
 			}
 		}
-		got := ri.shares()
+		got := fx.pickCounts()
 		for id := range view.ServerID(n) {
-			isSick := int(id) < sick
-			if sick*2 <= n && isSick && got[id] > 0 {
-				rt.Fatalf("%d of %d sick, picked %v", sick, n, got)
+			isFailing := int(id) < failing
+			if failing*2 <= n && isFailing && got[id] > 0 {
+				rt.Fatalf("%d of %d failing, picked %v", failing, n, got)
 			}
-			if sick*2 > n && isSick && got[id] == 0 {
-				rt.Fatalf("%d of %d sick, left out: %v", sick, n, got)
+			if failing*2 > n && isFailing && got[id] == 0 {
+				rt.Fatalf("%d of %d failing, excluded: %v", failing, n, got)
 			}
-			if sick*2 <= n && !isSick && got[id] == 0 {
-				rt.Fatalf("%d of %d sick, a well one left out: %v", sick, n, got)
+			if failing*2 <= n && !isFailing && got[id] == 0 {
+				rt.Fatalf("%d of %d failing, a healthy one excluded: %v", failing, n, got)
 			}
 		}
 	})
 }
 
-func isIn(ids []view.ServerID, id view.ServerID) bool {
+func contains(ids []view.ServerID, id view.ServerID) bool {
 	for _, other := range ids {
 		if other == id {
 			return true
--- a/core/pick/table.go
+++ b/core/pick/table.go
@@ -8,195 +8,196 @@
 )
 
 const (
-	// averageWeight is the weight of the newest value in moving averages.
+	// averageWeight is the divisor of the moving averages: a new value counts for one part in so
+	// many.
 	averageWeight int64 = 8
-	// whole is the share 1 as a whole number.
-	whole = 1 << 16
-	// sickShare of failures makes a server sick: six failures in a row, or a
-	// larger number among successes.
-	sickShare = whole / 2
-	// healFactor divides the share of failures of a server that was sick with
-	// each success, until it is below healedShare: some three probes, less
-	// than a second, after it is well it has its work again.
-	healFactor  = 4
-	healedShare = whole / 64
-	// probeEvery is the least time between the first probes of a sick server;
-	// it doubles with each that fails, up to sixteen times.
-	probeEvery    = 250 * time.Millisecond
-	mostDoublings = 4
-	// forgetEvery is the time in which what is held against a server that gets
-	// no work is halved.
-	forgetEvery  = time.Second
-	mostHalvings = 32
+	// fixedOne represents 1 in fixed-point numbers.
+	fixedOne = 1 << 16
+	// failingShare is the share of failures from which a server counts as failing: six failures in
+	// a row, or more among successes.
+	failingShare = fixedOne / 2
+	// recoveryDivisor divides a recovering server's share of failures with each success, until it
+	// is below recoveredShare. After about three successful probes, in less than a second, the
+	// server gets its full work again.
+	recoveryDivisor = 4
+	recoveredShare  = fixedOne / 64
+	// minProbeInterval is the first interval between probes of a failing server; it doubles with
+	// each failed probe, up to a factor of sixteen.
+	minProbeInterval  = 250 * time.Millisecond
+	maxProbeDoublings = 4
+	// halfLife is the time in which the bad record of a server without work is halved.
+	halfLife    = time.Second
+	maxHalvings = 32
 )
 
-// Config sets a table.
+// Config configures a Table.
 type Config struct {
-	// DataCentre is where this VM stands; its servers go first.
+	// DataCentre is the data centre of this VM; its servers are preferred.
 	DataCentre string
 }
 
-// Result is what the end of a sub-request shows of its server.
+// Result is the outcome of a sub-request as far as it concerns its server.
 type Result uint8
 
 // Results of a sub-request.
 const (
-	// Nothing: it never reached the server, or was given up.
+	// Nothing: it never reached the server, or was abandoned.
 	Nothing Result = iota
-	// Replied: the server did the work.
+	// Replied: the server executed the sub-request.
 	Replied
-	// Refused: the server said that it has no room.
+	// Refused: the server refused it for lack of capacity.
 	Refused
-	// Failed: no usable reply.
+	// Failed: there was no usable reply.
 	Failed
 )
 
-// Table holds what this VM knows of each server.
+// Table holds this VM's observations of each server.
 type Table struct {
 	cfg     Config
-	servers atomic.Pointer[[]*load]
+	servers atomic.Pointer[[]*serverStats]
 }
 
-// load is one server's state. Averages are read and written without a lock: of
-// two updates at once one may be lost, which an average survives.
-type load struct {
+// serverStats holds the observations of one server. Averages are updated without a lock: of two
+// concurrent updates one may be lost, which a moving average tolerates.
+type serverStats struct {
 	inFlight atomic.Int64
 	latency  atomic.Int64
 	failures atomic.Int64
 	refusals atomic.Int64
 	probeAt  atomic.Int64
-	// ended is when a sub-request last ended.
-	ended atomic.Int64
-	// healing is set from the time it was sick until it is well.
-	healing atomic.Bool
-	// probes counts those since a sub-request last went well.
+	// lastEnd is when the last sub-request ended.
+	lastEnd atomic.Int64
+	// recovering is set when the server starts to fail and cleared once it has recovered.
+	recovering atomic.Bool
+	// probes counts the probes since the last successful sub-request.
 	probes atomic.Int32
-	// The rest keeps two servers' counters off one cache line.
+	// The padding keeps the counters of two servers on separate cache lines.
 	_ [8]byte
 }
 
-// New makes a table without servers.
+// New returns a table without servers.
 func New(cfg Config) *Table {
 	tb := &Table{cfg: cfg}
-	tb.servers.Store(&[]*load{})
+	tb.servers.Store(&[]*serverStats{})
 	return tb
 }
 
-// Grow makes room for n servers. Only the control goroutine calls it.
+// Grow extends the table to n servers. It must not be called concurrently with itself.
 func (tb *Table) Grow(n int) {
 	old := *tb.servers.Load()
 	if n <= len(old) {
 		return
 	}
-	grown := make([]*load, n)
+	grown := make([]*serverStats, n)
 	copy(grown, old)
 	for i := len(old); i < n; i++ {
-		grown[i] = new(load)
+		grown[i] = new(serverStats)
 	}
 	tb.servers.Store(&grown)
 }
 
-// Begin counts a sub-request as in flight on a server.
+// Begin counts a sub-request in flight to a server. End must be called once for each.
 func (tb *Table) Begin(id view.ServerID) {
-	tb.of(id).inFlight.Add(1)
+	tb.stats(id).inFlight.Add(1)
 }
 
-// End settles a sub-request. The latency counts only with Replied.
+// End records the outcome of a sub-request. The latency is used only with Replied.
 func (tb *Table) End(now time.Duration, id view.ServerID, rs Result, latency time.Duration) {
-	ld := tb.of(id)
-	ld.inFlight.Add(-1)
-	halvings := ld.stale(now)
-	ld.ended.Store(int64(now))
+	st := tb.stats(id)
+	st.inFlight.Add(-1)
+	halvings := st.staleHalvings(now)
+	st.lastEnd.Store(int64(now))
 	switch rs {
 	case Replied:
-		ld.replied(latency, max(1, averageWeight>>halvings))
+		st.recordReply(latency, max(1, averageWeight>>halvings))
 	case Refused:
-		average(&ld.refusals, whole, averageWeight)
+		updateAverage(&st.refusals, fixedOne, averageWeight)
 	case Failed:
-		ld.failed(now)
+		st.recordFailure(now)
 	case Nothing:
 	}
 }
 
-// replied takes a reply; weight is 1 where nothing was heard for long, so that
-// what is old counts for nothing.
-func (ld *load) replied(latency time.Duration, weight int64) {
-	if ld.healing.Load() {
-		ld.heal()
+// recordReply records a reply; weight is 1 after a long time without sub-requests, so that old
+// values are discarded.
+func (st *serverStats) recordReply(latency time.Duration, weight int64) {
+	if st.recovering.Load() {
+		st.recordRecovery()
 	} else {
-		average(&ld.failures, 0, weight)
+		updateAverage(&st.failures, 0, weight)
 	}
-	average(&ld.refusals, 0, weight)
-	if ld.latency.Load() == 0 {
+	updateAverage(&st.refusals, 0, weight)
+	if st.latency.Load() == 0 {
 		weight = 1
 	}
-	average(&ld.latency, max(1, int64(latency)), weight)
+	updateAverage(&st.latency, max(1, int64(latency)), weight)
 }
 
-func (ld *load) heal() {
-	ld.probes.Store(0)
-	left := ld.failures.Load() / healFactor
-	ld.failures.Store(left)
-	if left < healedShare {
-		ld.healing.Store(false)
+func (st *serverStats) recordRecovery() {
+	st.probes.Store(0)
+	left := st.failures.Load() / recoveryDivisor
+	st.failures.Store(left)
+	if left < recoveredShare {
+		st.recovering.Store(false)
 	}
 }
 
-func (ld *load) failed(now time.Duration) {
-	average(&ld.failures, whole, averageWeight)
-	if ld.sick() {
-		ld.healing.Store(true)
-		ld.probeAt.Store(int64(now + ld.probeWait()))
+func (st *serverStats) recordFailure(now time.Duration) {
+	updateAverage(&st.failures, fixedOne, averageWeight)
+	if st.failing() {
+		st.recovering.Store(true)
+		st.probeAt.Store(int64(now + st.probeInterval()))
 	}
 }
 
-// average moves a value towards the newest one.
-func average(val *atomic.Int64, newest, weight int64) {
+// updateAverage moves an average towards the newest value.
+func updateAverage(val *atomic.Int64, newest, weight int64) {
 	old := val.Load()
 	val.Store(old + (newest-old)/weight)
 }
 
-func (ld *load) sick() bool {
-	return ld.failures.Load() >= sickShare
+func (st *serverStats) failing() bool {
+	return st.failures.Load() >= failingShare
 }
 
-// probe tells whether this is the one sub-request allowed through for now.
-func (ld *load) probe(now time.Duration) bool {
-	at := ld.probeAt.Load()
-	if int64(now) < at || !ld.probeAt.CompareAndSwap(at, int64(now+ld.probeWait())) {
+// probe reports whether this sub-request may probe the server now; it is true for one caller per
+// interval.
+func (st *serverStats) probe(now time.Duration) bool {
+	at := st.probeAt.Load()
+	if int64(now) < at || !st.probeAt.CompareAndSwap(at, int64(now+st.probeInterval())) {
 		return false
 	}
-	ld.probes.Add(1)
+	st.probes.Add(1)
 	return true
 }
 
-func (ld *load) probeWait() time.Duration {
-	return probeEvery << min(ld.probes.Load(), mostDoublings)
+func (st *serverStats) probeInterval() time.Duration {
+	return minProbeInterval << min(st.probes.Load(), maxProbeDoublings)
 }
 
-// stale is how often what is bad about a server is to be halved because nothing
-// was heard from it lately. Without it one that looked a little worse than the
-// others once would never be drawn again, and so never look better.
-func (ld *load) stale(now time.Duration) int64 {
-	quiet := int64(now) - ld.ended.Load()
-	return min(max(0, quiet/int64(forgetEvery)), mostHalvings)
+// staleHalvings returns how often the bad record of a server is to be halved because of the time
+// without sub-requests to it. Without this, a server that once looked slightly worse than the
+// others would never be picked again, and so never look better.
+func (st *serverStats) staleHalvings(now time.Duration) int64 {
+	idle := int64(now) - st.lastEnd.Load()
+	return min(max(0, idle/int64(halfLife)), maxHalvings)
 }
 
-// InFlight is the number of sub-requests in flight on a server from this VM.
+// InFlight returns the number of sub-requests of this VM in flight to a server.
 func (tb *Table) InFlight(id view.ServerID) int {
-	return int(tb.of(id).inFlight.Load())
+	return int(tb.stats(id).inFlight.Load())
 }
 
-// Latency is the moving average of a server's latency; 0 means none seen.
+// Latency returns the moving average of a server's latency; 0 if there is none yet.
 func (tb *Table) Latency(id view.ServerID) time.Duration {
-	return time.Duration(tb.of(id).latency.Load())
+	return time.Duration(tb.stats(id).latency.Load())
 }
 
-// Sick tells whether a server failed most sub-requests lately.
+// Sick reports whether a server failed most recent sub-requests.
 func (tb *Table) Sick(id view.ServerID) bool {
-	return tb.of(id).sick()
+	return tb.stats(id).failing()
 }
 
-func (tb *Table) of(id view.ServerID) *load {
+func (tb *Table) stats(id view.ServerID) *serverStats {
 	return (*tb.servers.Load())[id]
 }
