--- a/core/change/decode.go
+++ b/core/change/decode.go
@@ -10,32 +10,31 @@
 	"laburnumvane/core/press"
 )
 
-// Decode reads a value. It is strict: a proposer writes the whole value back,
-// so that a field it does not know would be lost to the newer build that wrote
-// it.
+// Decode parses a value. It rejects unknown fields: a proposer writes the whole value back, so a
+// field it does not know would be lost to the newer build that wrote it.
 func Decode(raw []byte) (Envelope, error) {
 	var head struct {
 		Format int `json:"format"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return Envelope{}, corrupt(err)
+		return Envelope{}, corruptError(err)
 	}
 	if head.Format > format {
 		return Envelope{}, &Error{Op: "change.Decode", Kind: KindNewer, Err: errors.Errorf("format %d, this build reads %d", head.Format, format)}
 	}
 	var va value
-	if err := strict(raw, &va); err != nil {
-		return Envelope{}, corrupt(err)
+	if err := decodeStrict(raw, &va); err != nil {
+		return Envelope{}, corruptError(err)
 	}
 	en, err := va.envelope()
 	if err != nil {
-		return Envelope{}, corrupt(err)
+		return Envelope{}, corruptError(err)
 	}
 	return en, nil
 }
 
-// strict reads exactly one JSON value without unknown fields.
-func strict(raw []byte, into any) error {
+// decodeStrict parses exactly one JSON value without unknown fields.
+func decodeStrict(raw []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
@@ -63,8 +62,8 @@
 	return en, en.check()
 }
 
-// maxPast bounds what a deflated past may grow to. It is twice what Encode can
-// put in, so that no value it wrote is refused.
+// maxPast bounds the decompressed size of the past. It is twice what Encode can produce, so that no
+// value written by Encode is rejected.
 const maxPast = 2 * (documentBytes + idLimit*(maxIDLen+maxActorLen+256))
 
 func inflate(past []byte) ([]Entry, error) {
@@ -76,10 +75,10 @@
 		return nil, err
 	}
 	var ets []Entry
-	return ets, strict(raw, &ets)
+	return ets, decodeStrict(raw, &ets)
 }
 
-func corrupt(err error) error {
+func corruptError(err error) error {
 	return &Error{Op: "change.Decode", Kind: KindCorrupt, Err: err}
 }
 
@@ -88,18 +87,18 @@
 		return errors.New("the change in force has no document")
 	}
 	ids := make(map[string]bool, len(en.Changes))
-	above := uint64(0)
+	previous := uint64(0)
 	for i, et := range en.Changes {
 		switch {
 		case et.ID == "" || ids[et.ID]:
 			return errors.Errorf("change %d: id %q is empty or stands twice", i, et.ID)
 		case et.Revision <= en.Cut:
 			return errors.Errorf("change %d: revision %d is not above the cut", i, et.Revision)
-		case i > 0 && et.Revision >= above:
+		case i > 0 && et.Revision >= previous:
 			return errors.Errorf("change %d: revision %d is not below the one before", i, et.Revision)
 		}
 		ids[et.ID] = true
-		above = et.Revision
+		previous = et.Revision
 	}
 	return nil
 }
--- a/core/change/encode.go
+++ b/core/change/encode.go
@@ -9,18 +9,18 @@
 
 const format = 1
 
-// value is an envelope as the service holds it. The past is compressed: each
-// watching VM gets the whole value with every change, and the documents of one
-// team differ in a few lines.
+// value is the stored form of an Envelope. The past is compressed, because each watching VM
+// receives the whole value with every change, and the documents of one team differ in a few lines
+// only.
 type value struct {
 	Format  int    `json:"format"`
 	Current *Entry `json:"current,omitempty"`
-	// Past is the deflated JSON array of the changes before, newest first.
+	// Past is the deflated JSON array of the earlier changes, newest first.
 	Past []byte `json:"past,omitempty"`
 	Cut  uint64 `json:"cut,omitempty"`
 }
 
-// Encode writes the value.
+// Encode returns the stored form of the envelope.
 func (en Envelope) Encode() ([]byte, error) {
 	va := value{Format: format, Cut: en.Cut}
 	if len(en.Changes) > 0 {
@@ -40,8 +40,7 @@
 	return out, nil
 }
 
-// marshal leaves characters as they are; escaping would rewrite what the
-// operator wrote.
+// marshal does not escape HTML characters, which would alter the operator's document.
 func marshal(v any) ([]byte, error) {
 	var bu bytes.Buffer
 	ec := json.NewEncoder(&bu)
--- a/core/change/envelope.go
+++ b/core/change/envelope.go
@@ -9,17 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Prefix is the subtree of all teams.
+// Prefix is the common prefix of the keys of all teams.
 const Prefix = "teams/"
 
 const keySuffix = "/config"
 
-// KeyOf is the key of a team's configuration.
+// KeyOf returns the key of a team's configuration.
 func KeyOf(team string) string {
 	return Prefix + team + keySuffix
 }
 
-// TeamOf is the team of a key; ok is false for other keys.
+// TeamOf returns the team of a key; ok is false for other keys.
 func TeamOf(key string) (team string, ok bool) {
 	rest, ok := strings.CutPrefix(key, Prefix)
 	if !ok {
@@ -29,16 +29,16 @@
 	return team, ok && team != "" && !strings.Contains(team, "/")
 }
 
-// Bounds of what the value keeps of the past. Ids outlive documents: they are
-// what settles a lost answer, and they are small.
+// Bounds on the history in a value. Ids are kept longer than documents, because they are small and
+// are needed to determine the result of a change whose answer was lost.
 const (
 	documentLimit = 32
 	documentBytes = 512 << 10
 	idLimit       = 64
 )
 
-// MaxDocument is the largest document in bytes. With the bounds above a value
-// stays below the megabyte that the service takes.
+// MaxDocument is the size limit of a document in bytes. Together with the bounds above, a value
+// stays below the service's limit of one megabyte.
 const MaxDocument = 768 << 10
 
 // Entry is one accepted change.
@@ -47,14 +47,14 @@
 	Revision uint64 `json:"revision"`
 	Actor    string `json:"actor,omitempty"`
 	UnixMs   int64  `json:"unixMs"`
-	// Document is as the operator wrote it, but for white space; it is empty
-	// where the history keeps no more than the id.
+	// Document is the operator's document without insignificant white space; it is empty if the
+	// history only keeps the id.
 	Document json.RawMessage `json:"document,omitempty"`
-	// Sum is the hash of a document that is no longer kept.
+	// Sum is the hash of the document if the document itself is no longer kept.
 	Sum string `json:"sum,omitempty"`
 }
 
-// Same tells whether the entry's document is raw, white space aside.
+// Same reports whether the entry's document equals raw, ignoring white space.
 func (et Entry) Same(raw []byte) bool {
 	sum := et.Sum
 	if len(et.Document) > 0 {
@@ -63,7 +63,7 @@
 	return sum == sumOf(raw)
 }
 
-// withoutDocument keeps of the document only its hash.
+// withoutDocument replaces the document by its hash.
 func (et Entry) withoutDocument() Entry {
 	if len(et.Document) > 0 {
 		et.Sum = sumOf(et.Document)
@@ -76,7 +76,7 @@
 	return strconv.FormatUint(xxhash.Sum64(compact(raw)), 16)
 }
 
-// compact drops white space; what is no JSON stays as it is.
+// compact removes insignificant white space; invalid JSON is returned unchanged.
 func compact(raw []byte) []byte {
 	var bu bytes.Buffer
 	if err := json.Compact(&bu, raw); err != nil {
@@ -85,15 +85,14 @@
 	return bu.Bytes()
 }
 
-// Envelope is the value of a team's key: its changes, newest first.
+// Envelope is the decoded value of a team's key: its changes, newest first.
 type Envelope struct {
 	Changes []Entry
-	// Cut is the highest revision that the history no longer lists; 0 while
-	// it is whole.
+	// Cut is the highest revision dropped from the history; 0 while the history is complete.
 	Cut uint64
 }
 
-// Current is the change in force; ok is false before the first.
+// Current returns the change in force; ok is false before the first change.
 func (en Envelope) Current() (Entry, bool) {
 	if len(en.Changes) == 0 {
 		return Entry{}, false
@@ -101,13 +100,13 @@
 	return en.Changes[0], true
 }
 
-// Revision is the revision in force; 0 before the first change.
+// Revision returns the revision in force; 0 before the first change.
 func (en Envelope) Revision() uint64 {
 	cur, _ := en.Current()
 	return cur.Revision
 }
 
-// Find returns the change with an id.
+// Find returns the change with the id, and false if the history does not list it.
 func (en Envelope) Find(id string) (Entry, bool) {
 	for _, et := range en.Changes {
 		if et.ID == id {
@@ -117,33 +116,33 @@
 	return Entry{}, false
 }
 
-// WholeSince tells whether the history lists every change after a revision. If
-// it does, a change made from that revision that is not listed was never made.
+// WholeSince reports whether the history lists every change after a revision. If it does, a change
+// based on that revision that is not listed was never made.
 func (en Envelope) WholeSince(revision uint64) bool {
 	return en.Cut <= revision
 }
 
-// WithChange returns the envelope after one more change, whose revision is one
-// above both the last and floor. Floor is the highest revision known elsewhere:
-// a service that came back from a backup must not hand out a revision twice.
+// WithChange returns the envelope with one more change, whose revision is one above both the last
+// revision and floor. Floor is the highest revision known elsewhere: a service restored from a
+// backup must not assign a revision twice.
 func (en Envelope) WithChange(et Entry, floor uint64) Envelope {
 	et.Revision = max(en.Revision(), floor) + 1
-	return en.with(et)
+	return en.prepend(et)
 }
 
-// WithRestored returns the envelope with a change that was accepted before and
-// that the service has lost since; it keeps its id and revision.
+// WithRestored returns the envelope with a change that was accepted before and then lost by the
+// service; the change keeps its id and revision.
 func (en Envelope) WithRestored(et Entry) Envelope {
-	return en.with(et)
+	return en.prepend(et)
 }
 
-func (en Envelope) with(et Entry) Envelope {
+func (en Envelope) prepend(et Entry) Envelope {
 	changes := make([]Entry, 0, min(len(en.Changes)+1, idLimit))
 	changes = append(changes, et)
 	size := len(et.Document)
 	for _, old := range en.Changes {
 		if len(changes) == idLimit {
-			// The list is newest first: this is the highest that is dropped.
+			// The list is newest first, so this is the highest revision that is dropped.
 			en.Cut = max(en.Cut, old.Revision)
 			break
 		}
--- a/core/change/envelope_test.go
+++ b/core/change/envelope_test.go
@@ -30,20 +30,20 @@
 		kind  Kind
 	}{
 		{"empty history", `{"format":1}`, ""},
-		{"one", current + `,"cut":2}`, ""},
-		{"two", current + past(`[{"id":"b","revision":2,"unixMs":1,"document":{}}]`), ""},
+		{"one change", current + `,"cut":2}`, ""},
+		{"two changes", current + past(`[{"id":"b","revision":2,"unixMs":1,"document":{}}]`), ""},
 		{"no JSON", `{`, KindCorrupt},
-		{"trailing", `{"format":1}{}`, KindCorrupt},
+		{"trailing data", `{"format":1}{}`, KindCorrupt},
 		{"no format", `{}`, KindCorrupt},
-		{"newer", `{"format":2,"changes":[],"more":true}`, KindNewer},
+		{"newer format", `{"format":2,"changes":[],"more":true}`, KindNewer},
 		{"unknown field", `{"format":1,"more":true}`, KindCorrupt},
 		{"unknown field in the past", current + past(`[{"id":"b","revision":2,"more":1}]`), KindCorrupt},
-		{"past no array", current + past(`{}`), KindCorrupt},
+		{"past is no array", current + past(`{}`), KindCorrupt},
 		{"past not deflated", current + `,"past":"AAAA"}`, KindCorrupt},
-		{"past without end", current + past(strings.Repeat(" ", 2*maxPast)), KindCorrupt},
-		{"id twice", current + past(`[{"id":"a","revision":2}]`), KindCorrupt},
-		{"revisions rise", current + past(`[{"id":"b","revision":4}]`), KindCorrupt},
-		{"below cut", current + `,"cut":3}`, KindCorrupt},
+		{"past larger than its limit", current + past(strings.Repeat(" ", 2*maxPast)), KindCorrupt},
+		{"duplicate id", current + past(`[{"id":"a","revision":2}]`), KindCorrupt},
+		{"revisions not descending", current + past(`[{"id":"b","revision":4}]`), KindCorrupt},
+		{"revision not above the cut", current + `,"cut":3}`, KindCorrupt},
 		{"no document", `{"format":1,"current":{"id":"a","revision":2}}`, KindCorrupt},
 	}
 	for _, tc := range cases {
@@ -61,8 +61,8 @@
 	}
 }
 
-func TestEnvelopeKeepsWhatWasWritten(t *testing.T) {
-	// Numbers, order and characters of a document come back as they were.
+func TestEnvelopePreservesDocument(t *testing.T) {
+	// Numbers, order and characters of a document are preserved.
 	is := is.New(t)
 	doc := `{"z":1.50,"a":"<&>","z":1e3}`
 	value, err := Envelope{}.WithChange(Entry{ID: "a", Document: []byte(doc)}, 0).Encode()
@@ -74,8 +74,8 @@
 }
 
 func TestEnvelopeBounds(t *testing.T) {
-	// A team changes its largest document for ever: the value stays below what
-	// the service takes, ids outlive documents, and Cut tells where it ends.
+	// A team changes its largest document again and again: the value stays below the service's
+	// limit, ids are kept longer than documents, and Cut is the last dropped revision.
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	big := make([]byte, MaxDocument-2)
@@ -84,7 +84,7 @@
 	}
 	doc := append(append([]byte{'"'}, big...), '"')
 	en := Envelope{}
-	for i, id := range many(idLimit + 10) {
+	for i, id := range otherIDs(idLimit + 10) {
 		et := Entry{ID: id, Actor: string(big[:maxActorLen]), UnixMs: 1 << 41, Document: doc}
 		if i < idLimit {
 			et.Document = slices.Concat(doc[:documentBytes/documentLimit], []byte{'"'})
@@ -102,8 +102,8 @@
 	is.NoErr(err)
 }
 
-// BenchmarkEnvelope is the size of a value of a team that changes a line of its
-// document each time.
+// BenchmarkEnvelope reports the value's size for a team that changes one line of its document each
+// time.
 func BenchmarkEnvelope(b *testing.B) {
 	en := Envelope{}
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -135,7 +135,7 @@
 func FuzzDecode(f *testing.F) {
 	en := Envelope{}
 	for i := range 3 {
-		en = en.WithChange(Entry{ID: many(3)[i], Actor: "ann", UnixMs: 1, Document: document(i)}, 0)
+		en = en.WithChange(Entry{ID: otherIDs(3)[i], Actor: "ann", UnixMs: 1, Document: document(i)}, 0)
 	}
 	whole, err := en.Encode()
 	if err != nil {
--- a/core/change/event.go
+++ b/core/change/event.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// Event is what a Proposer is stepped with.
+// Event is an input of Proposer.Step.
 type Event interface{ isEvent() }
 
-// Begin starts the machine; it is the first event, and comes once.
+// Begin starts the machine; it is the first event and occurs once.
 type Begin struct{}
 
-// Tick tells that time has passed, as a Wake asked for.
+// Tick reports that the time requested by a Wake has come.
 type Tick struct{}
 
-// Got is the answer to a Get.
+// Got is the successful answer to a Get.
 type Got struct{ Pair Pair }
 
-// GetFailed tells that a Get got no answer.
+// GetFailed reports that a Get failed or got no answer.
 type GetFailed struct{ Err error }
 
-// Swapped is the answer to a Swap. Pair is what stands after it.
+// Swapped is the answer to a Swap. Done is set if the value was written; Pair is the key's state
+// afterwards.
 type Swapped struct {
 	Done bool
 	Pair Pair
 }
 
-// SwapFailed tells that a Swap got no answer. Doubtful is false only where it
-// is certain that the service never saw it.
+// SwapFailed reports that a Swap got no answer. Doubtful is false only if it is certain that the
+// service did not receive the swap.
 type SwapFailed struct {
 	Doubtful bool
 	Err      error
@@ -37,30 +38,30 @@
 func (Swapped) isEvent()    {}
 func (SwapFailed) isEvent() {}
 
-// Pair is a key's value in the service. Revision is the service's own count, 0
-// where the key is absent; it is not the revision of the configuration.
+// Pair is a key's value in the service. Revision is the service's own revision of the key, 0 if the
+// key does not exist; it is not the revision of the configuration.
 type Pair struct {
 	Value    []byte
 	Revision uint64
 }
 
-// Action is what a Proposer asks for.
+// Action is an output of Proposer.Step.
 type Action interface{ isAction() }
 
-// Get reads a key.
+// Get requests a read of a key.
 type Get struct{ Key string }
 
-// Swap writes a key if the service's revision of it is still Expect.
+// Swap requests a write of a key, provided that the service's revision of it is still Expect.
 type Swap struct {
 	Key    string
 	Value  []byte
 	Expect uint64
 }
 
-// Wake asks for a Tick.
+// Wake requests a Tick at the given time.
 type Wake struct{ At time.Duration }
 
-// Report ends the machine.
+// Report is the last action and carries the outcome.
 type Report struct{ Outcome Outcome }
 
 func (Get) isAction()    {}
@@ -68,34 +69,36 @@
 func (Wake) isAction()   {}
 func (Report) isAction() {}
 
-// Result is what became of a change.
+// Result is the result of a proposed change.
 type Result string
 
 // Results of a change.
 const (
 	// ResultAccepted: the change has taken effect, once.
 	ResultAccepted Result = "accepted"
-	// ResultConflict: it has not and will not; another came first.
+	// ResultConflict: it has not taken effect and will not, because of another change.
 	ResultConflict Result = "conflict"
-	// ResultUnknown: nobody can tell yet; the id can be asked about later.
+	// ResultUnknown: it cannot be determined yet; the id can be queried later.
 	ResultUnknown Result = "unknown"
-	// ResultRefused: it has not and will not; nothing was sent.
+	// ResultRefused: it has not taken effect and will not, for instance because it was invalid or
+	// the service did not answer.
 	ResultRefused Result = "refused"
-	// ResultDryRun: it would have been proposed; nothing was sent.
+	// ResultDryRun: it would have been proposed; nothing was written.
 	ResultDryRun Result = "dryRun"
 )
 
-// Outcome is how a proposal ended.
+// Outcome is the result of a proposal with its details.
 type Outcome struct {
 	Result Result
-	// Entry is the change as it was accepted.
+	// Entry is the accepted change.
 	Entry Entry
-	// Current is the change that stands instead, where Result is
-	// ResultConflict; for a dry run it is the one that would be replaced.
+	// Current is the change in force instead, for ResultConflict; for a dry run it is the change
+	// that would be replaced.
 	Current Entry
-	// Behind is set if the service held a lower revision than the fleet.
+	// Behind is set if the service's revision was lower than this VM's, as after a restore from a
+	// backup.
 	Behind bool
-	// Swaps counts the swaps that were asked for.
+	// Swaps counts the swaps that were requested.
 	Swaps int
 	Err   error
 }
--- a/core/change/example_test.go
+++ b/core/change/example_test.go
@@ -9,8 +9,8 @@
 	"laburnumvane/core/change"
 )
 
-// Example proposes a change whose answer is lost, and settles it by reading the
-// value back.
+// Example proposes a change whose answer is lost, and determines its result by reading the value
+// back.
 func Example() {
 	var pair change.Pair
 	now := time.Duration(0)
--- a/core/change/proposer.go
+++ b/core/change/proposer.go
@@ -9,63 +9,64 @@
 	"laburnumvane/core/team"
 )
 
-// Pauses between calls that failed, in full jitter.
+// Backoff between failed calls: it doubles, and the actual pause is a random time between half and
+// one and a half times this value.
 const (
-	firstPause = 100 * time.Millisecond
-	maxPause   = 2 * time.Second
-	// unseenReads is how often the value is read again when the operator has
-	// seen a newer revision than the service shows.
-	unseenReads = 3
-	// regressionGap is left free above the fleet's revision when the service
-	// is behind it: this VM may itself be some changes behind the fleet, and no
-	// two changes may ever share a revision.
-	regressionGap = 1000
-	maxIDLen      = 64
-	maxActorLen   = 64
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff   = 2 * time.Second
+	// maxRereads is how often the value is read again if the operator has seen a higher revision
+	// than the service returns.
+	maxRereads = 3
+	// revisionGap is the number of revisions skipped above this VM's revision when the service is
+	// behind it: this VM may itself lack some changes of the fleet, and two changes must never
+	// share a revision.
+	revisionGap = 1000
+	maxIDLen    = 64
+	maxActorLen = 64
 )
 
-// Proposal is an operator's change.
+// Proposal is a change proposed by an operator.
 type Proposal struct {
 	ID string
-	// Fresh is set if the id was made for this very proposal, so that no
-	// earlier attempt can have used it.
+	// Fresh is set if the id was generated for this proposal, so that no earlier attempt can have
+	// used it.
 	Fresh    bool
 	Team     string
 	Actor    string
 	UnixMs   int64
 	Document []byte
-	// Expect is the revision that the change was made from; nil means any.
+	// Expect is the revision that the change is based on; nil means any.
 	Expect *uint64
 	DryRun bool
 }
 
-// Config sets a Proposer.
+// Config configures a Proposer.
 type Config struct {
 	Proposal Proposal
-	// Held is the team's change in force on this VM; the zero value if none.
-	// Its revision is the least that a new one must exceed.
+	// Held is the team's change in force on this VM; the zero value if there is none. The revision
+	// of a new change must be higher.
 	Held Entry
-	// Deadline is when the machine reports whatever it knows.
+	// Deadline is when the machine reports the result as far as known.
 	Deadline time.Duration
 	Rand     *rand.Rand
 }
 
-// Proposer carries one change to the service and settles what became of it. It
-// is not safe for concurrent use.
+// Proposer proposes one change to the service and determines its result. It is not safe for
+// concurrent use.
 type Proposer struct {
-	cfg     Config
-	phase   phase
-	based   bool
-	base    Envelope
-	expect  uint64
-	value   []byte
-	entry   Entry
-	doubt   bool
-	behind  bool
-	pauses  int
-	rereads int
-	swaps   int
-	lastErr error
+	cfg            Config
+	phase          phase
+	proposed       bool
+	base           Envelope
+	expect         uint64
+	value          []byte
+	entry          Entry
+	mayHaveApplied bool
+	behind         bool
+	backoffSteps   int
+	rereads        int
+	swaps          int
+	lastErr        error
 }
 
 type phase uint8
@@ -74,64 +75,64 @@
 	phaseNew phase = iota
 	phaseGet
 	phaseSwap
-	phasePause
+	phaseBackoff
 	phaseDone
 )
 
-// NewProposer makes a machine that waits for Begin.
+// NewProposer returns a Proposer that waits for Begin.
 func NewProposer(cfg Config) *Proposer {
 	return &Proposer{cfg: cfg}
 }
 
-// Step takes an event and tells what to do. After a Report it asks for nothing.
+// Step processes an event and returns the actions to carry out. After a Report it returns nil.
 func (pr *Proposer) Step(now time.Duration, ev Event) []Action {
 	if pr.phase == phaseDone {
 		return nil
 	}
 	if _, ok := ev.(Begin); ok {
-		return pr.begin()
+		return pr.start()
 	}
-	_, ticked := ev.(Tick)
-	underWay := ticked && pr.phase == phaseSwap
-	acts := pr.take(now, ev)
+	_, isTick := ev.(Tick)
+	swapPending := isTick && pr.phase == phaseSwap
+	acts := pr.handle(now, ev)
 	if pr.phase != phaseDone && now >= pr.cfg.Deadline {
-		return pr.giveUp(underWay)
+		return pr.reportDeadline(swapPending)
 	}
 	return acts
 }
 
-func (pr *Proposer) take(now time.Duration, ev Event) []Action {
+func (pr *Proposer) handle(now time.Duration, ev Event) []Action {
 	switch ev := ev.(type) {
 	case Tick:
-		if pr.phase == phasePause {
-			return pr.read()
+		if pr.phase == phaseBackoff {
+			return pr.getValue()
 		}
 	case Got:
 		if pr.phase == phaseGet {
-			return pr.judge(now, ev.Pair, false)
+			return pr.evaluate(now, ev.Pair, false)
 		}
 	case GetFailed:
 		if pr.phase == phaseGet {
-			return pr.pause(now, ev.Err)
+			return pr.scheduleRetry(now, ev.Err)
 		}
 	case Swapped:
 		if pr.phase == phaseSwap {
-			return pr.swapped(now, ev)
+			return pr.handleSwapped(now, ev)
 		}
 	case SwapFailed:
 		if pr.phase == phaseSwap {
-			pr.doubt = pr.doubt || ev.Doubtful
-			return pr.pause(now, ev.Err)
+			pr.mayHaveApplied = pr.mayHaveApplied || ev.Doubtful
+			return pr.scheduleRetry(now, ev.Err)
 		}
 	}
 	return nil
 }
 
-func (pr *Proposer) begin() []Action {
+func (pr *Proposer) start() []Action {
 	if err := pr.validate(); err != nil {
 		return pr.report(Outcome{Result: ResultRefused, Err: err})
 	}
-	return append(pr.read(), Wake{At: pr.cfg.Deadline})
+	return append(pr.getValue(), Wake{At: pr.cfg.Deadline})
 }
 
 func (pr *Proposer) validate() error {
@@ -165,48 +166,48 @@
 	return true
 }
 
-func (pr *Proposer) read() []Action {
+func (pr *Proposer) getValue() []Action {
 	pr.phase = phaseGet
 	return []Action{Get{Key: KeyOf(pr.cfg.Proposal.Team)}}
 }
 
-func (pr *Proposer) pause(now time.Duration, err error) []Action {
-	pr.phase = phasePause
+func (pr *Proposer) scheduleRetry(now time.Duration, err error) []Action {
+	pr.phase = phaseBackoff
 	pr.lastErr = err
-	limit := min(firstPause<<pr.pauses, maxPause)
-	if limit < maxPause {
-		pr.pauses++
+	limit := min(firstBackoff<<pr.backoffSteps, maxBackoff)
+	if limit < maxBackoff {
+		pr.backoffSteps++
 	}
 	at := now + limit/2 + time.Duration(pr.cfg.Rand.Int64N(int64(limit)))
 	return []Action{Wake{At: min(at, pr.cfg.Deadline)}}
 }
 
-func (pr *Proposer) swapped(now time.Duration, ev Swapped) []Action {
+func (pr *Proposer) handleSwapped(now time.Duration, ev Swapped) []Action {
 	if ev.Done {
 		return pr.report(Outcome{Result: ResultAccepted, Entry: pr.entry})
 	}
-	return pr.judge(now, ev.Pair, true)
+	return pr.evaluate(now, ev.Pair, true)
 }
 
-// judge decides by what the service holds. Sure is set if the value came with
-// the answer to a swap, which a service cannot give from the past.
-func (pr *Proposer) judge(now time.Duration, pair Pair, sure bool) []Action {
+// evaluate decides by the service's value. current is set if the value came with the answer to a
+// swap, which is never stale, unlike a read.
+func (pr *Proposer) evaluate(now time.Duration, pair Pair, current bool) []Action {
 	en, err := decodePair(pair)
 	if err != nil {
-		return pr.unreadable(err)
+		return pr.reportUnreadable(err)
 	}
 	if et, ok := en.Find(pr.cfg.Proposal.ID); ok {
-		return pr.found(et, en)
+		return pr.handleKnownID(et, en)
 	}
-	if !pr.based {
+	if !pr.proposed {
 		return pr.propose(now, pair, en)
 	}
-	if sure && pr.behind && !pr.doubt {
-		// The first read was from the past; nothing has come of it, and this
-		// is the present.
+	if current && pr.behind && !pr.mayHaveApplied {
+		// The first read was stale and no swap has been applied, so the proposal starts again from
+		// the current value.
 		return pr.propose(now, pair, en)
 	}
-	return pr.settle(now, pair, en, sure)
+	return pr.resolve(now, pair, en, current)
 }
 
 func decodePair(pair Pair) (Envelope, error) {
@@ -216,114 +217,113 @@
 	return Decode(pair.Value)
 }
 
-// unreadable ends the proposal: writing over a value that this build cannot
-// read would lose what a newer build put there.
-func (pr *Proposer) unreadable(err error) []Action {
-	if pr.doubt {
+// reportUnreadable ends the proposal, because overwriting a value that this build cannot read would
+// lose what a newer build wrote.
+func (pr *Proposer) reportUnreadable(err error) []Action {
+	if pr.mayHaveApplied {
 		return pr.report(Outcome{Result: ResultUnknown, Err: err})
 	}
 	return pr.report(Outcome{Result: ResultRefused, Err: err})
 }
 
-// found handles an id that is in the history: this proposal took effect, maybe
-// through another attempt, unless the id was used for another document.
-func (pr *Proposer) found(et Entry, en Envelope) []Action {
+// handleKnownID handles an id found in the history: the proposal was accepted, possibly through
+// another attempt, unless the id belongs to another document.
+func (pr *Proposer) handleKnownID(et Entry, en Envelope) []Action {
 	if et.Same(pr.cfg.Proposal.Document) {
 		return pr.report(Outcome{Result: ResultAccepted, Entry: et})
 	}
-	return pr.conflict(en, errors.Errorf("the id %s names another change", et.ID))
+	return pr.reportConflict(en, errors.Errorf("the id %s names another change", et.ID))
 }
 
-// propose makes the first swap from what the service holds.
+// propose requests the first swap, based on the service's value.
 func (pr *Proposer) propose(now time.Duration, pair Pair, en Envelope) []Action {
 	pl := pr.cfg.Proposal
 	seen := max(en.Revision(), pr.cfg.Held.Revision)
 	pr.behind = en.Revision() < pr.cfg.Held.Revision
-	if pl.Expect != nil && *pl.Expect > seen && pr.rereads < unseenReads {
-		// The operator has seen more than this read shows, which may be from
-		// the past: a conflict now would be with a change long replaced.
+	if pl.Expect != nil && *pl.Expect > seen && pr.rereads < maxRereads {
+		// The operator has seen a higher revision than this read returned, so the read may be
+		// stale. A conflict reported now could name a change that has long been replaced.
 		pr.rereads++
-		return pr.pause(now, errors.Errorf("revision %d is not known yet", *pl.Expect))
+		return pr.scheduleRetry(now, errors.Errorf("revision %d is not known yet", *pl.Expect))
 	}
 	if pl.Expect != nil && *pl.Expect != seen {
-		return pr.outdated(en, *pl.Expect)
+		return pr.reportOutdated(en, *pl.Expect)
 	}
 	if pl.Expect == nil && !pl.Fresh && en.Cut > 0 {
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.New("the history no longer tells whether the id was used; give the revision that the change was made from")})
 	}
 	if pl.DryRun {
-		return pr.report(Outcome{Result: ResultDryRun, Current: pr.highest(en)})
+		return pr.report(Outcome{Result: ResultDryRun, Current: pr.newestKnown(en)})
 	}
-	return pr.swap(pair, en)
+	return pr.prepareSwap(pair, en)
 }
 
-// outdated ends a proposal that was made from another revision. An id that was
-// used before may have taken effect and left the history since.
-func (pr *Proposer) outdated(en Envelope, expect uint64) []Action {
+// reportOutdated ends a proposal that is based on another revision. A change whose id was used
+// before may have been accepted and since dropped from the history.
+func (pr *Proposer) reportOutdated(en Envelope, expect uint64) []Action {
 	if !pr.cfg.Proposal.Fresh && !en.WholeSince(expect) {
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.Errorf("the history no longer reaches back to revision %d", expect)})
 	}
-	return pr.conflict(en, errors.Errorf("made from revision %d", expect))
+	return pr.reportConflict(en, errors.Errorf("made from revision %d", expect))
 }
 
-func (pr *Proposer) swap(pair Pair, en Envelope) []Action {
+func (pr *Proposer) prepareSwap(pair Pair, en Envelope) []Action {
 	pl := pr.cfg.Proposal
 	floor := pr.cfg.Held.Revision
 	if pr.behind {
-		floor += regressionGap
+		floor += revisionGap
 	}
 	next := en.WithChange(Entry{ID: pl.ID, Actor: clip(pl.Actor), UnixMs: pl.UnixMs, Document: compact(pl.Document)}, floor)
 	value, err := next.Encode()
 	if err != nil {
 		return pr.report(Outcome{Result: ResultRefused, Err: err})
 	}
-	pr.based, pr.base, pr.expect, pr.value = true, en, pair.Revision, value
+	pr.proposed, pr.base, pr.expect, pr.value = true, en, pair.Revision, value
 	pr.entry, _ = next.Current()
-	return pr.send()
+	return pr.sendSwap()
 }
 
 func clip(actor string) string {
 	return actor[:min(len(actor), maxActorLen)]
 }
 
-func (pr *Proposer) send() []Action {
+func (pr *Proposer) sendSwap() []Action {
 	pr.phase = phaseSwap
 	pr.swaps++
 	return []Action{Swap{Key: KeyOf(pr.cfg.Proposal.Team), Value: pr.value, Expect: pr.expect}}
 }
 
-// settle decides after a swap that was not done, or whose answer was lost. The
-// id is not in the history of en.
-func (pr *Proposer) settle(now time.Duration, pair Pair, en Envelope, sure bool) []Action {
+// resolve decides after a swap that was not applied or whose answer was lost. The history of en
+// does not list the id.
+func (pr *Proposer) resolve(now time.Duration, pair Pair, en Envelope, current bool) []Action {
 	switch {
-	case sure && pair.Revision < pr.expect:
-		return pr.lost(en)
-	case sure && pair.Revision == pr.expect:
-		return pr.pause(now, errors.New("the service refused a swap that it should have done"))
+	case current && pair.Revision < pr.expect:
+		return pr.reportDataLoss(en)
+	case current && pair.Revision == pr.expect:
+		return pr.scheduleRetry(now, errors.New("the service refused a swap that it should have done"))
 	case pair.Revision <= pr.expect:
-		// Not yet, or a read from the past. Sending the very same swap again
-		// cannot act twice: both expect the same revision of the key, and the
-		// service grants it once.
-		return pr.send()
+		// The swap is not applied yet, or the read was stale. Repeating the identical swap cannot
+		// take effect twice: both expect the same revision of the key, so that the service applies
+		// only one.
+		return pr.sendSwap()
 	case sameChange(en, pr.base):
-		// The key was written without a new change, as when a VM gave the
-		// service back what it had lost. A swap that is still under way can no
-		// longer succeed.
-		return pr.swap(pair, en)
+		// The key was written without a new change, as when a VM restored what the service had
+		// lost. A pending swap can no longer succeed, so a new one is safe.
+		return pr.prepareSwap(pair, en)
 	case en.Revision() <= pr.base.Revision():
-		return pr.lost(en)
-	case !pr.doubt || en.WholeSince(pr.base.Revision()):
-		return pr.conflict(en, errors.New("another change came first"))
+		return pr.reportDataLoss(en)
+	case !pr.mayHaveApplied || en.WholeSince(pr.base.Revision()):
+		return pr.reportConflict(en, errors.New("another change came first"))
 	default:
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.New("the history was cut since; it no longer tells")})
 	}
 }
 
-// lost handles a service that holds less than it did before.
-func (pr *Proposer) lost(en Envelope) []Action {
+// reportDataLoss ends the proposal if the service has lost changes since it was first read.
+func (pr *Proposer) reportDataLoss(en Envelope) []Action {
 	pr.behind = true
-	if !pr.doubt {
-		return pr.conflict(en, errors.New("the service lost changes meanwhile"))
+	if !pr.mayHaveApplied {
+		return pr.reportConflict(en, errors.New("the service lost changes meanwhile"))
 	}
 	return pr.report(Outcome{Result: ResultUnknown, Err: errors.New("the service lost changes meanwhile")})
 }
@@ -334,12 +334,12 @@
 	return ca.Revision == cb.Revision && ca.ID == cb.ID
 }
 
-func (pr *Proposer) conflict(en Envelope, err error) []Action {
-	return pr.report(Outcome{Result: ResultConflict, Current: pr.highest(en), Err: err})
+func (pr *Proposer) reportConflict(en Envelope, err error) []Action {
+	return pr.report(Outcome{Result: ResultConflict, Current: pr.newestKnown(en), Err: err})
 }
 
-// highest is the newest change known, from the service or from this VM.
-func (pr *Proposer) highest(en Envelope) Entry {
+// newestKnown returns the newest change known, from the service or from this VM.
+func (pr *Proposer) newestKnown(en Envelope) Entry {
 	cur, _ := en.Current()
 	if pr.cfg.Held.Revision > cur.Revision {
 		return pr.cfg.Held
@@ -347,16 +347,16 @@
 	return cur
 }
 
-// giveUp reports at the deadline. A swap that is still under way may yet act;
-// one that this step would have asked for was never sent.
-func (pr *Proposer) giveUp(underWay bool) []Action {
-	if pr.doubt || underWay {
-		return pr.report(Outcome{Result: ResultUnknown, Err: pr.late()})
+// reportDeadline ends the proposal at the deadline. A pending swap may still take effect; one that
+// this step would have requested was never sent.
+func (pr *Proposer) reportDeadline(swapPending bool) []Action {
+	if pr.mayHaveApplied || swapPending {
+		return pr.report(Outcome{Result: ResultUnknown, Err: pr.deadlineError()})
 	}
-	return pr.report(Outcome{Result: ResultRefused, Err: pr.late()})
+	return pr.report(Outcome{Result: ResultRefused, Err: pr.deadlineError()})
 }
 
-func (pr *Proposer) late() error {
+func (pr *Proposer) deadlineError() error {
 	if pr.lastErr != nil {
 		return errors.Wrap(pr.lastErr, "no answer in time")
 	}
--- a/core/change/race_test.go
+++ b/core/change/race_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// racer is one proposer with the call that it waits for.
-type racer struct {
-	pr   *Proposer
-	call Action
-	wake time.Duration
-	end  *Outcome
-	id   string
+// participant is one proposer with its pending call.
+type participant struct {
+	pr      *Proposer
+	pending Action
+	wake    time.Duration
+	end     *Outcome
+	id      string
 }
 
-func (rc *racer) take(acts []Action) {
-	rc.call = nil
+func (rc *participant) handle(acts []Action) {
+	rc.pending = nil
 	for _, ac := range acts {
 		switch ac := ac.(type) {
 		case Report:
@@ -27,53 +27,53 @@
 		case Wake:
 			rc.wake = ac.At
 		default:
-			rc.call = ac
+			rc.pending = ac
 		}
 	}
 }
 
-// race is some operators of one team before one service.
+// race simulates several operators of one team with one service.
 type race struct {
-	t      *rapid.T
-	st     *store
-	now    time.Duration
-	racers []*racer
-	// limbo holds swaps that nobody waits for any more and that may yet act.
-	limbo []Swap
+	t            *rapid.T
+	st           *fakeStore
+	now          time.Duration
+	participants []*participant
+	// delayed holds swaps whose proposer no longer waits, and that may still be applied.
+	delayed []Swap
 }
 
 func (ra *race) start() {
 	n := rapid.IntRange(2, 4).Draw(ra.t, "proposers")
 	for i := range n {
-		// Two of them may be one operator who repeats a change.
+		// Two proposals may have the same id, as when an operator repeats a change.
 		id := fmt.Sprint("id", rapid.IntRange(0, n-1).Draw(ra.t, "id"))
 		cfg := Config{
-			Proposal: Proposal{ID: id, Team: team1, Document: document(int(id[2]))},
+			Proposal: Proposal{ID: id, Team: teamName, Document: document(int(id[2]))},
 			Deadline: time.Duration(rapid.IntRange(1, 20).Draw(ra.t, "deadline")) * time.Second,
 			Rand:     rand.New(rand.NewPCG(uint64(i), 1)),
 		}
 		if rapid.Bool().Draw(ra.t, "expects") {
-			cfg.Proposal.Expect = at(uint64(rapid.IntRange(0, 2).Draw(ra.t, "revision")))
+			cfg.Proposal.Expect = revisionPtr(uint64(rapid.IntRange(0, 2).Draw(ra.t, "revision")))
 		}
-		rc := &racer{pr: NewProposer(cfg), id: id}
-		rc.take(rc.pr.Step(ra.now, Begin{}))
-		ra.racers = append(ra.racers, rc)
+		rc := &participant{pr: NewProposer(cfg), id: id}
+		rc.handle(rc.pr.Step(ra.now, Begin{}))
+		ra.participants = append(ra.participants, rc)
 	}
 }
 
 func (ra *race) step() {
-	if len(ra.limbo) > 0 && rapid.Bool().Draw(ra.t, "late") {
+	if len(ra.delayed) > 0 && rapid.Bool().Draw(ra.t, "late") {
 		ra.deliver()
 	}
 	if rapid.IntRange(0, 9).Draw(ra.t, "other") == 0 {
 		ra.st.write(fmt.Sprint("other", len(ra.st.states)))
 	}
-	rc := ra.racers[rapid.IntRange(0, len(ra.racers)-1).Draw(ra.t, "who")]
+	rc := ra.participants[rapid.IntRange(0, len(ra.participants)-1).Draw(ra.t, "who")]
 	if rc.end != nil {
 		return
 	}
 	ev := Event(Tick{})
-	switch ac := rc.call.(type) {
+	switch ac := rc.pending.(type) {
 	case Get:
 		ev = ra.get()
 	case Swap:
@@ -81,7 +81,7 @@
 	default:
 		ra.now = max(ra.now, rc.wake)
 	}
-	rc.take(rc.pr.Step(ra.now, ev))
+	rc.handle(rc.pr.Step(ra.now, ev))
 }
 
 func (ra *race) get() Event {
@@ -99,7 +99,7 @@
 	case "answerLost":
 		ra.st.swap(sw)
 	case "late":
-		ra.limbo = append(ra.limbo, sw)
+		ra.delayed = append(ra.delayed, sw)
 	case "refused":
 		return SwapFailed{Err: errLost}
 	}
@@ -107,35 +107,35 @@
 }
 
 func (ra *race) deliver() {
-	i := rapid.IntRange(0, len(ra.limbo)-1).Draw(ra.t, "which")
-	ra.st.swap(ra.limbo[i])
-	ra.limbo = append(ra.limbo[:i:i], ra.limbo[i+1:]...)
+	i := rapid.IntRange(0, len(ra.delayed)-1).Draw(ra.t, "which")
+	ra.st.swap(ra.delayed[i])
+	ra.delayed = append(ra.delayed[:i:i], ra.delayed[i+1:]...)
 }
 
-// finish lets time run out, and everything on its way arrive.
+// finish lets all deadlines pass and delivers all delayed swaps.
 func (ra *race) finish() {
-	for _, rc := range ra.racers {
+	for _, rc := range ra.participants {
 		for ra.now += time.Minute; rc.end == nil; {
-			rc.take(rc.pr.Step(ra.now, Tick{}))
+			rc.handle(rc.pr.Step(ra.now, Tick{}))
 		}
 	}
-	for len(ra.limbo) > 0 {
+	for len(ra.delayed) > 0 {
 		ra.deliver()
 	}
 }
 
 func (ra *race) check() {
-	for _, rc := range ra.racers {
+	for _, rc := range ra.participants {
 		effects := ra.st.effects[rc.id]
 		switch rc.end.Result {
 		case ResultAccepted:
 			if effects != 1 {
-				ra.t.Fatalf("%s was accepted and has %d effects", rc.id, effects)
+				ra.t.Fatalf("%s was accepted but took effect %d times", rc.id, effects)
 			}
 		case ResultConflict, ResultRefused:
 			// Another attempt with the same id may have been made and accepted.
 			if effects != 0 && ra.attempts(rc.id) == 1 {
-				ra.t.Fatalf("%s was %s and took effect", rc.id, rc.end.Result)
+				ra.t.Fatalf("%s was reported as %s but took effect", rc.id, rc.end.Result)
 			}
 		}
 		if effects > 1 {
@@ -146,7 +146,7 @@
 
 func (ra *race) attempts(id string) int {
 	n := 0
-	for _, rc := range ra.racers {
+	for _, rc := range ra.participants {
 		if rc.id == id {
 			n++
 		}
@@ -155,12 +155,12 @@
 }
 
 func TestProposerRace(t *testing.T) {
-	// Operators of one team race through different VMs, while reads come from
-	// the past, answers and requests get lost, and swaps that were given up
-	// arrive late. No change takes effect twice, none that was reported as
-	// conflict or refused takes effect at all, and each accepted one has.
+	// Operators of one team change its configuration concurrently through different VMs, while
+	// reads are stale, answers and requests get lost, and abandoned swaps are applied late. No
+	// change takes effect twice, none reported as conflict or refused takes effect, and each
+	// accepted one does.
 	rapid.Check(t, func(t *rapid.T) {
-		ra := &race{t: t, st: newStore()}
+		ra := &race{t: t, st: newFakeStore()}
 		ra.start()
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
 			ra.step()
