--- a/core/view/chunks.go
+++ b/core/view/chunks.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// chunkLen servers are copied when one of them changes. Larger chunks copy more
-// servers, smaller ones a longer directory; at 32,000 servers the two costs
-// meet near this size.
+// chunkLen is the number of servers copied when one of them changes. Larger chunks copy more
+// servers, smaller ones a longer directory; at 32,000 servers the sum of both costs is lowest near
+// this size.
 const chunkLen = 32
 
 type chunk [chunkLen]Server
 
-// chunks is an immutable list of servers that shares what has not changed.
+// chunks is an immutable list of servers; a modified list shares the unchanged chunks.
 type chunks struct {
 	dir []*chunk
 	n   int
 }
 
-func chunksOf(servers []Server) chunks {
+func newChunks(servers []Server) chunks {
 	ch := chunks{n: len(servers)}
 	for part := range slices.Chunk(servers, chunkLen) {
 		ck := new(chunk)
--- a/core/view/example_test.go
+++ b/core/view/example_test.go
@@ -7,8 +7,7 @@
 	"laburnumvane/core/view"
 )
 
-// A search that began before a server was drained goes on with what it saw; the
-// next one sees the change.
+// A search that began before a server was drained keeps its view; the next search sees the change.
 func Example() {
 	var published atomic.Pointer[view.View]
 	first := view.View{}.WithServers([]view.Server{{ID: 0, Addr: "10.0.0.1:9000", State: view.StateServing}})
--- a/core/view/snapshot.go
+++ b/core/view/snapshot.go
@@ -3,56 +3,57 @@
 // Snapshot is one version of a register with its own shard map.
 type Snapshot struct {
 	Version uint64
-	// Replicas lists the servers that hold each shard. Its length is the
-	// number of shards, the denominator of coverage.
+	// Replicas lists the servers that hold each shard. Its length is the number of shards, by which
+	// coverage is divided.
 	Replicas [][]ServerID
 }
 
-// Shards is the number of shards in the snapshot's map.
+// Shards returns the number of shards in the snapshot's map.
 func (sn Snapshot) Shards() int {
 	return len(sn.Replicas)
 }
 
-// usualSnapshots is how many snapshots a register has at most as a rule: those
-// before and after a change, and one that is coming.
-const usualSnapshots = 4
+// typicalSnapshots is the number of snapshots that a register rarely exceeds: those before and
+// after a change, and one being rolled out.
+const typicalSnapshots = 4
 
-// Register is a register's snapshots, newest first.
+// Register holds the snapshots of a register, newest first.
 type Register struct {
 	Snapshots []Snapshot
 }
 
-// Pin returns the snapshot that a new search asks for: the newest that has, on
-// its worst shard, at least half as many live replicas as any snapshot has on
-// its own. While a new snapshot is being rolled out its first holders would else
-// get the whole load of their shards, and shed it. Where no snapshot is whole Pin
-// returns the one that covers the largest share, so that a caller still gets
-// what there is.
+// Pin returns the snapshot that a new search should use: the newest one whose minimum number of
+// live replicas over its shards is at least half of the highest such minimum of any snapshot.
+// Otherwise, during the rollout of a new snapshot, its first holders would get the whole load of
+// their shards and shed it. If no snapshot covers all shards, Pin returns the one that covers the
+// largest share of its shards, so that the search still gets a partial result. It returns false if
+// the register has no snapshots.
 func (rg Register) Pin(live func(ServerID) bool) (Snapshot, bool) {
-	var room [usualSnapshots]int
-	least := room[:0]
-	most := 0
+	var buf [typicalSnapshots]int
+	counts := buf[:0]
+	highest := 0
 	for _, sn := range rg.Snapshots {
-		least = append(least, sn.leastLive(live))
-		most = max(most, least[len(least)-1])
+		counts = append(counts, sn.minLiveReplicas(live))
+		highest = max(highest, counts[len(counts)-1])
 	}
-	if most == 0 {
-		return rg.widest(live)
+	if highest == 0 {
+		return rg.bestCovered(live)
 	}
 	for i, sn := range rg.Snapshots {
-		if 2*least[i] >= most {
+		if 2*counts[i] >= highest {
 			return sn, true
 		}
 	}
 	return Snapshot{}, false
 }
 
-// widest returns the snapshot that covers the largest share, the newest such.
-func (rg Register) widest(live func(ServerID) bool) (Snapshot, bool) {
+// bestCovered returns the snapshot that covers the largest share of its shards, the newest of
+// equals.
+func (rg Register) bestCovered(live func(ServerID) bool) (Snapshot, bool) {
 	best := -1
 	bestShare := -1.0
 	for i, sn := range rg.Snapshots {
-		if share := sn.liveShare(live); share > bestShare {
+		if share := sn.coverage(live); share > bestShare {
 			best, bestShare = i, share
 		}
 	}
@@ -62,20 +63,21 @@
 	return rg.Snapshots[best], true
 }
 
-// Newer returns the newest whole snapshot if it is newer than version.
+// Newer returns the newest snapshot that covers all its shards, if its version is higher than
+// version.
 func (rg Register) Newer(version uint64, live func(ServerID) bool) (Snapshot, bool) {
 	for _, sn := range rg.Snapshots {
 		if sn.Version <= version {
 			return Snapshot{}, false
 		}
-		if sn.liveShare(live) == 1 {
+		if sn.coverage(live) == 1 {
 			return sn, true
 		}
 	}
 	return Snapshot{}, false
 }
 
-func (sn Snapshot) liveShare(live func(ServerID) bool) float64 {
+func (sn Snapshot) coverage(live func(ServerID) bool) float64 {
 	if len(sn.Replicas) == 0 {
 		return 0
 	}
@@ -88,9 +90,9 @@
 	return float64(covered) / float64(len(sn.Replicas))
 }
 
-// leastLive is the number of live replicas of the shard that has the fewest.
-func (sn Snapshot) leastLive(live func(ServerID) bool) int {
-	least := 0
+// minLiveReplicas returns the number of live replicas of the shard with the fewest.
+func (sn Snapshot) minLiveReplicas(live func(ServerID) bool) int {
+	fewest := 0
 	for i, servers := range sn.Replicas {
 		count := 0
 		for _, id := range servers {
@@ -98,11 +100,11 @@
 				count++
 			}
 		}
-		if i == 0 || count < least {
-			least = count
+		if i == 0 || count < fewest {
+			fewest = count
 		}
 	}
-	return least
+	return fewest
 }
 
 func anyLive(servers []ServerID, live func(ServerID) bool) bool {
--- a/core/view/snapshot_test.go
+++ b/core/view/snapshot_test.go
@@ -9,8 +9,8 @@
 	"laburnumvane/core/view"
 )
 
-// replicas makes a map of which each shard has so many servers; server ids run
-// from 0 within each shard.
+// replicas returns a shard map with the given number of servers for each shard; server ids start
+// from 0 for each shard.
 func replicas(counts ...int) [][]view.ServerID {
 	out := make([][]view.ServerID, len(counts))
 	for i, n := range counts {
@@ -26,18 +26,18 @@
 		name string
 		new  [][]view.ServerID
 		old  [][]view.ServerID
-		// dead servers have ids from this one on.
+		// dead is the lowest id of the servers that are not live.
 		dead view.ServerID
 		want uint64
 	}{
-		{"both everywhere", replicas(3, 3), replicas(3, 3), 9, 8},
-		{"rollout has begun: one holder would get all the load", replicas(3, 1), replicas(3, 3), 9, 7},
-		{"rollout is over half", replicas(2, 3), replicas(3, 3), 9, 8},
-		{"the old one is going", replicas(2, 2), replicas(1, 1), 9, 8},
-		{"the new one misses a shard", replicas(3, 0), replicas(1, 1), 9, 7},
-		{"only one replica left of either", replicas(3, 3), replicas(3, 3), 1, 8},
-		{"neither is whole: the wider", replicas(1, 0), replicas(1, 0, 1), 9, 7},
-		{"neither is whole: the newer", replicas(1, 0), replicas(1, 0), 9, 8},
+		{"both fully replicated", replicas(3, 3), replicas(3, 3), 9, 8},
+		{"rollout has begun: one replica would get all the load", replicas(3, 1), replicas(3, 3), 9, 7},
+		{"rollout is more than half done", replicas(2, 3), replicas(3, 3), 9, 8},
+		{"the old one is being removed", replicas(2, 2), replicas(1, 1), 9, 8},
+		{"the new one lacks a shard", replicas(3, 0), replicas(1, 1), 9, 7},
+		{"one live replica left in both", replicas(3, 3), replicas(3, 3), 1, 8},
+		{"both incomplete: the better covered", replicas(1, 0), replicas(1, 0, 1), 9, 7},
+		{"both incomplete and equal: the newer", replicas(1, 0), replicas(1, 0), 9, 8},
 		{"repartition", replicas(3, 3, 3), replicas(3, 3), 9, 8},
 	}
 	for _, tt := range tests {
@@ -54,8 +54,8 @@
 	}
 }
 
-// BenchmarkPin is what each search pays for its pin: two snapshots of so many
-// shards with three servers each.
+// BenchmarkPin measures the cost of Pin for each search, with two snapshots and three servers per
+// shard.
 func BenchmarkPin(b *testing.B) {
 	for _, shards := range []int{10, 270} {
 		counts := make([]int, shards)
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRegisterPinOfNothing(t *testing.T) {
+func TestRegisterPinWithoutSnapshots(t *testing.T) {
 	is := is.New(t)
 	_, ok := view.Register{}.Pin(func(view.ServerID) bool { return true })
 	is.True(!ok)
--- a/core/view/view.go
+++ b/core/view/view.go
@@ -1,5 +1,5 @@
-// Package view is what the control goroutine knows, as one immutable value that
-// traffic reads without a lock.
+// Package view holds the control goroutine's knowledge of teams, registers and servers in an
+// immutable value that request goroutines read without a lock.
 //
 // # Usage
 //
@@ -8,8 +8,8 @@
 //	vw = vw.WithTeam(tm).WithServers(servers)
 //	published.Store(&vw)
 //
-// Traffic loads the pointer once per search and keeps to it, so that a search
-// never mixes two configurations.
+// Request goroutines load the pointer once per search and keep the view, so that a search never
+// mixes two configurations.
 package view
 
 import (
@@ -18,14 +18,14 @@
 	"laburnumvane/core/team"
 )
 
-// ServerID is a server's index in View.Servers; it is stable for the life of
-// the process, so that traffic can keep counters by it.
+// ServerID is a server's index in View.Servers. It is stable for the lifetime of the process, so
+// that counters can be indexed by it.
 type ServerID uint32
 
-// State is an upstream server's state as this VM sees it.
+// State is the state of an upstream server as seen by this VM.
 type State uint8
 
-// States of a server. Only Cold, Serving and Shedding take new work.
+// States of a server. Those for which Leaving is true take no new work.
 const (
 	StateUnknown State = iota
 	StateCold
@@ -36,7 +36,7 @@
 	StateGone
 )
 
-// String is the state's name in status replies and logs.
+// String returns the state's name as used in status replies and logs.
 func (st State) String() string {
 	names := [...]string{"unknown", "cold", "serving", "shedding", "suspect", "draining", "gone"}
 	if int(st) >= len(names) {
@@ -45,12 +45,12 @@
 	return names[st]
 }
 
-// Leaving tells whether the server must get no new work.
+// Leaving reports whether the server must get no new work.
 func (st State) Leaving() bool {
 	return st == StateDraining || st == StateGone
 }
 
-// Server is one upstream server.
+// Server is an upstream server with its configuration and its state.
 type Server struct {
 	ID          ServerID
 	Addr        string
@@ -63,34 +63,34 @@
 	Incarnation uint64
 	Slots       int
 	Connections int
-	// Weight is the share of a full server's work to send, 0 to 1; low while
-	// the server ramps, sheds or is suspect.
+	// Weight is the share of a full server's load to send to it, from 0 to 1; it is low while the
+	// server ramps up, sheds load or is suspect.
 	Weight float32
 }
 
-// Team is a team's configuration in force.
+// Team is the configuration in force of a team.
 type Team struct {
 	Revision uint64
 	ChangeID string
 	Document team.Document
-	// Raw is the document as its operator wrote it, but for white space.
+	// Raw is the operator's document without insignificant white space.
 	Raw []byte
 }
 
-// RegisterKey names a register within a team.
+// RegisterKey identifies a register of a team.
 type RegisterKey struct {
 	Team     string
 	Register string
 }
 
-// View is an immutable picture. The zero value is empty and usable.
+// View is an immutable snapshot of this VM's knowledge. The zero value is empty and usable.
 type View struct {
 	teams     map[string]Team
 	registers map[RegisterKey]Register
 	servers   chunks
 }
 
-// Team returns the configuration in force of a team.
+// Team returns the configuration in force of a team; false if there is none.
 func (vw View) Team(name string) (Team, bool) {
 	tm, ok := vw.teams[name]
 	return tm, ok
@@ -105,7 +105,7 @@
 	}
 }
 
-// Register returns a register's snapshots.
+// Register returns the snapshots of a register; false if it is not known.
 func (vw View) Register(key RegisterKey) (Register, bool) {
 	rg, ok := vw.registers[key]
 	return rg, ok
@@ -120,29 +120,29 @@
 	}
 }
 
-// Server returns a server by its id; the id must come from this view or an
-// earlier one.
+// Server returns a server by its id. The id must come from this view or an earlier one; otherwise
+// Server panics.
 func (vw View) Server(id ServerID) Server {
 	return *vw.servers.at(id)
 }
 
-// ServerRef returns a server without copying it. The caller must not change it.
+// ServerRef returns a server without copying it. The caller must not modify it.
 func (vw View) ServerRef(id ServerID) *Server {
 	return vw.servers.at(id)
 }
 
-// Len is the number of servers; their ids go from 0.
+// Len returns the number of servers; their ids are below it.
 func (vw View) Len() int {
 	return vw.servers.n
 }
 
-// Servers lists all servers, indexed by id. It copies them: it is for status
-// replies and not for every event.
+// Servers returns all servers, indexed by id. It copies the whole list, so it is for status replies
+// and not for frequent events.
 func (vw View) Servers() []Server {
 	return vw.servers.list()
 }
 
-// WithTeam returns a view in which the team's configuration is replaced.
+// WithTeam returns a view with one team's configuration replaced or added.
 func (vw View) WithTeam(tm Team) View {
 	teams := maps.Clone(vw.teams)
 	if teams == nil {
@@ -153,22 +153,21 @@
 	return vw
 }
 
-// WithServers returns a view with another list of servers.
+// WithServers returns a view with the given list of servers; each must have its index as ID.
 func (vw View) WithServers(servers []Server) View {
-	vw.servers = chunksOf(servers)
+	vw.servers = newChunks(servers)
 	return vw
 }
 
-// WithServer returns a view in which one server is replaced, or added where its
-// id is Len. The cost does not grow with the number of servers, but for the
-// directory of chunks.
+// WithServer returns a view with one server replaced, or added if its id equals Len. Apart from
+// copying the directory of chunks, the cost does not depend on the number of servers.
 func (vw View) WithServer(sv Server) View {
 	vw.servers = vw.servers.with(sv)
 	return vw
 }
 
-// WithRegisters returns a view with other registers. The map is taken over and
-// must not be changed afterwards.
+// WithRegisters returns a view with the given registers. The caller must not modify the map
+// afterwards.
 func (vw View) WithRegisters(registers map[RegisterKey]Register) View {
 	vw.registers = registers
 	return vw
--- a/core/view/view_test.go
+++ b/core/view/view_test.go
@@ -11,14 +11,13 @@
 	"laburnumvane/core/view"
 )
 
-func serverNumber(id int) view.Server {
+func newServer(id int) view.Server {
 	return view.Server{ID: view.ServerID(id), Addr: fmt.Sprint("10.0.0.1:", id)}
 }
 
-// A search keeps the view that it began with: whatever the control goroutine
-// derives from it later, replacing or adding servers one at a time, the search
-// sees what it saw at first.
-func TestWithServerLeavesOldViewsAlone(t *testing.T) {
+// A search keeps the view that it began with: whatever views the control goroutine derives from it
+// by replacing or adding servers, the old view stays unchanged.
+func TestWithServerLeavesOldViewsUnchanged(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		var vw view.View
@@ -30,7 +29,7 @@
 		var old []kept
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
 			id := rapid.IntRange(0, len(model)).Draw(rt, "id")
-			sv := serverNumber(id)
+			sv := newServer(id)
 			sv.State = view.State(rapid.IntRange(0, 6).Draw(rt, "state"))
 			old = append(old, kept{vw, slices.Clone(model)})
 			vw = vw.WithServer(sv)
@@ -49,17 +48,17 @@
 }
 
 var (
-	sink *view.View
-	flat []view.Server
+	sink     *view.View
+	flatSink []view.Server
 )
 
-// One state change: deriving the view and publishing it, by chunks and by a
-// copy of the whole list.
+// The cost of one state change, including publishing the new view: with chunks, and with a copy of
+// the whole list.
 func BenchmarkStateChange(b *testing.B) {
 	for _, n := range []int{10, 1_000, 32_000} {
 		servers := make([]view.Server, n)
 		for i := range servers {
-			servers[i] = serverNumber(i)
+			servers[i] = newServer(i)
 		}
 		base := view.View{}.WithServers(servers)
 		b.Run(fmt.Sprintf("chunks/servers=%d", n), func(b *testing.B) {
@@ -79,7 +78,7 @@
 			for i := range b.N {
 				list = slices.Clone(list)
 				list[i%n].State = view.State(i % 7)
-				flat = list
+				flatSink = list
 			}
 		})
 	}
