--- a/core/drain/event.go
+++ b/core/drain/event.go
@@ -2,47 +2,47 @@
 
 import "time"
 
-// Event is something that happened. The types below are all there are.
+// Event is an input of Machine.Step; only the types below implement it.
 type Event interface {
 	apply(ma *Machine)
 }
 
-// Signal asks for the stop. Only the first counts: operators and platforms send
-// it again when a stop takes long, and that must not cut it short.
+// Signal requests the stop. Only the first one counts: operators and platforms repeat it when a
+// stop takes long, and that must not cut the stop short.
 type Signal struct{}
 
-// Booted tells that the listeners are open.
+// Booted reports that the listeners are open.
 type Booted struct{}
 
-// BootFailed tells that the process cannot serve.
+// BootFailed reports that the process cannot serve.
 type BootFailed struct{}
 
-// Load tells what is left to be done.
+// Load reports the remaining work.
 type Load struct {
-	// InFlight counts searches of callers and of peers.
+	// InFlight is the number of searches in flight, of callers and of other VMs.
 	InFlight int
 	// TicketsUntil is when the last ticket issued by this process expires.
 	TicketsUntil time.Duration
 }
 
-// CallersClosed tells that the callers' and operators' listeners and all their
-// connections are closed.
+// CallersClosed reports that the listeners of callers and operators and all their connections are
+// closed.
 type CallersClosed struct{}
 
-// Tick is due at Wake.
+// Tick is due at the time returned by Wake.
 type Tick struct{}
 
-// Expire ends the grace early.
+// Expire ends the grace immediately.
 type Expire struct{}
 
 func (Signal) apply(ma *Machine) {
-	first := !ma.asked
-	ma.asked = true
+	first := !ma.signalled
+	ma.signalled = true
 	switch {
 	case !first:
-		ma.do(Action{Kind: ActRepeated})
+		ma.emit(Action{Kind: ActRepeated})
 	case ma.phase == PhaseServing:
-		ma.stop(ma.cfg.BalancerLag)
+		ma.beginStop(ma.cfg.BalancerLag)
 	}
 }
 
@@ -51,10 +51,10 @@
 		return
 	}
 	ma.phase = PhaseServing
-	if ma.asked {
-		// The balancer has never seen this VM healthy: nobody is sent
-		// here, and there is no lag to wait for.
-		ma.stop(0)
+	if ma.signalled {
+		// The balancer has never seen this VM healthy and sends it no requests, so there is no lag
+		// to wait for.
+		ma.beginStop(0)
 	}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	ma.phase = PhaseStopped
-	ma.do(Action{Kind: ActExit, Code: 1})
+	ma.emit(Action{Kind: ActExit, Code: 1})
 }
 
 func (ev Load) apply(ma *Machine) {
@@ -71,43 +71,43 @@
 }
 
 func (CallersClosed) apply(ma *Machine) {
-	ma.closed = true
+	ma.callersClosed = true
 }
 
 func (Tick) apply(*Machine) {}
 
 func (Expire) apply(ma *Machine) {
 	if ma.stopping() {
-		ma.end = ma.now
+		ma.deadline = ma.now
 	}
 }
 
-// ActionKind says what to do.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// Actions.
+// Kinds of actions.
 const (
-	// ActFailHealth: fail the health check, close each connection with its
-	// answer, issue no more tickets.
+	// ActFailHealth: fail the health check, close each connection after its answer, issue no more
+	// tickets.
 	ActFailHealth ActionKind = iota + 1
-	// ActAnnounce: tell the other VMs.
+	// ActAnnounce: inform the other VMs of the stop.
 	ActAnnounce
-	// ActHandOver: leave watches and relays to the VMs that rank next.
+	// ActHandOver: leave watches and relays to the VMs next in rank.
 	ActHandOver
-	// ActRepeated: a further signal changes nothing; say so.
+	// ActRepeated: log that a repeated signal has no effect.
 	ActRepeated
-	// ActCloseCallers: close idle connections and the listeners of callers
-	// and operators, then CallersClosed.
+	// ActCloseCallers: close idle connections and the listeners of callers and operators, then step
+	// with CallersClosed.
 	ActCloseCallers
-	// ActAbort: cut off what is still in flight.
+	// ActAbort: cut off the requests still in flight.
 	ActAbort
-	// ActCloseInner: close the listener of the other VMs.
+	// ActCloseInner: close the listener for other VMs.
 	ActCloseInner
-	// ActExit: end the process with Code.
+	// ActExit: end the process with exit code Code.
 	ActExit
 )
 
-// String is the action's name in logs.
+// String returns the action's name for logs.
 func (ak ActionKind) String() string {
 	names := [...]string{"", "failHealth", "announce", "handOver", "repeated", "closeCallers", "abort", "closeInner", "exit"}
 	if int(ak) >= len(names) {
@@ -116,11 +116,11 @@
 	return names[ak]
 }
 
-// Action is something to be done.
+// Action is an output of Machine.Step, to be carried out by the caller.
 type Action struct {
 	Kind ActionKind
 	// Code is the exit code of ActExit: 0 if nothing was cut off.
 	Code int
-	// Cut is the number of searches that ActExit cut off.
+	// Cut is the number of searches that were cut off, for ActExit.
 	Cut int
 }
--- a/core/drain/example_test.go
+++ b/core/drain/example_test.go
@@ -7,8 +7,8 @@
 	"laburnumvane/core/drain"
 )
 
-// A stop with one search in flight: the listeners go on for the balancer's lag,
-// and the exit waits for the search.
+// A stop with one search in flight: the listeners stay open for the balancer's lag, and the exit
+// waits for the search.
 func Example() {
 	ma := drain.New(drain.Config{BalancerLag: 5 * time.Second, Grace: 70 * time.Second})
 	step := func(now time.Duration, ev drain.Event) {
--- a/core/drain/machine.go
+++ b/core/drain/machine.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// Config sets a planned stop.
+// Config configures a Machine.
 type Config struct {
-	// BalancerLag is how long requests may still come after health failed.
+	// BalancerLag is how long requests may still arrive after the health check has started to fail.
 	BalancerLag time.Duration
-	// Grace is the longest time from the signal to the exit.
+	// Grace is the maximum time from the signal to the exit.
 	Grace time.Duration
 }
 
-// Phase is how far a stop has come.
+// Phase is the stage of a process from boot to stop.
 type Phase uint8
 
-// Phases, in their order.
+// Phases, in order.
 const (
 	PhaseBooting Phase = iota
 	PhaseServing
-	// PhaseLagging: health fails, the balancer may still send.
+	// PhaseLagging: the health check fails, but the balancer may still send requests.
 	PhaseLagging
-	// PhaseFinishing: nothing new from callers, what is in flight goes on.
+	// PhaseFinishing: the listeners of callers are closing, requests in flight continue.
 	PhaseFinishing
-	// PhaseTickets: only peers are answered, for tickets issued here.
+	// PhaseTickets: only requests of other VMs are answered, for tickets issued here.
 	PhaseTickets
 	PhaseStopped
 )
 
-// String is the phase's name in status replies and logs.
+// String returns the phase's name as used in status replies and logs.
 func (ph Phase) String() string {
 	names := [...]string{"booting", "serving", "lagging", "finishing", "tickets", "stopped"}
 	if int(ph) >= len(names) {
@@ -35,73 +35,73 @@
 	return names[ph]
 }
 
-// Machine is one process on its way to its stop.
+// Machine controls the stop of one process.
 type Machine struct {
-	cfg    Config
-	now    time.Duration
-	phase  Phase
-	asked  bool
-	lagEnd time.Duration
-	end    time.Duration
-	closed bool
-	load   Load
-	out    []Action
+	cfg           Config
+	now           time.Duration
+	phase         Phase
+	signalled     bool
+	lagEnd        time.Duration
+	deadline      time.Duration
+	callersClosed bool
+	load          Load
+	actions       []Action
 }
 
-// New makes a machine of a process that boots.
+// New returns a machine in PhaseBooting.
 func New(cfg Config) *Machine {
 	return &Machine{cfg: cfg}
 }
 
-// Phase is how far the stop has come.
+// Phase returns the current phase.
 func (ma *Machine) Phase() Phase {
 	return ma.phase
 }
 
-// Wake is when the next Tick is due; ok is false if none is.
+// Wake returns when the next Tick is due; ok is false if none is.
 func (ma *Machine) Wake() (at time.Duration, ok bool) {
 	switch ma.phase {
 	case PhaseLagging:
-		return min(ma.lagEnd, ma.end), true
+		return min(ma.lagEnd, ma.deadline), true
 	case PhaseFinishing:
-		return ma.end, true
+		return ma.deadline, true
 	case PhaseTickets:
 		if ma.load.InFlight > 0 {
-			return ma.end, true
+			return ma.deadline, true
 		}
-		return min(ma.end, ma.load.TicketsUntil), true
+		return min(ma.deadline, ma.load.TicketsUntil), true
 	default:
 		return 0, false
 	}
 }
 
-// Step takes an event in.
+// Step processes an event and returns the actions to carry out, in order.
 func (ma *Machine) Step(now time.Duration, ev Event) []Action {
-	ma.out = nil
+	ma.actions = nil
 	ma.now = max(ma.now, now)
 	ev.apply(ma)
-	ma.proceed()
-	return ma.out
+	ma.advance()
+	return ma.actions
 }
 
-func (ma *Machine) do(ac Action) {
-	ma.out = append(ma.out, ac)
+func (ma *Machine) emit(ac Action) {
+	ma.actions = append(ma.actions, ac)
 }
 
-// proceed moves on through all phases that are over.
-func (ma *Machine) proceed() {
-	if ma.phase == PhaseLagging && ma.now >= min(ma.lagEnd, ma.end) {
+// advance enters each next phase whose conditions are met.
+func (ma *Machine) advance() {
+	if ma.phase == PhaseLagging && ma.now >= min(ma.lagEnd, ma.deadline) {
 		ma.phase = PhaseFinishing
-		ma.do(Action{Kind: ActCloseCallers})
+		ma.emit(Action{Kind: ActCloseCallers})
 	}
-	if ma.phase == PhaseFinishing && ma.closed && ma.load.InFlight == 0 {
+	if ma.phase == PhaseFinishing && ma.callersClosed && ma.load.InFlight == 0 {
 		ma.phase = PhaseTickets
 	}
 	if ma.phase == PhaseTickets && ma.load.InFlight == 0 && ma.now >= ma.load.TicketsUntil {
 		ma.exit(Action{Kind: ActExit})
 	}
-	if ma.stopping() && ma.now >= ma.end {
-		ma.giveUp()
+	if ma.stopping() && ma.now >= ma.deadline {
+		ma.endGrace()
 	}
 }
 
@@ -109,27 +109,27 @@
 	return ma.phase > PhaseServing && ma.phase < PhaseStopped
 }
 
-// giveUp ends the stop at the end of the grace.
-func (ma *Machine) giveUp() {
-	if ma.load.InFlight == 0 && ma.closed {
+// endGrace exits at the end of the grace and cuts off what is still in flight.
+func (ma *Machine) endGrace() {
+	if ma.load.InFlight == 0 && ma.callersClosed {
 		ma.exit(Action{Kind: ActExit})
 		return
 	}
-	ma.do(Action{Kind: ActAbort})
+	ma.emit(Action{Kind: ActAbort})
 	ma.exit(Action{Kind: ActExit, Code: 1, Cut: ma.load.InFlight})
 }
 
 func (ma *Machine) exit(ac Action) {
 	ma.phase = PhaseStopped
-	ma.do(Action{Kind: ActCloseInner})
-	ma.do(ac)
+	ma.emit(Action{Kind: ActCloseInner})
+	ma.emit(ac)
 }
 
-func (ma *Machine) stop(lag time.Duration) {
+func (ma *Machine) beginStop(lag time.Duration) {
 	ma.phase = PhaseLagging
 	ma.lagEnd = ma.now + lag
-	ma.end = ma.now + ma.cfg.Grace
-	ma.do(Action{Kind: ActFailHealth})
-	ma.do(Action{Kind: ActAnnounce})
-	ma.do(Action{Kind: ActHandOver})
+	ma.deadline = ma.now + ma.cfg.Grace
+	ma.emit(Action{Kind: ActFailHealth})
+	ma.emit(Action{Kind: ActAnnounce})
+	ma.emit(Action{Kind: ActHandOver})
 }
--- a/core/drain/machine_test.go
+++ b/core/drain/machine_test.go
@@ -12,47 +12,47 @@
 	"laburnumvane/internal/golden"
 )
 
-type at struct {
+type timedEvent struct {
 	sec float64
 	ev  drain.Event
 }
 
-// sessions are whole stops; a Tick is put in wherever one is due. What comes of
-// each is in testdata.
-var sessions = []struct {
+// scenarios are complete stops, with a Tick inserted wherever one is due. Their output is compared
+// with the golden files.
+var scenarios = []struct {
 	name   string
-	events []at
+	events []timedEvent
 }{
-	{"nothingInFlight", []at{{0, drain.Booted{}}, {10, drain.Signal{}}, {15.1, drain.CallersClosed{}}}},
-	{"searchInFlight", []at{
+	{"nothingInFlight", []timedEvent{{0, drain.Booted{}}, {10, drain.Signal{}}, {15.1, drain.CallersClosed{}}}},
+	{"searchInFlight", []timedEvent{
 		{0, drain.Booted{}}, {10, drain.Load{InFlight: 2}}, {10, drain.Signal{}},
 		{16, drain.Load{InFlight: 1}}, {20, drain.CallersClosed{}}, {21, drain.Load{}},
 	}},
-	{"signalTwice", []at{{0, drain.Booted{}}, {10, drain.Signal{}}, {11, drain.Signal{}}, {15.1, drain.CallersClosed{}}, {16, drain.Signal{}}}},
-	{"signalDuringBoot", []at{{0, drain.Signal{}}, {1, drain.Signal{}}, {2, drain.Booted{}}, {2.1, drain.CallersClosed{}}}},
-	{"bootFails", []at{{0, drain.Signal{}}, {1, drain.BootFailed{}}}},
-	{"searchLongerThanGrace", []at{{0, drain.Booted{}}, {10, drain.Load{InFlight: 1}}, {10, drain.Signal{}}, {90, drain.Load{}}}},
-	{"ticketsExpire", []at{
+	{"signalTwice", []timedEvent{{0, drain.Booted{}}, {10, drain.Signal{}}, {11, drain.Signal{}}, {15.1, drain.CallersClosed{}}, {16, drain.Signal{}}}},
+	{"signalDuringBoot", []timedEvent{{0, drain.Signal{}}, {1, drain.Signal{}}, {2, drain.Booted{}}, {2.1, drain.CallersClosed{}}}},
+	{"bootFails", []timedEvent{{0, drain.Signal{}}, {1, drain.BootFailed{}}}},
+	{"searchLongerThanGrace", []timedEvent{{0, drain.Booted{}}, {10, drain.Load{InFlight: 1}}, {10, drain.Signal{}}, {90, drain.Load{}}}},
+	{"ticketsExpire", []timedEvent{
 		{0, drain.Booted{}}, {10, drain.Load{TicketsUntil: 40 * time.Second}}, {10, drain.Signal{}}, {15.1, drain.CallersClosed{}},
 		{30, drain.Load{InFlight: 1, TicketsUntil: 40 * time.Second}}, {45, drain.Load{TicketsUntil: 40 * time.Second}},
 	}},
-	{"ticketsOutliveGrace", []at{
+	{"ticketsOutliveGrace", []timedEvent{
 		{0, drain.Booted{}}, {10, drain.Load{TicketsUntil: 400 * time.Second}}, {10, drain.Signal{}}, {15.1, drain.CallersClosed{}}, {100, drain.Tick{}},
 	}},
-	{"clientHoldsConnection", []at{{0, drain.Booted{}}, {10, drain.Signal{}}, {100, drain.Tick{}}}},
-	{"graceEndedEarly", []at{{0, drain.Booted{}}, {10, drain.Load{InFlight: 3}}, {10, drain.Signal{}}, {12, drain.Expire{}}}},
+	{"clientHoldsConnection", []timedEvent{{0, drain.Booted{}}, {10, drain.Signal{}}, {100, drain.Tick{}}}},
+	{"graceEndedEarly", []timedEvent{{0, drain.Booted{}}, {10, drain.Load{InFlight: 3}}, {10, drain.Signal{}}, {12, drain.Expire{}}}},
 }
 
-func TestSessions(t *testing.T) {
-	for _, tt := range sessions {
+func TestScenarios(t *testing.T) {
+	for _, tt := range scenarios {
 		t.Run(tt.name, func(t *testing.T) {
-			got := play(tt.events)
+			got := run(tt.events)
 			golden.Check(t, tt.name, got)
 		})
 	}
 }
 
-func play(events []at) string {
+func run(events []timedEvent) string {
 	ma := drain.New(drain.Config{BalancerLag: 5 * time.Second, Grace: 70 * time.Second})
 	var out strings.Builder
 	step := func(now time.Duration, ev drain.Event) {
@@ -80,10 +80,9 @@
 	return out.String()
 }
 
-// Whatever happens in whatever order: health fails before the listeners close,
-// the exit comes once and last, its code is 0 only if nothing was cut off, and
-// never later than the grace.
-func TestAnyOrder(t *testing.T) {
+// Under any order of events: the health check fails before the listeners close, there is at most
+// one exit, no later than the end of the grace, and its code is 0 only if nothing was cut off.
+func TestInvariantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drain.Config{BalancerLag: 5 * time.Second, Grace: 70 * time.Second}
 		ma := drain.New(cfg)
@@ -110,15 +109,15 @@
 				stopping, signalled = true, now
 			}
 			if stopping && now >= signalled+cfg.Grace && ma.Phase() != drain.PhaseStopped {
-				t.Fatalf("still %v after the grace", ma.Phase())
+				t.Fatalf("still in phase %v after the grace", ma.Phase())
 			}
 			seen = append(seen, acts...)
 		}
-		check(t, seen)
+		checkActions(t, seen)
 	})
 }
 
-func check(t *rapid.T, seen []drain.Action) {
+func checkActions(t *rapid.T, seen []drain.Action) {
 	healthFailed, aborted, exits := false, false, 0
 	for _, ac := range seen {
 		switch ac.Kind {
@@ -126,14 +125,14 @@
 			healthFailed = true
 		case drain.ActCloseCallers:
 			if !healthFailed {
-				t.Fatal("listeners closed while health was good")
+				t.Fatal("listeners closed before the health check failed")
 			}
 		case drain.ActAbort:
 			aborted = true
 		case drain.ActExit:
 			exits++
 			if (ac.Code == 0) == aborted {
-				t.Fatalf("code %d, cut off: %v", ac.Code, aborted)
+				t.Fatalf("exit code %d, requests cut off: %v", ac.Code, aborted)
 			}
 		}
 	}
--- a/core/drain/seed_test.go
+++ b/core/drain/seed_test.go
@@ -1,4 +1,4 @@
 package drain_test
 
-// Property tests use one seed, so that their verdict is the same every time.
+// A fixed seed makes the property tests reproducible.
 import _ "laburnumvane/internal/seed"
