--- a/core/fault/fault.go
+++ b/core/fault/fault.go
@@ -1,4 +1,4 @@
-// Package fault has what the error types of all packages share.
+// Package fault holds error handling shared by all packages.
 //
 // # Usage
 //
@@ -7,9 +7,8 @@
 
 import "github.com/go-faster/errors"
 
-// Wrap names the function that an error comes from. Unlike the library's own
-// Wrap it leaves nil as nil: with that one, a server that stopped as planned
-// was logged as failed.
+// Wrap adds the operation that an error comes from. Unlike the library's Wrap it returns nil for a
+// nil error: with the library's, a server that had stopped as planned was logged as failed.
 func Wrap(err error, op string) error {
 	if err == nil {
 		return nil
