--- a/core/member/event.go
+++ b/core/member/event.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Event is an input of Machine.Step; only the types below implement it.
+// Event is an input of Machine.Step; only the types below and Kick implement it.
 type Event interface {
 	apply(ma *Machine)
 }
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -9,11 +9,15 @@
 
 const (
 	purposeBeat purpose = iota
+	// purposeRetry: a direct probe of a VM that did not answer a beat.
 	purposeRetry
+	// purposeContact: an attempt to contact a VM that is not known to be live.
 	purposeContact
 	purposeUrgent
 	purposeRelay
+	// purposeIndirect: a probe on behalf of another VM.
 	purposeIndirect
+	// purposeHelpRequest: a request to another VM to send an indirect probe.
 	purposeHelpRequest
 )
 
--- a/core/member/property_test.go
+++ b/core/member/property_test.go
@@ -95,9 +95,9 @@
 		switch {
 		case !known:
 		case ch.Member.Incarnation < was.Incarnation:
-			rt.Fatalf("%v after %v", ch.Member, was)
+			rt.Fatalf("incarnation decreased: %v after %v", ch.Member, was)
 		case ch.Member.Incarnation == was.Incarnation && ch.Member.State() < was.State() && was.State() >= member.StateLeaving:
-			rt.Fatalf("%v, %v after %v", ch.Member, ch.Member.State(), was.State())
+			rt.Fatalf("state of %v reverted: %v after %v", ch.Member, ch.Member.State(), was.State())
 		}
 	}
 }
