--- a/core/server/machine.go
+++ b/core/server/machine.go
@@ -52,6 +52,9 @@
 	maxColdStep      = 2
 	rampStepInterval = 2 * time.Second
 
+	// shedThreshold is the share of refusals because of load from which the weight is halved, at
+	// most once per minShedInterval and down to minShedWeight. It doubles after shedRecoverAfter
+	// without halving.
 	shedThreshold    = 0.25
 	shedRecoverAfter = time.Second
 	minShedInterval  = 250 * time.Millisecond
@@ -69,6 +72,7 @@
 	// maxMessageDelay bounds the time for which messages of an ended process may still arrive.
 	maxMessageDelay = time.Minute
 
+	// never is the time of a step or probe that is not scheduled.
 	never = time.Duration(1<<63 - 1)
 )
 
@@ -143,8 +147,8 @@
 		return true, ef
 	}
 	first := mc.Incarnation == 0
-	fresh := ev.Kind == Hint && ev.Probe && mc.acceptsLowerIncarnation(now)
-	if ev.Incarnation < mc.Incarnation && !fresh {
+	restarted := ev.Kind == Hint && ev.Probe && mc.acceptsLowerIncarnation(now)
+	if ev.Incarnation < mc.Incarnation && !restarted {
 		return false, ef
 	}
 	mc.Incarnation = ev.Incarnation
@@ -232,8 +236,8 @@
 	mc.probeAt = now + mc.backoff/2 + jitter(rnd, mc.backoff/2)
 }
 
-func jitter(rnd *rand.Rand, most time.Duration) time.Duration {
-	return time.Duration(rnd.Int64N(int64(most)))
+func jitter(rnd *rand.Rand, limit time.Duration) time.Duration {
+	return time.Duration(rnd.Int64N(int64(limit)))
 }
 
 func (mc *machine) setState(st view.State, why string, weight float32) {
--- a/core/server/polls.go
+++ b/core/server/polls.go
@@ -133,8 +133,8 @@
 
 // roundInterval returns the mean interval between two regular polls of one server.
 func (po *Polls) roundInterval() time.Duration {
-	afford := float64(po.count) * po.meanCost / po.cfg.BytesPerSecond * float64(time.Second)
-	return max(po.cfg.Every, time.Duration(afford))
+	affordable := float64(po.count) * po.meanCost / po.cfg.BytesPerSecond * float64(time.Second)
+	return max(po.cfg.Every, time.Duration(affordable))
 }
 
 // Done ends a poll and takes its size in bytes; 0 if it failed.
@@ -153,8 +153,8 @@
 		return 0, false
 	}
 	po.refill(now)
-	if lack := po.meanCost - po.tokens; lack > 0 {
-		at = max(at, now+time.Duration(lack/po.cfg.BytesPerSecond*float64(time.Second))+1)
+	if missing := po.meanCost - po.tokens; missing > 0 {
+		at = max(at, now+time.Duration(missing/po.cfg.BytesPerSecond*float64(time.Second))+1)
 	}
 	return at, true
 }
--- a/core/server/reply.go
+++ b/core/server/reply.go
@@ -41,8 +41,8 @@
 }
 
 func (mc *machine) recovered(ev Event) bool {
-	ill := mc.State == view.StateSuspect || mc.State == view.StateGone
-	return ill && ev.Good > 0 && mc.score < recoveredScore
+	failing := mc.State == view.StateSuspect || mc.State == view.StateGone
+	return failing && ev.Good > 0 && mc.score < recoveredScore
 }
 
 // readmit ramps a server up after failures: from the first step if it was gone, from the middle if
