--- a/core/fanout/config.go
+++ b/core/fanout/config.go
@@ -6,58 +6,56 @@
 	"laburnumvane/core/origin"
 )
 
-// Ask is what a server is picked for.
+// Ask describes the attempt that a server is to be picked for.
 type Ask struct {
 	Shard int
-	// Tried are the servers that are no choice.
+	// Tried lists the servers that must not be picked.
 	Tried []*origin.Upstream
-	// First is set if nothing of the request has reached the shard's service.
+	// First is set if nothing of the request has reached the shard's service yet.
 	First bool
-	// Trial is set for one that shows whether the request crashes servers: rather a server at
-	// which no other request is tried.
+	// Trial is set for an attempt that shows whether the request crashes servers: a server
+	// without any other trial is preferred.
 	Trial bool
 }
 
-// Chooser picks a server of a shard.
+// Chooser picks a server for a shard; false means that none is available.
 type Chooser interface {
 	Pick(now time.Duration, ask Ask) (*origin.Upstream, bool)
 }
 
-// Budget allows or denies an attempt beyond the first that reaches a service.
-// Needed is set where the request fails if no further shard answers than those
-// that still can without it.
+// Budget allows or denies each hedge and each retry. Needed is set if the request would fail
+// without this attempt, because too few other shards can still answer.
 type Budget interface {
 	Spend(shard int, needed bool) bool
 }
 
-// Config sets one request. All times are on the clock of now.
+// Config holds the parameters of one request. All times are on the clock of the now arguments.
 type Config struct {
-	// Shards is the number of services that the request goes to.
+	// Shards is the number of services that the request is sent to.
 	Shards int
-	// MinParts is the least number of them in an answer.
+	// MinParts is the minimum number of shards in an answer.
 	MinParts   int
 	Idempotent bool
-	// MaxAttempts is the number of servers of one shard on which the request
-	// may run.
+	// MaxAttempts is the maximum number of servers per shard on which the request may run.
 	MaxAttempts int
-	// Target is when an answer of enough shards goes out without the rest.
+	// Target is when an answer is given without the missing shards, if at least MinParts
+	// answered.
 	Target time.Duration
-	// Hard is when the final answer goes out, whatever is missing.
+	// Hard is the deadline: the final answer is given then at the latest.
 	Hard time.Duration
-	// HedgeAfter is how long an attempt may take before another server is
-	// asked too; 0 turns that off.
+	// HedgeAfter is how long an attempt may take before a second server is asked as well; 0 turns
+	// hedging off.
 	HedgeAfter time.Duration
-	// LeastTime is what an attempt needs at least; nothing is sent later than
-	// that before Hard.
+	// LeastTime is the minimum duration of an attempt; none is sent when less is left until Hard.
 	LeastTime time.Duration
-	// Suspect is set for a request under which servers ended before: it goes to one
-	// server first.
+	// Suspect is set if servers crashed under an earlier arrival of the same request: it is sent
+	// to a single server first.
 	Suspect bool
-	// TrialGap is how long it takes until it is known what a trial showed, and Blocked tells
-	// whether the request is known to crash servers by now. Nil is never.
+	// TrialGap is how long after a crash the result of a trial takes to become known. Blocked
+	// tells whether the request is known to crash servers by now; nil means never.
 	TrialGap time.Duration
 	Blocked  func() bool
-	// Draw is uniform within 0 to 1; it chooses the shard of a trial.
+	// Draw returns a uniform random number in [0, 1), which selects the shard of a trial.
 	Draw    func() float64
 	Chooser Chooser
 	Budget  Budget
--- a/core/fanout/event.go
+++ b/core/fanout/event.go
@@ -6,34 +6,35 @@
 	"laburnumvane/core/origin"
 )
 
-// Verdict says what an attempt came to.
+// Verdict is the result of an attempt; 0 while it is open.
 type Verdict uint8
 
 // Verdicts.
 const (
-	// Served: a whole answer that counts.
+	// Served: a complete, valid answer arrived.
 	Served Verdict = iota + 1
-	// Failed: the server answered that it failed; it ran.
+	// Failed: the server ran the request and answered with a failure.
 	Failed
-	// Refused: the server said that it had no room and did not run it.
+	// Refused: the server had no capacity and did not run the request.
 	Refused
-	// Elsewhere: the server said that it is not the one meant, or is leaving,
-	// and did not run it.
+	// Elsewhere: the server is not the one addressed, or is shutting down, and did not run the
+	// request.
 	Elsewhere
-	// Lost: no answer that can be used will come; it may have run.
+	// Lost: no usable answer will arrive; the request may have run.
 	Lost
-	// Unsent: no byte of it left this VM.
+	// Unsent: no byte of the request left this VM.
 	Unsent
-	// Doubted: the VM that should have sent it advises another server. Nothing was sent.
+	// Doubted: the VM that was to forward the request advises using another server. Nothing was
+	// sent.
 	Doubted
 )
 
-// MayHaveRun tells whether an attempt with that verdict counts as run.
+// MayHaveRun tells whether a request with this verdict has to be treated as run.
 func (ve Verdict) MayHaveRun() bool {
 	return ve == Served || ve == Failed || ve == Lost
 }
 
-// String is the verdict's name in logs and counters.
+// String returns the verdict's name in logs and counters; "open" if there is none yet.
 func (ve Verdict) String() string {
 	switch ve {
 	case Served:
@@ -54,43 +55,43 @@
 	return "open"
 }
 
-// EventKind tells the kinds of events apart.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	// EvResult brings the verdict on an attempt.
+	// EvResult reports the verdict on an attempt.
 	EvResult EventKind = iota + 1
-	// EvWake comes at the time that Wake named, or later.
+	// EvWake is the timer event at the time returned by Wake, or later.
 	EvWake
-	// EvGone tells that the client left.
+	// EvGone reports that the client disconnected.
 	EvGone
 )
 
-// Event is what happened to a request.
+// Event is an input to a Machine.
 type Event struct {
 	Kind    EventKind
 	Attempt int
 	Verdict Verdict
-	// Broken is set with Lost if the server ended the connection: the request may have
+	// Broken is set along with Lost if the server ended the connection: the request may have
 	// crashed it.
 	Broken bool
 }
 
-// Cause says why an attempt is made.
+// Cause is the reason why an attempt is made.
 type Cause uint8
 
 // Causes.
 const (
-	// CauseFirst is the first attempt that reaches the shard's service.
+	// CauseFirst: the first attempt to reach the shard's service.
 	CauseFirst Cause = iota + 1
-	// CauseHedge follows an attempt that is late.
+	// CauseHedge: an earlier attempt is late.
 	CauseHedge
-	// CauseRetry follows one that failed.
+	// CauseRetry: an earlier attempt failed.
 	CauseRetry
 )
 
-// String is the cause's name in logs and counters.
+// String returns the cause's name in logs and counters.
 func (ca Cause) String() string {
 	switch ca {
 	case CauseHedge:
@@ -101,49 +102,49 @@
 	return "first"
 }
 
-// ActionKind tells the kinds of actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
 // Kinds of actions.
 const (
 	// ActSend sends an attempt.
 	ActSend ActionKind = iota + 1
-	// ActDrop tells that an attempt's answer is not needed any more.
+	// ActDrop reports that the answer to an attempt is no longer needed.
 	ActDrop
 	// ActAnswer gives the final answer.
 	ActAnswer
 )
 
-// Action is what a request wants done.
+// Action is something that the caller of the Machine has to carry out.
 type Action struct {
 	Kind     ActionKind
 	Attempt  int
 	Shard    int
 	Upstream *origin.Upstream
 	Cause    Cause
-	// After is the verdict on the attempt before, for a retry.
+	// After is the verdict on the shard's previous attempt, for a retry.
 	After Verdict
 	// Trial is set for an attempt that shows whether the request crashes servers.
 	Trial  bool
 	Answer Answer
 }
 
-// Outcome says what became of a request.
+// Outcome is the final result of a request.
 type Outcome uint8
 
 // Outcomes.
 const (
-	// OutcomeServed: Winners holds the attempts that make up the answer.
+	// OutcomeServed: Winners holds the attempts whose answers form the answer.
 	OutcomeServed Outcome = iota + 1
-	// OutcomeFailed: it may have run.
+	// OutcomeFailed: the request may have run.
 	OutcomeFailed
-	// OutcomeNotRun: it did not run and never will.
+	// OutcomeNotRun: the request did not run and will not run.
 	OutcomeNotRun
-	// OutcomeGone: the client left before there was an answer.
+	// OutcomeGone: the client disconnected before there was an answer.
 	OutcomeGone
 )
 
-// String is the outcome's name in logs and counters.
+// String returns the outcome's name in logs and counters.
 func (oc Outcome) String() string {
 	switch oc {
 	case OutcomeServed:
@@ -158,34 +159,33 @@
 	return "open"
 }
 
-// Reasons of an answer that is not whole.
+// Reasons for an answer that is incomplete or a failure.
 const (
 	ReasonDeadline   = "deadline"
 	ReasonTarget     = "target"
 	ReasonNoUpstream = "noUpstream"
 	ReasonBudget     = "retryBudget"
 	ReasonAttempts   = "attempts"
-	ReasonOnce       = "mayHaveRun"
-	ReasonGone       = "clientGone"
-	// ReasonCrashes: servers ended under the request, one after the other.
+	ReasonMayHaveRun = "mayHaveRun"
+	ReasonClientGone = "clientGone"
+	// ReasonCrashes: several servers in a row crashed under the request.
 	ReasonCrashes = "crashesServers"
 )
 
-// Answer is the final answer.
+// Answer is the final answer to a request.
 type Answer struct {
 	Outcome Outcome
-	// Reason is why it is not whole; empty if it is.
+	// Reason is why the answer is incomplete or failed; empty if it is complete.
 	Reason string
-	// Winners are the attempts whose answers make up this one, by shard. The
-	// list is valid until the machine's next step.
+	// Winners are the attempts whose answers form this one, in the order of the shards. The slice
+	// is valid until the machine's next step.
 	Winners []int
 	Missing int
-	// Shown is the attempt whose failure the client may be shown as it is, or
-	// -1.
+	// Shown is the attempt whose failure may be passed on to the client as it is, or -1.
 	Shown int
-	// Full is set if a server had no room for it.
+	// Full is set if a server refused the request for lack of capacity.
 	Full bool
-	// Attempts counts all, Hedges and Retries those beyond the first.
+	// Attempts counts all attempts, Hedges and Retries those beyond the first of a shard.
 	Attempts int
 	Hedges   int
 	Retries  int
--- a/core/fanout/joined_test.go
+++ b/core/fanout/joined_test.go
@@ -9,7 +9,7 @@
 	"laburnumvane/core/fanout"
 )
 
-func sends(acts []fanout.Action) int {
+func countSends(acts []fanout.Action) int {
 	n := 0
 	for _, ac := range acts {
 		if ac.Kind == fanout.ActSend {
@@ -19,10 +19,10 @@
 	return n
 }
 
-// Three parts come joined, after the target and with one shard still out. The
-// records of all three stand together, so that an answer of only those that were
-// taken in first would hold records of a part that it does not name.
-func TestJoinedPartsAreTakenTogether(t *testing.T) {
+// Three results arrive merged, after the target time and with one shard still open. Their records
+// cannot be separated, so an answer given after only some of them were processed would contain
+// records of a shard that it does not list.
+func TestMergedResultsAreProcessedTogether(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(4, 1))
 	mc.Start(0)
@@ -37,32 +37,32 @@
 	is.Equal(last.Answer.Missing, 1)
 }
 
-// While an attempt's answer may come joined with others, no second server is
-// asked: its answer could not be told apart from the joined one. Once it is known
-// that the result comes by itself, one is asked as soon as it is late.
-func TestHeldAttemptsAreNotHedged(t *testing.T) {
+// No hedge is sent while an attempt's answer may arrive merged with others, since the two answers
+// could not be told apart. Once Release says that the result arrives on its own, a hedge is sent
+// as soon as the attempt is late.
+func TestHoldDelaysHedges(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
 	mc.Start(0)
 	mc.Hold(0, 80*ms)
 	mc.Hold(1, 80*ms)
-	is.Equal(sends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 0)
+	is.Equal(countSends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 0)
 	mc.Release(0)
 	is.Equal(mc.Wake(), 50*ms)
-	is.Equal(sends(mc.Step(61*ms, fanout.Event{Kind: fanout.EvWake})), 1)
-	is.Equal(sends(mc.Step(81*ms, fanout.Event{Kind: fanout.EvWake})), 1)
+	is.Equal(countSends(mc.Step(61*ms, fanout.Event{Kind: fanout.EvWake})), 1)
+	is.Equal(countSends(mc.Step(81*ms, fanout.Event{Kind: fanout.EvWake})), 1)
 }
 
-// The VM that joins stands still. Second servers are asked meanwhile, one of them
-// answers, and then the joined answer comes: it holds records of that shard too,
-// which cannot be told apart, so that nothing of it may be taken.
-func TestJoinedAnswerAfterAnotherOne(t *testing.T) {
+// The VM that merges answers is paused. Hedges are sent meanwhile, one of them is answered, and
+// then the merged answer arrives. It also contains records of that shard, which cannot be
+// separated, so all of it has to be discarded.
+func TestMergedResultsAfterAnotherWinner(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
 	mc.Start(0)
 	mc.Hold(0, 60*ms)
 	mc.Hold(1, 60*ms)
-	is.Equal(sends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 2)
+	is.Equal(countSends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 2)
 	mc.Step(70*ms, fanout.Event{Kind: fanout.EvResult, Attempt: 2, Verdict: fanout.Served})
 	acts := mc.StepAll(75*ms, []fanout.Event{
 		{Kind: fanout.EvResult, Attempt: 0, Verdict: fanout.Served},
@@ -73,21 +73,21 @@
 	is.Equal(acts[len(acts)-1].Answer.Winners, []int{2, 3})
 }
 
-// The VM beside a shard's servers does not send to the first of them, since it is slow.
-// Another one is asked, at no cost of a token; but where the shard has no other, the slow
-// one has to serve, or the answer would lack a part for a mere advice.
-func TestDoubtedServerIsTheLastChoice(t *testing.T) {
+// The VM next to a shard's servers advises against the first of them, since it is slow. Another
+// server is asked, without taking a token. If the shard has no other, the slow one has to be
+// used: advice alone must not cost the answer a part.
+func TestDoubtedServerIsLastChoice(t *testing.T) {
 	cases := []struct {
-		name    string
-		servers servers
-		then    []fanout.Verdict
-		asked   []string
-		outcome fanout.Outcome
+		name     string
+		servers  servers
+		verdicts []fanout.Verdict
+		asked    []string
+		outcome  fanout.Outcome
 	}{
-		{"another one", each(1, "a", "b"), []fanout.Verdict{fanout.Doubted, fanout.Served}, []string{"a0", "b0"}, fanout.OutcomeServed},
-		{"no other one", each(1, "a"), []fanout.Verdict{fanout.Doubted, fanout.Served}, []string{"a0", "a0"}, fanout.OutcomeServed},
-		{"the other one fails", each(1, "a", "b"), []fanout.Verdict{fanout.Doubted, fanout.Failed, fanout.Served}, []string{"a0", "b0", "a0"}, fanout.OutcomeServed},
-		{"nothing was sent in the end", each(1, "a"), []fanout.Verdict{fanout.Doubted, fanout.Unsent}, []string{"a0", "a0"}, fanout.OutcomeNotRun},
+		{"other server available", serversPerShard(1, "a", "b"), []fanout.Verdict{fanout.Doubted, fanout.Served}, []string{"a0", "b0"}, fanout.OutcomeServed},
+		{"no other server", serversPerShard(1, "a"), []fanout.Verdict{fanout.Doubted, fanout.Served}, []string{"a0", "a0"}, fanout.OutcomeServed},
+		{"other server fails", serversPerShard(1, "a", "b"), []fanout.Verdict{fanout.Doubted, fanout.Failed, fanout.Served}, []string{"a0", "b0", "a0"}, fanout.OutcomeServed},
+		{"second attempt unsent", serversPerShard(1, "a"), []fanout.Verdict{fanout.Doubted, fanout.Unsent}, []string{"a0", "a0"}, fanout.OutcomeNotRun},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -98,7 +98,7 @@
 			acts := mc.Start(0)
 			var asked []string
 			var last fanout.Action
-			for k, ve := range tc.then {
+			for k, ve := range tc.verdicts {
 				for _, ac := range acts {
 					if ac.Kind == fanout.ActSend {
 						asked = append(asked, ac.Upstream.ID)
--- a/core/fanout/machine.go
+++ b/core/fanout/machine.go
@@ -6,49 +6,48 @@
 	"laburnumvane/core/origin"
 )
 
-// none stands for no attempt.
+// none is the index used for "no attempt".
 const none = -1
 
-// SpareTries is how many attempts beyond MaxAttempts may be spent on servers
-// that provably did not run the request, so that a wave of refusals does not go
-// round all servers of a service.
+// SpareTries is how many attempts beyond MaxAttempts may be spent on servers that provably did
+// not run the request. The bound keeps a wave of refusals from reaching all servers of a service.
 const SpareTries = 1
 
-// attempt is one try on one server.
+// attempt is one request to one server.
 type attempt struct {
 	shard   int
 	up      *origin.Upstream
 	started time.Duration
 	verdict Verdict
-	// trial is set for one that shows whether the request crashes servers.
+	// trial is set if the attempt shows whether the request crashes servers.
 	trial bool
 }
 
-// shard is the progress on one service.
+// shard is the state of the request at one service.
 type shard struct {
 	winner int
-	// open counts attempts without verdict, ran those that may have run, tries
-	// those that arrived or may have. All counts those that never left too.
-	open, ran, tries, all int
-	// broken counts the attempts that its servers broke while none had answered.
+	// open counts attempts without a verdict, ran those that may have run, tries those that
+	// reached the service or may have. total also counts those that never left this VM.
+	open, ran, tries, total int
+	// broken counts the attempts whose connection a server ended while none had answered.
 	broken int
-	// reached is set once an attempt may have arrived at the service, so that
-	// further ones draw on the budget.
+	// reached is set once an attempt may have reached the service; further ones take from the
+	// budget.
 	reached bool
-	// again is set once a server did nothing that speaks against asking it again: it had
-	// no room, or another VM advised against it.
-	again bool
-	// dead is set when nothing more can be done for it.
-	dead bool
-	// hedgeAt is when a further server is asked; 0 if never.
+	// mayReuse is set once a server may be asked again: it had no capacity, or another VM advised
+	// against it.
+	mayReuse bool
+	// failed is set when the shard can no longer answer.
+	failed bool
+	// hedgeAt is when a hedge is sent; 0 if none is planned.
 	hedgeAt time.Duration
-	// due is set while it waits for the outcome of a trial, and after is the verdict on
-	// its attempt before; 0 if there was none.
-	due   bool
-	after Verdict
+	// due is set while an attempt waits to be sent, possibly for the result of a trial.
+	// lastVerdict is the verdict on the previous attempt; 0 if there was none.
+	due         bool
+	lastVerdict Verdict
 }
 
-// Machine takes one request from Start to its answer.
+// Machine runs one request from Start to its answer. It is not safe for concurrent use.
 type Machine struct {
 	cfg      Config
 	shards   []shard
@@ -56,25 +55,25 @@
 	actions  []Action
 	tried    []*origin.Upstream
 	winners  []int
-	done     int
-	dead     int
+	served   int
+	failed   int
 	hedges   int
 	retries  int
 	full     bool
 	shown    int
 	reason   string
 	answered bool
-	ward     ward
+	guard    crashGuard
 }
 
-// New makes the machine of one request; it does nothing until Start.
+// New returns the machine for one request; Start begins the work.
 func New(cfg Config) *Machine {
 	return &Machine{cfg: cfg, shown: none}
 }
 
-// Start sends the first attempts. Where too few shards have a server at all,
-// nothing is sent: the servers of the others would work for an answer that there
-// cannot be, and the client could not be told that its request did not run.
+// Start sends the first attempts. If fewer than MinParts shards have a server, nothing is sent:
+// the other servers would work in vain, and the client could not be told that its request did not
+// run.
 func (mc *Machine) Start(now time.Duration) []Action {
 	mc.shards = make([]shard, mc.cfg.Shards)
 	mc.attempts = make([]attempt, 0, mc.cfg.Shards+mc.cfg.Shards/4+1)
@@ -83,46 +82,47 @@
 		mc.shards[i].winner = none
 	}
 	for i := range mc.shards {
-		mc.begin(now, i)
+		mc.startShard(now, i)
 	}
-	if mc.hopeless() {
-		mc.recall()
+	if mc.cannotSucceed() {
+		mc.discardAttempts()
 	}
-	mc.proceed(now)
-	mc.settle(now)
+	mc.sendDue(now)
+	mc.decide(now)
 	return mc.actions
 }
 
-// begin sends a shard's first attempt, or has it wait for a trial.
-func (mc *Machine) begin(now time.Duration, i int) {
+// startShard sends a shard's first attempt, or marks it as due for a trial if the request is
+// suspect.
+func (mc *Machine) startShard(now time.Duration, i int) {
 	if mc.cfg.Suspect {
-		mc.ward.careful = true
+		mc.guard.trialsOnly = true
 		if _, ok := mc.pick(now, i, false, true); !ok {
-			mc.kill(i, ReasonNoUpstream)
+			mc.failShard(i, ReasonNoUpstream)
 			return
 		}
 		mc.shards[i].due = true
 		return
 	}
 	if !mc.send(now, i, CauseFirst, 0, false) {
-		mc.kill(i, mc.reason)
+		mc.failShard(i, mc.reason)
 	}
 }
 
-// hopeless tells whether too many shards are given up.
-func (mc *Machine) hopeless() bool { return mc.cfg.Shards-mc.dead < mc.cfg.MinParts }
+// cannotSucceed tells whether so many shards have failed that fewer than MinParts are left.
+func (mc *Machine) cannotSucceed() bool { return mc.cfg.Shards-mc.failed < mc.cfg.MinParts }
 
-// recall takes back the attempts of Start, which nobody has seen yet.
-func (mc *Machine) recall() {
+// discardAttempts drops the attempts of Start before the caller has received them.
+func (mc *Machine) discardAttempts() {
 	mc.attempts = mc.attempts[:0]
 	mc.actions = mc.actions[:0]
 	for i := range mc.shards {
-		mc.shards[i] = shard{winner: none, dead: true}
+		mc.shards[i] = shard{winner: none, failed: true}
 	}
-	mc.dead = mc.cfg.Shards
+	mc.failed = mc.cfg.Shards
 }
 
-// Step takes one event in.
+// Step processes one event.
 func (mc *Machine) Step(now time.Duration, ev Event) []Action {
 	mc.actions = mc.actions[:0]
 	switch ev.Kind {
@@ -131,24 +131,24 @@
 	case EvGone:
 		mc.onGone(now)
 	case EvWake:
-		// settle looks at the time.
+		// decide checks the deadlines.
 	}
-	mc.proceed(now)
-	mc.settle(now)
+	mc.sendDue(now)
+	mc.decide(now)
 	return mc.actions
 }
 
-// Shard is that of an attempt.
+// Shard returns the shard of attempt k.
 func (mc *Machine) Shard(k int) int { return mc.attempts[k].shard }
 
-// Wake is when EvWake is due.
+// Wake returns when the next EvWake is due.
 func (mc *Machine) Wake() time.Duration {
 	at := mc.cfg.Hard
-	if mc.done >= mc.cfg.MinParts {
+	if mc.served >= mc.cfg.MinParts {
 		at = min(at, mc.cfg.Target)
 	}
-	if mc.ward.careful {
-		return min(at, mc.nextTrial())
+	if mc.guard.trialsOnly {
+		return min(at, mc.nextTrialTime())
 	}
 	hedge := mc.cfg.Hard
 	for i := range mc.shards {
@@ -156,13 +156,13 @@
 			hedge = min(hedge, due)
 		}
 	}
-	return min(at, max(hedge, mc.ward.hedgeFrom))
+	return min(at, max(hedge, mc.guard.hedgeNotBefore))
 }
 
-// Upstream is the server of an attempt.
+// Upstream returns the server of attempt k.
 func (mc *Machine) Upstream(k int) *origin.Upstream { return mc.attempts[k].up }
 
-// Started is when an attempt was sent.
+// Started returns when attempt k was sent.
 func (mc *Machine) Started(k int) time.Duration { return mc.attempts[k].started }
 
 func (mc *Machine) onResult(now time.Duration, ev Event) {
@@ -181,55 +181,55 @@
 	}
 	switch ev.Verdict {
 	case Unsent, Elsewhere, Doubted:
-		// Neither arrived at the service: what is at that address is another
-		// one's. It takes nothing from what the service may be asked.
+		// The request did not reach the service: another process listens at that address, or
+		// nothing was sent. It does not count against the service's limit of attempts.
 		sh.tries--
 	default:
 		sh.reached = true
 	}
-	mc.weigh(now, at, ev)
+	mc.updateGuard(now, at, ev)
 	if mc.answered || sh.winner != none {
 		return
 	}
 	switch ev.Verdict {
 	case Served:
-		mc.win(at.shard, ev.Attempt)
+		mc.setWinner(at.shard, ev.Attempt)
 		return
 	case Failed:
 		mc.shown = ev.Attempt
 	case Refused:
 		mc.full = true
-		sh.again = true
+		sh.mayReuse = true
 	case Doubted:
-		sh.again = true
+		sh.mayReuse = true
 	}
 	if sh.open == 0 {
-		sh.due, sh.after = true, ev.Verdict
+		sh.due, sh.lastVerdict = true, ev.Verdict
 	}
 }
 
-// win settles a shard.
-func (mc *Machine) win(i, k int) {
+// setWinner records the attempt that answered for a shard and drops its other attempts.
+func (mc *Machine) setWinner(i, k int) {
 	sh := &mc.shards[i]
 	sh.winner = k
 	sh.hedgeAt = 0
-	mc.done++
+	mc.served++
 	if sh.open > 0 {
 		mc.dropOpen(i)
 	}
 }
 
-// retry asks another server for a shard that is due, or gives it up.
+// retry sends the next attempt of a shard that is due, or fails the shard if no more are allowed.
 func (mc *Machine) retry(now time.Duration, i int, trial bool) {
 	sh := &mc.shards[i]
-	after := sh.after
-	sh.due, sh.after = false, 0
+	after := sh.lastVerdict
+	sh.due, sh.lastVerdict = false, 0
 	if sh.ran > 0 && !mc.cfg.Idempotent {
-		mc.kill(i, ReasonOnce)
+		mc.failShard(i, ReasonMayHaveRun)
 		return
 	}
-	if !mc.mayTry(sh) {
-		mc.kill(i, ReasonAttempts)
+	if !mc.mayAttempt(sh) {
+		mc.failShard(i, ReasonAttempts)
 		return
 	}
 	cause := CauseFirst
@@ -237,38 +237,38 @@
 		cause = CauseRetry
 	}
 	if !mc.send(now, i, cause, after, trial) {
-		mc.kill(i, mc.reason)
+		mc.failShard(i, mc.reason)
 	}
 }
 
-func (mc *Machine) mayTry(sh *shard) bool {
+func (mc *Machine) mayAttempt(sh *shard) bool {
 	ran := sh.ran
-	if mc.ward.careful && mc.ward.broken >= surelyEnded {
+	if mc.guard.trialsOnly && mc.guard.broken >= confirmedCrashes {
 		ran -= sh.broken
 	}
 	return ran+sh.open < mc.cfg.MaxAttempts && sh.tries < mc.cfg.MaxAttempts+SpareTries
 }
 
-// pick picks a server that was not asked for the shard. Where there is none, one that
-// refused is asked again, for it did not run the request and may have room by now, or one
-// that is doubted, which may be slow and is better than none.
+// pick picks a server that was not asked for the shard yet. If there is none, it allows a server
+// that refused, since that did not run the request and may have capacity by now, or one that was
+// advised against, since a slow server is better than none.
 func (mc *Machine) pick(now time.Duration, i int, first, trial bool) (*origin.Upstream, bool) {
-	ask := Ask{Shard: i, Tried: mc.triedOf(i), First: first, Trial: trial}
+	ask := Ask{Shard: i, Tried: mc.triedServers(i), First: first, Trial: trial}
 	up, ok := mc.cfg.Chooser.Pick(now, ask)
-	if !ok && mc.shards[i].again {
-		ask.Tried = mc.spentOf(i)
+	if !ok && mc.shards[i].mayReuse {
+		ask.Tried = mc.nonReusableServers(i)
 		up, ok = mc.cfg.Chooser.Pick(now, ask)
 	}
 	return up, ok
 }
 
-// send picks a server and sends; it tells whether it could.
+// send picks a server and sends an attempt. If it cannot, it returns false and sets mc.reason.
 func (mc *Machine) send(now time.Duration, i int, ca Cause, after Verdict, trial bool) bool {
 	if mc.cfg.Hard-now < mc.cfg.LeastTime {
 		mc.reason = ReasonDeadline
 		return false
 	}
-	up, ok := mc.pick(now, i, ca == CauseFirst && !mc.shards[i].again, trial)
+	up, ok := mc.pick(now, i, ca == CauseFirst && !mc.shards[i].mayReuse, trial)
 	if !ok {
 		mc.reason = ReasonNoUpstream
 		return false
@@ -281,12 +281,12 @@
 	sh := &mc.shards[i]
 	sh.open++
 	sh.tries++
-	sh.all++
+	sh.total++
 	sh.hedgeAt = 0
-	if mc.cfg.Idempotent && mc.cfg.HedgeAfter > 0 && mc.mayTry(sh) {
+	if mc.cfg.Idempotent && mc.cfg.HedgeAfter > 0 && mc.mayAttempt(sh) {
 		sh.hedgeAt = now + mc.cfg.HedgeAfter
 	}
-	mc.count(ca)
+	mc.countCause(ca)
 	mc.actions = append(mc.actions, Action{
 		Kind:     ActSend,
 		Attempt:  len(mc.attempts) - 1,
@@ -299,17 +299,17 @@
 	return true
 }
 
-// needed tells whether the request fails if the shard at hand gives no answer. A
-// hedge is needed if so many are late that there would be too few at the target.
+// needed tells whether the request fails if the current shard does not answer. A hedge is needed
+// if so many shards are late that fewer than MinParts would have answered at the target time.
 func (mc *Machine) needed(ca Cause) bool {
-	spare := mc.cfg.Shards - mc.cfg.MinParts - mc.dead
+	spare := mc.cfg.Shards - mc.cfg.MinParts - mc.failed
 	if ca == CauseHedge {
-		return mc.cfg.Shards-mc.done-mc.dead > spare
+		return mc.cfg.Shards-mc.served-mc.failed > spare
 	}
 	return spare <= 0
 }
 
-func (mc *Machine) count(ca Cause) {
+func (mc *Machine) countCause(ca Cause) {
 	switch ca {
 	case CauseHedge:
 		mc.hedges++
@@ -318,10 +318,10 @@
 	}
 }
 
-// triedOf lists the servers that were asked for a shard.
-func (mc *Machine) triedOf(i int) []*origin.Upstream {
+// triedServers returns the servers that were asked for a shard.
+func (mc *Machine) triedServers(i int) []*origin.Upstream {
 	mc.tried = mc.tried[:0]
-	if mc.shards[i].all == 0 {
+	if mc.shards[i].total == 0 {
 		return mc.tried
 	}
 	for k := range mc.attempts {
@@ -332,11 +332,11 @@
 	return mc.tried
 }
 
-// spentOf lists the servers that were asked for a shard and did more than refuse, or were
-// not asked for an advice only.
-// Where two of three servers of a shard are left, and both refuse two of five requests
-// at random, one request in six is refused by both; asked once more, one in sixteen.
-func (mc *Machine) spentOf(i int) []*origin.Upstream {
+// nonReusableServers returns the servers that were asked for a shard, without those that refused
+// or were advised against. Asking refusing servers again matters when few servers are left: if
+// two of a shard's three servers are left and each refuses two of five requests at random, one
+// request in six is refused by both; with one more attempt it is one in sixteen.
+func (mc *Machine) nonReusableServers(i int) []*origin.Upstream {
 	mc.tried = mc.tried[:0]
 	for k := range mc.attempts {
 		if at := &mc.attempts[k]; at.shard == i && at.verdict != Refused && at.verdict != Doubted {
@@ -346,57 +346,57 @@
 	return mc.tried
 }
 
-// kill gives a shard up.
-func (mc *Machine) kill(i int, reason string) {
+// failShard records that a shard cannot answer, and why.
+func (mc *Machine) failShard(i int, reason string) {
 	sh := &mc.shards[i]
-	sh.dead = true
+	sh.failed = true
 	sh.hedgeAt = 0
-	mc.dead++
+	mc.failed++
 	mc.reason = reason
 }
 
-// hedge asks a second server for each shard whose attempt is late.
+// hedge sends a further attempt for each shard whose attempt is late.
 func (mc *Machine) hedge(now time.Duration) {
 	for i := range mc.shards {
 		sh := &mc.shards[i]
-		if sh.hedgeAt == 0 || now < sh.hedgeAt || now < mc.ward.hedgeFrom {
+		if sh.hedgeAt == 0 || now < sh.hedgeAt || now < mc.guard.hedgeNotBefore {
 			continue
 		}
 		sh.hedgeAt = 0
 		switch {
 		case mc.send(now, i, CauseHedge, 0, false):
-			mc.holdHedges(now)
+			mc.delayHedges(now)
 		case mc.reason == ReasonBudget:
-			// Later requests earn tokens; one may be there by then.
+			// Later requests earn tokens; one may be available by then.
 			sh.hedgeAt = now + mc.cfg.HedgeAfter
 		}
 	}
 }
 
-// settle answers as soon as the answer is certain, or asks further servers.
-func (mc *Machine) settle(now time.Duration) {
+// decide gives the answer as soon as it is certain, and otherwise sends hedges that are due.
+func (mc *Machine) decide(now time.Duration) {
 	if mc.answered {
 		return
 	}
-	enough := mc.done >= mc.cfg.MinParts
+	enough := mc.served >= mc.cfg.MinParts
 	switch {
-	case mc.done == mc.cfg.Shards:
+	case mc.served == mc.cfg.Shards:
 		mc.answer(now, OutcomeServed, "")
-	case mc.done+mc.dead == mc.cfg.Shards && enough:
+	case mc.served+mc.failed == mc.cfg.Shards && enough:
 		mc.answer(now, OutcomeServed, mc.reason)
-	case mc.hopeless():
-		mc.answer(now, mc.failure(), mc.reason)
+	case mc.cannotSucceed():
+		mc.answer(now, mc.failureOutcome(), mc.reason)
 	case enough && now >= mc.cfg.Target:
 		mc.answer(now, OutcomeServed, ReasonTarget)
 	case now >= mc.cfg.Hard:
-		mc.answer(now, mc.failure(), ReasonDeadline)
-	case !mc.ward.careful:
+		mc.answer(now, mc.failureOutcome(), ReasonDeadline)
+	case !mc.guard.trialsOnly:
 		mc.hedge(now)
 	}
 }
 
-// failure tells whether the request may have run.
-func (mc *Machine) failure() Outcome {
+// failureOutcome tells whether a failed request may have run.
+func (mc *Machine) failureOutcome() Outcome {
 	for k := range mc.attempts {
 		ve := mc.attempts[k].verdict
 		if ve == 0 || ve.MayHaveRun() {
@@ -408,7 +408,7 @@
 
 func (mc *Machine) onGone(now time.Duration) {
 	if !mc.answered {
-		mc.answer(now, OutcomeGone, ReasonGone)
+		mc.answer(now, OutcomeGone, ReasonClientGone)
 	}
 }
 
@@ -427,7 +427,7 @@
 		Outcome:  oc,
 		Reason:   reason,
 		Winners:  mc.winners,
-		Missing:  mc.cfg.Shards - mc.done,
+		Missing:  mc.cfg.Shards - mc.served,
 		Shown:    mc.shown,
 		Full:     mc.full,
 		Attempts: len(mc.attempts),
@@ -437,7 +437,7 @@
 	}})
 }
 
-// dropOpen drops the attempts of a shard that have no verdict.
+// dropOpen drops the attempts of a shard that have no verdict yet.
 func (mc *Machine) dropOpen(i int) {
 	for k := range mc.attempts {
 		if at := &mc.attempts[k]; at.shard == i && at.verdict == 0 {
