--- a/core/steer/doc.go
+++ b/core/steer/doc.go
@@ -1,6 +1,6 @@
-// Package steer chooses the server for an attempt from what this VM has seen of
-// each: what is in flight there, how long it takes lately, whether it fails,
-// refuses, or has gone quiet.
+// Package steer selects the server for an attempt, from what this VM has observed of each server:
+// the requests in flight there, its recent latency, and whether it fails, refuses or has stopped
+// answering.
 //
 // # Usage
 //
@@ -13,13 +13,12 @@
 //
 // # Rules
 //
-// The cost of a server is the time that one more attempt there is expected to
-// take. Servers in other data centres cost more by what the bytes between them
-// are worth. A server that has not answered for much longer than it usually
-// takes is taken to be in a pause, and costs as much more as the pause has
-// lasted: pauses hit 4 to 5 in 100 attempts, and the next request of the same VM
-// need not walk into one that is known. One slow answer changes nothing, for most
-// are due to a pause that is over by then; a second one, to a request sent after
-// the first, shows that the server is slow, and each further one makes that fade
-// more slowly, up to a quarter of a minute.
+// The cost of a server is the time that one more attempt there is expected to take. Servers in
+// other data centres cost extra, to account for traffic between data centres. A server that has
+// not answered for much longer than usual is assumed to be paused, and its cost grows by the
+// duration of the pause so far: 4 to 5 in 100 attempts meet a pause, and the next request of the
+// same VM should avoid a pause that is already known. A single slow answer has no effect, since
+// most are caused by a pause that is over by then. A second one, to a request sent after the
+// first answer, shows that the server is slow; each further one is remembered for longer, up to
+// about 15 s.
 package steer
--- a/core/steer/evacuate_test.go
+++ b/core/steer/evacuate_test.go
@@ -14,52 +14,53 @@
 	"laburnumvane/core/steer"
 )
 
-// What follows replays the load of a service with a server in each of three data centres, of
-// which one is evacuated for ten seconds: the other two bear it all. When it is taken back, its
+// The simulation below loads a service with one server in each of three data centres, of which
+// one is evacuated for ten seconds: the other two take over its load. When it is reinstated, its
 // server is cold and takes 1.6 times as long for some seconds.
 const (
-	evacuateAt = 5 * time.Second
-	returnAt   = 15 * time.Second
-	warmAt     = 18 * time.Second
-	emptyUntil = 25 * time.Second
-	coldTimes  = 1.6
-	// spreadMost is how long a VM takes at most to hear of it.
-	spreadMost = 400 * ms
-	// emptySlots and emptyRate: three servers are at 0.63 of what they bear, two at 0.95.
-	emptySlots  = 6
-	emptyRate   = 0.63
-	emptyTarget = 4 * usual
+	evacuateAt  = 5 * time.Second
+	reinstateAt = 15 * time.Second
+	warmAt      = 18 * time.Second
+	evacSimEnd  = 25 * time.Second
+	coldFactor  = 1.6
+	// maxPropagation is how long it takes at most until a VM learns of the change.
+	maxPropagation = 400 * ms
+	// With evacSlots and evacUtilization, three servers run at 0.63 of their capacity, two at
+	// 0.95.
+	evacSlots       = 6
+	evacUtilization = 0.63
+	evacTarget      = 4 * usual
 )
 
-// emptying is one play.
-type emptying struct {
+// evacSim is one simulation run.
+type evacSim struct {
 	rnd     *rand.Rand
-	agenda  agenda
+	events  eventQueue
 	now     time.Duration
 	running map[string]int
 	waiting map[string][]func()
-	vms     []*emptyVM
-	// inTime and all count requests by the second in which they began.
-	inTime, all [30]int
-	// late counts what reached the evacuated server after all VMs had heard.
+	vms     []*evacVM
+	// inTime and total count requests by the second in which they arrived.
+	inTime, total [30]int
+	// late counts requests to the evacuated server after all VMs had learned of it.
 	late int
 }
 
-type emptyVM struct {
-	tb   *steer.Table
-	hear time.Duration
+type evacVM struct {
+	tb          *steer.Table
+	learnsAfter time.Duration
 }
 
-func (em *emptying) after(wait time.Duration, do func()) {
-	heap.Push(&em.agenda, entry{at: em.now + wait, seq: len(em.agenda), do: do})
+func (sm *evacSim) schedule(wait time.Duration, run func()) {
+	heap.Push(&sm.events, simEvent{at: sm.now + wait, seq: len(sm.events), run: run})
 }
 
-// servers are as a VM knows them.
-func (em *emptying) servers(vm *emptyVM) []*origin.Upstream {
+// servers returns the servers as a VM sees them.
+func (sm *evacSim) servers(vm *evacVM) []*origin.Upstream {
 	var ups []*origin.Upstream
-	for _, place := range []string{"a", "b", "c"} {
-		up := &origin.Upstream{ID: place, DataCentre: place}
-		if place == "c" && em.now >= evacuateAt+vm.hear && em.now < returnAt+vm.hear {
+	for _, dataCentre := range []string{"a", "b", "c"} {
+		up := &origin.Upstream{ID: dataCentre, DataCentre: dataCentre}
+		if dataCentre == "c" && sm.now >= evacuateAt+vm.learnsAfter && sm.now < reinstateAt+vm.learnsAfter {
 			up = up.WithEvacuated()
 		}
 		ups = append(ups, up)
@@ -67,81 +68,81 @@
 	return ups
 }
 
-func (em *emptying) arrive() {
-	if em.now > emptyUntil {
+func (sm *evacSim) arrive() {
+	if sm.now > evacSimEnd {
 		return
 	}
-	vm, began := em.vms[em.rnd.IntN(len(em.vms))], em.now
-	em.all[int(began/time.Second)]++
-	up, ok := vm.tb.Pick(em.now, steer.Kind{Usual: usual}, em.servers(vm), nil, em.rnd.Float64)
+	vm, arrived := sm.vms[sm.rnd.IntN(len(sm.vms))], sm.now
+	sm.total[int(arrived/time.Second)]++
+	up, ok := vm.tb.Pick(sm.now, steer.Kind{Usual: usual}, sm.servers(vm), nil, sm.rnd.Float64)
 	if ok {
-		vm.tb.Begin(em.now, usual, up.Process())
-		em.send(up.ID, func() {
-			vm.tb.End(em.now, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: em.now - began, Usual: usual})
-			if em.now-began <= emptyTarget {
-				em.inTime[int(began/time.Second)]++
+		vm.tb.Begin(sm.now, usual, up.Process())
+		sm.send(up.ID, func() {
+			vm.tb.End(sm.now, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: sm.now - arrived, Usual: usual})
+			if sm.now-arrived <= evacTarget {
+				sm.inTime[int(arrived/time.Second)]++
 			}
 		})
 	}
-	perSecond := emptyRate * 3 * emptySlots / (usual.Seconds() * math.Exp(0.35*0.35/2))
-	em.after(time.Duration(em.rnd.ExpFloat64()/perSecond*float64(time.Second)), em.arrive)
+	perSecond := evacUtilization * 3 * evacSlots / (usual.Seconds() * math.Exp(0.35*0.35/2))
+	sm.schedule(time.Duration(sm.rnd.ExpFloat64()/perSecond*float64(time.Second)), sm.arrive)
 }
 
-func (em *emptying) send(server string, done func()) {
-	if server == "c" && em.now > evacuateAt+spreadMost && em.now < returnAt {
-		em.late++
+func (sm *evacSim) send(server string, done func()) {
+	if server == "c" && sm.now > evacuateAt+maxPropagation && sm.now < reinstateAt {
+		sm.late++
 	}
-	if em.running[server] >= emptySlots {
-		em.waiting[server] = append(em.waiting[server], done)
+	if sm.running[server] >= evacSlots {
+		sm.waiting[server] = append(sm.waiting[server], done)
 		return
 	}
-	em.running[server]++
-	work := float64(usual) * math.Exp(0.35*em.rnd.NormFloat64())
-	if server == "c" && em.now >= returnAt && em.now < warmAt {
-		work *= coldTimes
+	sm.running[server]++
+	work := float64(usual) * math.Exp(0.35*sm.rnd.NormFloat64())
+	if server == "c" && sm.now >= reinstateAt && sm.now < warmAt {
+		work *= coldFactor
 	}
-	em.after(time.Duration(work), func() {
-		em.running[server]--
+	sm.schedule(time.Duration(work), func() {
+		sm.running[server]--
 		done()
-		if next := em.waiting[server]; len(next) > 0 {
-			em.waiting[server] = next[1:]
-			em.send(server, next[0])
+		if next := sm.waiting[server]; len(next) > 0 {
+			sm.waiting[server] = next[1:]
+			sm.send(server, next[0])
 		}
 	})
 }
 
-// share is that of the requests of some seconds that were answered in time.
-func (em *emptying) share(from, to int) float64 {
-	inTime, all := 0, 0
+// inTimeShare returns the share of the requests of the given seconds that were answered in time.
+func (sm *evacSim) inTimeShare(from, to int) float64 {
+	inTime, total := 0, 0
 	for second := from; second < to; second++ {
-		inTime += em.inTime[second]
-		all += em.all[second]
+		inTime += sm.inTime[second]
+		total += sm.total[second]
 	}
-	return float64(inTime) / float64(all)
+	return float64(inTime) / float64(total)
 }
 
-// A data centre of three is evacuated, and taken back cold. As many requests as before go to two
-// servers; callers must hardly see it, neither then nor when the third one is back.
-func TestEvacuationIsBorneElsewhere(t *testing.T) {
+// One of three data centres is evacuated, and reinstated cold. The same load goes to two servers;
+// nearly all requests must be answered in time, both then and after the third server is back.
+func TestEvacuationKeepsRequestsInTime(t *testing.T) {
 	is := is.New(t)
-	em := &emptying{rnd: rand.New(rand.NewPCG(loadSeed, 3)), now: time.Second, running: map[string]int{}, waiting: map[string][]func(){}}
+	sm := &evacSim{rnd: rand.New(rand.NewPCG(simSeed, 3)), now: time.Second, running: map[string]int{}, waiting: map[string][]func(){}}
 	for i := range vms {
-		em.vms = append(em.vms, &emptyVM{
-			tb:   steer.New(steer.Config{DataCentre: []string{"a", "b", "c"}[i%3]}),
-			hear: time.Duration(em.rnd.Int64N(int64(spreadMost))),
+		sm.vms = append(sm.vms, &evacVM{
+			tb:          steer.New(steer.Config{DataCentre: []string{"a", "b", "c"}[i%3]}),
+			learnsAfter: time.Duration(sm.rnd.Int64N(int64(maxPropagation))),
 		})
 	}
-	em.after(0, em.arrive)
-	for len(em.agenda) > 0 {
-		next := heap.Pop(&em.agenda).(entry)
-		em.now = next.at
-		next.do()
+	sm.schedule(0, sm.arrive)
+	for len(sm.events) > 0 {
+		next := heap.Pop(&sm.events).(simEvent)
+		sm.now = next.at
+		next.run()
 	}
-	before, emptied, back, after := em.share(1, 5), em.share(5, 15), em.share(15, 18), em.share(18, 25)
-	t.Logf("answered in time: %.3f before, %.3f while evacuated, %.3f while it warms up, %.3f after", before, emptied, back, after)
-	is.Equal(em.late, 0)
+	before, evacuated, back, after := sm.inTimeShare(1, 5), sm.inTimeShare(5, 15), sm.inTimeShare(15, 18), sm.inTimeShare(18, 25)
+	t.Logf("answered in time: %.3f before, %.3f while evacuated, %.3f while it warms up, %.3f after", before, evacuated, back, after)
+	is.Equal(sm.late, 0)
 	is.True(before > 0.99)
-	is.True(emptied > 0.92)
+	is.True(evacuated > 0.92)
 	is.True(back > 0.98)
 	is.True(after > 0.98)
 }
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -6,94 +6,97 @@
 	"laburnumvane/core/origin"
 )
 
-// Load is what a server tells of itself with an answer.
+// Load is a server's report of its own load, sent with an answer.
 type Load struct {
-	// Running and Waiting are requests, and Slots how many it works on at once.
+	// Running and Waiting count requests; Slots is how many the server runs concurrently.
 	Running, Waiting, Slots int
-	// Pace is how many times as long as usual work takes on its machine at this moment; 0 if it
-	// does not say.
+	// Pace is how many times the usual time work currently takes on the server's machine; 0 if it
+	// is not reported.
 	Pace float64
 }
 
-// told is the last load of a server, as of at. Its pace was off the usual since slowAt.
-type told struct {
-	load   Load
-	at     time.Duration
-	slowAt time.Duration
+// loadReport is the latest load report of a server, received at the time at. The server has been
+// slow without interruption since slowSince.
+type loadReport struct {
+	load      Load
+	at        time.Duration
+	slowSince time.Duration
 }
 
 const (
-	// slowPace is a pace that counts as off the usual.
+	// slowPace is the Pace from which on a server counts as slow.
 	slowPace = 1.5
-	// paceLeast and paceMost bound how long a pace is taken to last: as long as it has, for
-	// a neighbour's burst ends within some tens of milliseconds and a fault lasts seconds.
-	paceLeast = 15 * time.Millisecond
-	paceMost  = 4 * time.Second
-	// queueFor is how long a told queue says something: a few requests' time.
-	queueFor = 50 * time.Millisecond
+	// A reported slowdown is assumed to last for as long as it has lasted already, within
+	// paceDecayMin and paceDecayMax: bursts of neighbouring load end within some tens of
+	// milliseconds, while faults last for seconds.
+	paceDecayMin = 15 * time.Millisecond
+	paceDecayMax = 4 * time.Second
+	// queueDecay is the decay time of a reported queue length: the duration of a few requests.
+	queueDecay = 50 * time.Millisecond
 )
 
-// Tell takes in what a server tells of itself, with an answer that took so long or 0.
+// Tell records the load that a server reported. Took is the latency of the answer that carried
+// it, or 0 if there was none.
 func (tb *Table) Tell(now time.Duration, up *origin.Upstream, lo Load, took time.Duration) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	tb.tells[up.Service] = true
-	me := tb.of(up.Process())
-	was := me.told
-	me.told = told{load: lo, at: now, slowAt: now}
+	tb.reportsLoad[up.Service] = true
+	st := tb.statsOf(up.Process())
+	previous := st.report
+	st.report = loadReport{load: lo, at: now, slowSince: now}
 	if lo.Pace < slowPace {
 		return
 	}
-	if was.load.Pace >= slowPace {
-		me.told.slowAt = was.slowAt
+	if previous.load.Pace >= slowPace {
+		st.report.slowSince = previous.slowSince
 	}
-	// It was as slow all the while that it worked on this one.
-	if float64(took) >= lo.Pace*float64(me.expect)/2 && me.expect > 0 {
-		me.told.slowAt = min(me.told.slowAt, now-took)
+	// The server was this slow during the whole request.
+	if float64(took) >= lo.Pace*float64(st.longestUsual)/2 && st.longestUsual > 0 {
+		st.report.slowSince = min(st.report.slowSince, now-took)
 	}
 }
 
-// pace is how many times as long as usual work is thought to take, as the server told.
-func (to *told) pace(now time.Duration) float64 {
-	if to.load.Pace <= 1 {
+// currentPace estimates how many times the usual time work takes now, from the report.
+func (lr *loadReport) currentPace(now time.Duration) float64 {
+	if lr.load.Pace <= 1 {
 		return 1
 	}
-	lasts := min(max(to.at-to.slowAt, paceLeast), paceMost)
-	return 1 + (to.load.Pace-1)*fading(now-to.at, lasts)
+	decayTime := min(max(lr.at-lr.slowSince, paceDecayMin), paceDecayMax)
+	return 1 + (lr.load.Pace-1)*decay(now-lr.at, decayTime)
 }
 
-// wait is how many requests' time one more has to wait, as the server told.
-func (to *told) wait(now time.Duration) float64 {
-	if to.load.Slots == 0 {
+// queueWait estimates how long one more request has to wait, in multiples of a request's duration.
+func (lr *loadReport) queueWait(now time.Duration) float64 {
+	if lr.load.Slots == 0 {
 		return 0
 	}
-	ahead := to.load.Running + to.load.Waiting + 1 - to.load.Slots
-	return max(0, float64(ahead)) / float64(to.load.Slots) * fading(now-to.at, queueFor)
+	ahead := lr.load.Running + lr.load.Waiting + 1 - lr.load.Slots
+	return max(0, float64(ahead)) / float64(lr.load.Slots) * decay(now-lr.at, queueDecay)
 }
 
-// Told is what a server told last and how long ago; ok is false if it never did. It changes
-// many times a second, so that its age decides what it is worth.
+// Told returns the last load that a server reported and its age; ok is false if there is none.
+// The load changes many times per second, so a report is only useful while it is recent.
 func (tb *Table) Told(now time.Duration, pr origin.Process) (lo Load, age time.Duration, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, seen := tb.seen[pr]
-	if !seen || me.told.load.Slots == 0 {
+	st, seen := tb.stats[pr]
+	if !seen || st.report.load.Slots == 0 {
 		return Load{}, 0, false
 	}
-	return me.told.load, now - me.told.at, true
+	return st.report.load, now - st.report.at, true
 }
 
-// Ready leaves the servers that told just now that work takes there as long as usual, and that
-// a request need not wait; where none did, those that did not tell that they are slow.
+// Ready returns the servers that, by recent reports, are not slow and have a free slot. If there
+// are none, it returns those that are not slow but have a queue.
 func (tb *Table) Ready(now time.Duration, ups []*origin.Upstream) (ready []*origin.Upstream) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	var waits []*origin.Upstream
 	for _, up := range ups {
-		me, seen := tb.seen[up.Process()]
+		st, seen := tb.stats[up.Process()]
 		switch {
-		case !seen || me.told.pace(now) >= slowPace:
-		case me.told.wait(now) > 0:
+		case !seen || st.report.currentPace(now) >= slowPace:
+		case st.report.queueWait(now) > 0:
 			waits = append(waits, up)
 		default:
 			ready = append(ready, up)
@@ -105,30 +108,32 @@
 	return ready
 }
 
-// Tells tells whether servers of a service tell their load; known is false until one answered.
+// Tells returns whether servers of a service report their load; known is false before the first
+// answer.
 func (tb *Table) Tells(service string) (tells, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	tells, known = tb.tells[service]
+	tells, known = tb.reportsLoad[service]
 	return tells, known
 }
 
-// TellsNot notes that a server of a service told no load.
+// TellsNot records that a server of a service answered without reporting its load.
 func (tb *Table) TellsNot(service string) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	if _, known := tb.tells[service]; !known {
-		tb.tells[service] = false
+	if _, known := tb.reportsLoad[service]; !known {
+		tb.reportsLoad[service] = false
 	}
 }
 
-// Misread tells whether this is the first load of a server that could not be read: a server
-// that errs may do so with every answer.
+// Misread records that a server's load report could not be read, and returns whether it is the
+// first such report: the caller logs only the first, since the fault may repeat with every
+// answer.
 func (tb *Table) Misread(pr origin.Process) (first bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me := tb.of(pr)
-	first = !me.misread
-	me.misread = true
+	st := tb.statsOf(pr)
+	first = !st.misreadLoad
+	st.misreadLoad = true
 	return first
 }
--- a/core/steer/memory.go
+++ b/core/steer/memory.go
@@ -5,105 +5,107 @@
 	"time"
 )
 
-// memory is what is known of one server.
-type memory struct {
+// serverStats holds the observations of one server process.
+type serverStats struct {
 	inFlight int
-	// quietSince is when the server answered last, or got a request while it
-	// had none.
-	quietSince time.Duration
-	// expect is the longest usual latency of what was sent lately: a short
-	// request must not take a server for quiet that works on a long one.
-	expect   time.Duration
-	expectAt time.Duration
-	// slow is how many times the usual the server takes, as of slowAt.
-	slow   float64
-	slowAt time.Duration
-	// strikes counts slow answers in a row, each to a request sent after the
-	// answer before; struckAt is when the last one came.
-	strikes  int
-	struckAt time.Duration
-	fails    float64
-	refusals float64
-	failAt   time.Duration
-	// window is how many requests of this VM the server may have at once; cutAt
-	// is when it was cut last.
-	window float64
-	cutAt  time.Duration
-	// avoidUntil is when the server may get requests again.
+	// silentSince is when the server last answered, or when it got a request while it had none in
+	// flight.
+	silentSince time.Duration
+	// longestUsual is the largest usual latency among recent requests, so that a server that is
+	// busy with a long request does not count as silent for a short one.
+	longestUsual   time.Duration
+	longestUsualAt time.Duration
+	// slowdown is the estimated ratio of the server's latency to the usual one, as of slowdownAt.
+	slowdown   float64
+	slowdownAt time.Duration
+	// slowAnswers counts consecutive slow answers, each to a request sent after the previous slow
+	// answer; lastSlowAt is when the last of them arrived.
+	slowAnswers int
+	lastSlowAt  time.Duration
+	failureRate float64
+	refusalRate float64
+	ratesAt     time.Duration
+	// window is how many requests this VM may have in flight at the server; windowCutAt is when
+	// it was last reduced.
+	window      float64
+	windowCutAt time.Duration
+	// avoidUntil is when the server may be picked again.
 	avoidUntil time.Duration
-	// told is what the server told of itself last, and misread is set once it told what
-	// could not be read.
-	told    told
-	misread bool
+	// report is the server's last load report; misreadLoad is set once a report could not be
+	// read.
+	report      loadReport
+	misreadLoad bool
 }
 
-// fading is the share of a memory that is left.
-func fading(age, fade time.Duration) float64 {
-	return math.Exp(-float64(age) / float64(fade))
+// decay returns the weight that an observation of the given age still has.
+func decay(age, decayTime time.Duration) float64 {
+	return math.Exp(-float64(age) / float64(decayTime))
 }
 
-// slowness is how many times the usual the server is thought to take.
-func (me *memory) slowness(now time.Duration) float64 {
-	if me.slow == 0 {
+// currentSlowdown estimates how many times the usual latency the server takes now.
+func (st *serverStats) currentSlowdown(now time.Duration) float64 {
+	if st.slowdown == 0 {
 		return 1
 	}
-	fade := fadeFirst
-	if me.strikes > 1 {
-		fade = min(fadeNext<<min(me.strikes-2, 8), fadeMost)
+	decayTime := decayFirst
+	if st.slowAnswers > 1 {
+		decayTime = min(decayRepeated<<min(st.slowAnswers-2, 8), decayMax)
 	}
-	return 1 + (me.slow-1)*fading(now-me.slowAt, fade)
+	return 1 + (st.slowdown-1)*decay(now-st.slowdownAt, decayTime)
 }
 
-// quiet is the time since the server should have answered.
-func (me *memory) quiet(now time.Duration) float64 {
-	if me.inFlight == 0 {
+// silence returns for how many nanoseconds the server has been silent, if that is longer than
+// expected; otherwise 0.
+func (st *serverStats) silence(now time.Duration) float64 {
+	if st.inFlight == 0 {
 		return 0
 	}
-	silent := float64(now - me.quietSince)
-	if silent < max(quietTimes*float64(me.expect)*me.slowness(now), float64(quietLeast)) {
+	silentFor := float64(now - st.silentSince)
+	if silentFor < max(silentRatio*float64(st.longestUsual)*st.currentSlowdown(now), float64(silentMin)) {
 		return 0
 	}
-	return silent
+	return silentFor
 }
 
-// cut makes the window smaller by as much as an answer took longer than it should
-// have, within bounds, unless the attempt was sent before the last cut.
-func (me *memory) cut(now, took time.Duration, allowed float64) {
-	if me.cutAt > 0 && now-took < me.cutAt {
+// cutWindow reduces the window in proportion to how much too long an answer took, within bounds.
+// It does nothing if the attempt was sent before the previous reduction.
+func (st *serverStats) cutWindow(now, took time.Duration, allowed float64) {
+	if st.windowCutAt > 0 && now-took < st.windowCutAt {
 		return
 	}
-	me.cutAt = now
-	me.window = max(1, me.window*min(max(allowed/float64(took), windowCutMost), windowCutLeast))
+	st.windowCutAt = now
+	st.window = max(1, st.window*min(max(allowed/float64(took), windowCutMin), windowCutMax))
 }
 
-// note takes in how long an answer took.
-func (me *memory) note(now time.Duration, at Attempt) {
+// recordLatency updates the slowdown from the latency of an answer.
+func (st *serverStats) recordLatency(now time.Duration, at Attempt) {
 	if at.Usual <= 0 {
 		return
 	}
-	// A short request may have waited behind a long one.
-	times := min(float64(at.Took)/float64(max(at.Usual, me.expect)), mostSlow)
-	was := me.slowness(now)
-	if times < slowTimes {
-		me.strikes = 0
-	} else if me.strikes == 0 || now-at.Took >= me.struckAt {
-		me.strikes++
-		me.struckAt = now
+	// A short request may have been queued behind a long one.
+	ratio := min(float64(at.Took)/float64(max(at.Usual, st.longestUsual)), maxSlowdown)
+	previous := st.currentSlowdown(now)
+	if ratio < slowRatio {
+		st.slowAnswers = 0
+	} else if st.slowAnswers == 0 || now-at.Took >= st.lastSlowAt {
+		st.slowAnswers++
+		st.lastSlowAt = now
 	}
 	switch {
-	case me.strikes > 1:
-		me.slow = max(was, times)
-	case times < slowTimes:
-		me.slow = was + gain*(times-was)
+	case st.slowAnswers > 1:
+		st.slowdown = max(previous, ratio)
+	case ratio < slowRatio:
+		st.slowdown = previous + smoothing*(ratio-previous)
 	default:
-		me.slow = was
+		st.slowdown = previous
 	}
-	me.slowAt = now
+	st.slowdownAt = now
 }
 
-func (me *memory) mark(now time.Duration, fail, refusal float64) {
-	kept := fading(now-me.failAt, failFade)
-	me.fails = me.fails*kept + gain*(fail-me.fails*kept)
-	me.refusals = me.refusals*kept + gain*(refusal-me.refusals*kept)
-	me.failAt = now
+// recordOutcome updates the moving averages of failures and refusals.
+func (st *serverStats) recordOutcome(now time.Duration, fail, refusal float64) {
+	weight := decay(now-st.ratesAt, failureDecay)
+	st.failureRate = st.failureRate*weight + smoothing*(fail-st.failureRate*weight)
+	st.refusalRate = st.refusalRate*weight + smoothing*(refusal-st.refusalRate*weight)
+	st.ratesAt = now
 }
--- a/core/steer/once_test.go
+++ b/core/steer/once_test.go
@@ -14,9 +14,9 @@
 	"laburnumvane/core/steer"
 )
 
-// A server's pace is thought to last as long as it has: a burst of its neighbours' work is soon
-// forgotten, and what has slowed it for a second is remembered for one.
-func TestToldPace(t *testing.T) {
+// A reported slowdown is assumed to last for as long as it already has: a burst of neighbouring
+// load is soon forgotten, and a slowdown of one second is remembered for one second.
+func TestReportedSlowdown(t *testing.T) {
 	once := steer.Kind{Usual: usual, Told: true}
 	slow := steer.Load{Running: 1, Slots: 6, Pace: 9}
 	near := &origin.Upstream{ID: "near", DataCentre: "east"}
@@ -27,29 +27,29 @@
 		at   time.Duration
 		want string
 	}{
-		{"nothing told", func(*steer.Table) {}, once, time.Second, "near"},
-		{"slow just now", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second, "far"},
-		{"a moment ago", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second + 100*ms, "near"},
-		{"for a second", func(tb *steer.Table) {
+		{"no report", func(*steer.Table) {}, once, time.Second, "near"},
+		{"slow now", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second, "far"},
+		{"slow 100 ms ago", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second + 100*ms, "near"},
+		{"slow for a second", func(tb *steer.Table) {
 			tb.Tell(time.Second, near, slow, 0)
 			tb.Tell(2*time.Second, near, slow, 0)
 		}, once, 2*time.Second + 500*ms, "far"},
-		{"for a second, and long ago", func(tb *steer.Table) {
+		{"slow for a second, long ago", func(tb *steer.Table) {
 			tb.Tell(time.Second, near, slow, 0)
 			tb.Tell(2*time.Second, near, slow, 0)
 		}, once, 8 * time.Second, "near"},
-		{"no more", func(tb *steer.Table) {
+		{"recovered", func(tb *steer.Table) {
 			tb.Tell(time.Second, near, slow, 0)
 			tb.Tell(2*time.Second, near, slow, 0)
 			tb.Tell(2*time.Second, near, steer.Load{Slots: 6, Pace: 1}, 0)
 		}, once, 2 * time.Second, "near"},
-		{"a long queue", func(tb *steer.Table) {
+		{"long queue", func(tb *steer.Table) {
 			tb.Tell(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Pace: 1}, 0)
 		}, once, time.Second, "far"},
-		{"a long queue, a while ago", func(tb *steer.Table) {
+		{"long queue a second ago", func(tb *steer.Table) {
 			tb.Tell(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Pace: 1}, 0)
 		}, once, 2 * time.Second, "near"},
-		{"of no concern", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, steer.Kind{Usual: usual}, time.Second, "near"},
+		{"reports not used", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, steer.Kind{Usual: usual}, time.Second, "near"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -62,69 +62,70 @@
 	}
 }
 
-// onceLoad replays requests that may run once, over 15 servers in three data centres: 88 VMs see
-// one each four seconds, so that none knows the servers. A sixth of them is nine times as slow for
-// eight seconds, others now and then for a moment.
-type onceLoad struct {
+// onceSim simulates requests that may run only once, over 15 servers in three data centres. Each
+// of 88 VMs sends one every four seconds, so no VM has recent observations of the servers. A
+// sixth of the servers is nine times as slow for eight seconds; others are slow for a moment now
+// and then.
+type onceSim struct {
 	rnd     *rand.Rand
 	now     time.Duration
 	servers []*origin.Upstream
 	vms     []*steer.Table
-	checks  bool
+	askLoad bool
 	late    int
-	all     int
+	total   int
 }
 
 const (
-	onceVMs   = 88
-	onceWork  = 220 * ms
-	onceAim   = 800 * ms
-	onceRate  = 24
-	onceLasts = 20 * time.Second
+	onceVMs       = 88
+	onceUsual     = 220 * ms
+	onceTarget    = 800 * ms
+	oncePerSecond = 24
+	onceDuration  = 20 * time.Second
 )
 
-// pace is a server's at the moment.
-func (ol *onceLoad) pace(n int) float64 {
-	if n%6 == 0 && ol.now > 5*time.Second && ol.now < 13*time.Second {
+// pace returns the current slowdown of server n.
+func (sm *onceSim) pace(n int) float64 {
+	if n%6 == 0 && sm.now > 5*time.Second && sm.now < 13*time.Second {
 		return 9
 	}
-	if ol.rnd.IntN(10) == 0 {
+	if sm.rnd.IntN(10) == 0 {
 		return 2.5
 	}
 	return 1
 }
 
-func (ol *onceLoad) run() {
-	for ; ol.now < onceLasts; ol.now += time.Second / onceRate {
-		tb := ol.vms[ol.rnd.IntN(onceVMs)]
-		ki := steer.Kind{Usual: onceWork, Told: ol.checks}
+func (sm *onceSim) run() {
+	for ; sm.now < onceDuration; sm.now += time.Second / oncePerSecond {
+		tb := sm.vms[sm.rnd.IntN(onceVMs)]
+		ki := steer.Kind{Usual: onceUsual, Told: sm.askLoad}
 		var asked []*origin.Upstream
-		for ol.checks && len(asked) < 3 {
-			up, _ := tb.Pick(ol.now, ki, ol.servers, asked, ol.rnd.Float64)
+		for sm.askLoad && len(asked) < 3 {
+			up, _ := tb.Pick(sm.now, ki, sm.servers, asked, sm.rnd.Float64)
 			asked = append(asked, up)
 		}
 		for _, up := range asked {
-			tb.Tell(ol.now, up, steer.Load{Running: 1, Slots: 6, Pace: ol.pace(ol.index(up))}, 0)
+			tb.Tell(sm.now, up, steer.Load{Running: 1, Slots: 6, Pace: sm.pace(sm.index(up))}, 0)
 		}
-		up, ok := tb.Pick(ol.now, ki, tb.Ready(ol.now, asked), nil, ol.rnd.Float64)
+		up, ok := tb.Pick(sm.now, ki, tb.Ready(sm.now, asked), nil, sm.rnd.Float64)
 		if !ok {
-			up, _ = tb.Pick(ol.now, ki, ol.servers, asked, ol.rnd.Float64)
+			up, _ = tb.Pick(sm.now, ki, sm.servers, asked, sm.rnd.Float64)
 		}
-		took := time.Duration(float64(onceWork) * math.Exp(0.4*ol.rnd.NormFloat64()))
-		if n := ol.index(up); n%6 == 0 && ol.now > 5*time.Second && ol.now < 13*time.Second {
+		took := time.Duration(float64(onceUsual) * math.Exp(0.4*sm.rnd.NormFloat64()))
+		if n := sm.index(up); n%6 == 0 && sm.now > 5*time.Second && sm.now < 13*time.Second {
 			took *= 9
 		}
-		tb.Begin(ol.now, onceWork, up.Process())
-		tb.End(ol.now+took, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: took, Usual: onceWork})
-		ol.all++
-		if took > onceAim {
-			ol.late++
+		tb.Begin(sm.now, onceUsual, up.Process())
+		tb.End(sm.now+took, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: took, Usual: onceUsual})
+		sm.total++
+		if took > onceTarget {
+			sm.late++
 		}
 	}
 }
 
-func (ol *onceLoad) index(up *origin.Upstream) int {
-	for n, other := range ol.servers {
+func (sm *onceSim) index(up *origin.Upstream) int {
+	for n, other := range sm.servers {
 		if other == up {
 			return n
 		}
@@ -132,24 +133,25 @@
 	return -1
 }
 
-func playOnce(checks bool) (late float64) {
-	ol := &onceLoad{rnd: rand.New(rand.NewPCG(loadSeed, 4)), checks: checks}
+func simulateOnce(askLoad bool) (late float64) {
+	sm := &onceSim{rnd: rand.New(rand.NewPCG(simSeed, 4)), askLoad: askLoad}
 	for n := range 15 {
-		ol.servers = append(ol.servers, &origin.Upstream{ID: fmt.Sprint(n), DataCentre: fmt.Sprint(n % 3)})
+		sm.servers = append(sm.servers, &origin.Upstream{ID: fmt.Sprint(n), DataCentre: fmt.Sprint(n % 3)})
 	}
 	for n := range onceVMs {
-		ol.vms = append(ol.vms, steer.New(steer.Config{DataCentre: fmt.Sprint(n % 3)}))
+		sm.vms = append(sm.vms, steer.New(steer.Config{DataCentre: fmt.Sprint(n % 3)}))
 	}
-	ol.run()
-	return float64(ol.late) / float64(ol.all)
+	sm.run()
+	return float64(sm.late) / float64(sm.total)
 }
 
-// Requests that may run once go to one server each, and nobody else may be asked when it is slow.
-// With the state of three servers known first, hardly any goes to a slow one.
-func TestRequestsThatMayRunOnceAvoidSlowServers(t *testing.T) {
+// A request that may run only once is sent to a single server and cannot be hedged when that is
+// slow. When three servers are asked for their load first, hardly any request is sent to a slow
+// one.
+func TestNonIdempotentRequestsAvoidSlowServers(t *testing.T) {
 	is := is.New(t)
-	without, with := playOnce(false), playOnce(true)
-	t.Logf("late without %.3f, with %.3f", without, with)
+	without, with := simulateOnce(false), simulateOnce(true)
+	t.Logf("late without load reports: %.3f, with: %.3f", without, with)
 	is.True(without > 0.05)
 	is.True(with < 0.02)
 }
--- a/core/steer/overload_test.go
+++ b/core/steer/overload_test.go
@@ -15,24 +15,24 @@
 	"laburnumvane/core/steer"
 )
 
-// What follows replays the load of a shard of which one server is gone and one
-// is ten times slower, at a sixth more than the third one can take.
+// The simulation below sends a shard, of which one server is lost and one is ten times slower, a
+// sixth more load than the third one can handle.
 const (
-	vms       = 9
-	slots     = 3
-	queueMost = 18
-	perSecond = 175.0
-	playFor   = 20 * time.Second
-	target    = 130 * ms
-	moveAfter = 80 * ms
-	slowTimes = 10
-	loadSeed  = 11
+	vms           = 9
+	slots         = 3
+	queueMax      = 18
+	perSecond     = 175.0
+	simDuration   = 20 * time.Second
+	target        = 130 * ms
+	redirectAfter = 80 * ms
+	slowFactor    = 10
+	simSeed       = 11
 )
 
-// load is one play.
-type load struct {
+// overloadSim is one simulation run.
+type overloadSim struct {
 	rnd      *rand.Rand
-	agenda   agenda
+	events   eventQueue
 	now      time.Duration
 	bounded  bool
 	servers  map[string]*simServer
@@ -42,177 +42,177 @@
 }
 
 type simVM struct {
-	tb     *steer.Table
-	window map[string]int
-	busy   map[string]int
-	line   map[string]*queue.Line[*simRequest]
+	tb       *steer.Table
+	window   map[string]int
+	inFlight map[string]int
+	queue    map[string]*queue.Line[*simRequest]
 }
 
 type simServer struct {
-	times   float64
-	running int
-	waiting []*simRequest
+	slowdown float64
+	running  int
+	waiting  []*simRequest
 }
 
 type simRequest struct {
-	vm     *simVM
-	began  time.Duration
-	sent   time.Duration
-	server string
-	// waits is set while it stands in its VM's line.
-	waits bool
-	over  bool
-	tried []*origin.Upstream
+	vm      *simVM
+	arrived time.Duration
+	sent    time.Duration
+	server  string
+	// queued is set while the request waits in its VM's queue.
+	queued bool
+	done   bool
+	tried  []*origin.Upstream
 }
 
-type entry struct {
+type simEvent struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type agenda []entry
+type eventQueue []simEvent
 
-func (ag agenda) Len() int { return len(ag) }
-func (ag agenda) Less(i, j int) bool {
-	return ag[i].at < ag[j].at || ag[i].at == ag[j].at && ag[i].seq < ag[j].seq
+func (eq eventQueue) Len() int { return len(eq) }
+func (eq eventQueue) Less(i, j int) bool {
+	return eq[i].at < eq[j].at || eq[i].at == eq[j].at && eq[i].seq < eq[j].seq
 }
-func (ag agenda) Swap(i, j int) { ag[i], ag[j] = ag[j], ag[i] }
-func (ag *agenda) Push(x any)   { *ag = append(*ag, x.(entry)) }
-func (ag *agenda) Pop() any {
-	last := (*ag)[len(*ag)-1]
-	*ag = (*ag)[:len(*ag)-1]
+func (eq eventQueue) Swap(i, j int) { eq[i], eq[j] = eq[j], eq[i] }
+func (eq *eventQueue) Push(x any)   { *eq = append(*eq, x.(simEvent)) }
+func (eq *eventQueue) Pop() any {
+	last := (*eq)[len(*eq)-1]
+	*eq = (*eq)[:len(*eq)-1]
 	return last
 }
 
-func (lo *load) after(wait time.Duration, do func()) {
-	heap.Push(&lo.agenda, entry{at: lo.now + wait, seq: len(lo.agenda), do: do})
+func (sm *overloadSim) schedule(wait time.Duration, run func()) {
+	heap.Push(&sm.events, simEvent{at: sm.now + wait, seq: len(sm.events), run: run})
 }
 
-func playLoad(bounded bool) *load {
-	lo := &load{
-		rnd:     rand.New(rand.NewPCG(loadSeed, loadSeed)),
+func simulateOverload(bounded bool) *overloadSim {
+	sm := &overloadSim{
+		rnd:     rand.New(rand.NewPCG(simSeed, simSeed)),
 		now:     time.Second,
 		bounded: bounded,
-		servers: map[string]*simServer{"near": {times: 1}, "far": {times: slowTimes}},
+		servers: map[string]*simServer{"near": {slowdown: 1}, "far": {slowdown: slowFactor}},
 	}
 	for range vms {
-		lo.vms = append(lo.vms, &simVM{
-			tb:     steer.New(steer.Config{DataCentre: "east"}),
-			window: map[string]int{"near": math.MaxInt, "far": math.MaxInt},
-			busy:   map[string]int{},
-			line:   map[string]*queue.Line[*simRequest]{"near": {}, "far": {}},
+		sm.vms = append(sm.vms, &simVM{
+			tb:       steer.New(steer.Config{DataCentre: "east"}),
+			window:   map[string]int{"near": math.MaxInt, "far": math.MaxInt},
+			inFlight: map[string]int{},
+			queue:    map[string]*queue.Line[*simRequest]{"near": {}, "far": {}},
 		})
 	}
-	lo.after(0, lo.arrive)
-	for len(lo.agenda) > 0 {
-		next := heap.Pop(&lo.agenda).(entry)
-		lo.now = next.at
-		next.do()
+	sm.schedule(0, sm.arrive)
+	for len(sm.events) > 0 {
+		next := heap.Pop(&sm.events).(simEvent)
+		sm.now = next.at
+		next.run()
 	}
-	return lo
+	return sm
 }
 
-func (lo *load) arrive() {
-	if lo.now > playFor {
+func (sm *overloadSim) arrive() {
+	if sm.now > simDuration {
 		return
 	}
-	rq := &simRequest{vm: lo.vms[lo.rnd.IntN(vms)], began: lo.now}
-	lo.place(rq)
-	lo.after(time.Duration(lo.rnd.ExpFloat64()/perSecond*float64(time.Second)), lo.arrive)
+	rq := &simRequest{vm: sm.vms[sm.rnd.IntN(vms)], arrived: sm.now}
+	sm.dispatch(rq)
+	sm.schedule(time.Duration(sm.rnd.ExpFloat64()/perSecond*float64(time.Second)), sm.arrive)
 }
 
-// place sends a request, or lets it wait at its VM.
-func (lo *load) place(rq *simRequest) {
-	up, ok := rq.vm.tb.Pick(lo.now, steer.Kind{Usual: usual}, servers(), rq.tried, lo.rnd.Float64)
+// dispatch sends a request, or queues it on its VM.
+func (sm *overloadSim) dispatch(rq *simRequest) {
+	up, ok := rq.vm.tb.Pick(sm.now, steer.Kind{Usual: usual}, servers(), rq.tried, sm.rnd.Float64)
 	if !ok {
-		lo.over(rq)
+		sm.finish(rq)
 		return
 	}
 	rq.tried = append(rq.tried, up)
 	rq.server = up.ID
-	rq.vm.tb.Begin(lo.now, usual, up.Process())
-	if lo.bounded && rq.vm.busy[up.ID] >= rq.vm.window[up.ID] {
-		rq.waits = true
-		rq.vm.line[up.ID].Push(0, rq)
-		lo.after(moveAfter, func() { lo.move(rq) })
+	rq.vm.tb.Begin(sm.now, usual, up.Process())
+	if sm.bounded && rq.vm.inFlight[up.ID] >= rq.vm.window[up.ID] {
+		rq.queued = true
+		rq.vm.queue[up.ID].Push(0, rq)
+		sm.schedule(redirectAfter, func() { sm.redirect(rq) })
 		return
 	}
-	lo.send(rq)
+	sm.send(rq)
 }
 
-// move takes a request that still waits to another server.
-func (lo *load) move(rq *simRequest) {
-	if !rq.waits || !rq.vm.line[rq.server].Remove(rq) {
+// redirect moves a request that is still queued on its VM to another server.
+func (sm *overloadSim) redirect(rq *simRequest) {
+	if !rq.queued || !rq.vm.queue[rq.server].Remove(rq) {
 		return
 	}
-	rq.waits = false
-	rq.vm.tb.Withdraw(lo.now, process(rq.server), moveAfter)
-	lo.place(rq)
+	rq.queued = false
+	rq.vm.tb.Withdraw(sm.now, process(rq.server), redirectAfter)
+	sm.dispatch(rq)
 }
 
-func (lo *load) send(rq *simRequest) {
-	rq.waits = false
-	rq.sent = lo.now
-	rq.vm.busy[rq.server]++
-	sv := lo.servers[rq.server]
+func (sm *overloadSim) send(rq *simRequest) {
+	rq.queued = false
+	rq.sent = sm.now
+	rq.vm.inFlight[rq.server]++
+	sv := sm.servers[rq.server]
 	switch {
 	case sv.running < slots:
-		lo.start(sv, rq)
-	case len(sv.waiting) < queueMost:
+		sm.start(sv, rq)
+	case len(sv.waiting) < queueMax:
 		sv.waiting = append(sv.waiting, rq)
 	default:
-		lo.done(rq, fanout.Refused)
+		sm.complete(rq, fanout.Refused)
 	}
 }
 
-func (lo *load) start(sv *simServer, rq *simRequest) {
+func (sm *overloadSim) start(sv *simServer, rq *simRequest) {
 	sv.running++
-	work := float64(usual) * math.Exp(0.35*lo.rnd.NormFloat64()) * sv.times
-	lo.after(time.Duration(work), func() {
+	work := float64(usual) * math.Exp(0.35*sm.rnd.NormFloat64()) * sv.slowdown
+	sm.schedule(time.Duration(work), func() {
 		sv.running--
 		if len(sv.waiting) > 0 {
 			next := sv.waiting[0]
 			sv.waiting = sv.waiting[1:]
-			lo.start(sv, next)
+			sm.start(sv, next)
 		}
-		lo.done(rq, fanout.Served)
+		sm.complete(rq, fanout.Served)
 	})
 }
 
-func (lo *load) done(rq *simRequest, ve fanout.Verdict) {
+func (sm *overloadSim) complete(rq *simRequest, ve fanout.Verdict) {
 	vm := rq.vm
-	vm.busy[rq.server]--
-	window := vm.tb.End(lo.now, process(rq.server), steer.Attempt{Verdict: ve, Took: lo.now - rq.sent, Usual: usual})
+	vm.inFlight[rq.server]--
+	window := vm.tb.End(sm.now, process(rq.server), steer.Attempt{Verdict: ve, Took: sm.now - rq.sent, Usual: usual})
 	vm.window[rq.server] = window
-	if ve == fanout.Served && lo.now-rq.began <= target {
-		lo.inTime++
+	if ve == fanout.Served && sm.now-rq.arrived <= target {
+		sm.inTime++
 	}
-	lo.over(rq)
-	for vm.busy[rq.server] < window {
-		next, ok := vm.line[rq.server].Pop()
+	sm.finish(rq)
+	for vm.inFlight[rq.server] < window {
+		next, ok := vm.queue[rq.server].Pop()
 		if !ok {
 			return
 		}
-		lo.send(next)
+		sm.send(next)
 	}
 }
 
-func (lo *load) over(rq *simRequest) {
-	if !rq.over {
-		rq.over = true
-		lo.finished++
+func (sm *overloadSim) finish(rq *simRequest) {
+	if !rq.done {
+		rq.done = true
+		sm.finished++
 	}
 }
 
-// A shard has one sound server left, and a sixth more comes than it can take.
-// Without windows its own queue fills up, each answer is late, and callers get
-// nothing in time though the server works without a pause. With them the queue
-// stays short, and most of what it can take is answered in time.
+// A shard has one fast server left, and gets a sixth more load than that can handle. Without
+// windows the server's own queue fills up, every answer is late, and nothing is answered in time
+// although the server is busy all the time. With windows the queue stays short, and most requests
+// that it has capacity for are answered in time.
 func TestOverloadAnswersInTime(t *testing.T) {
 	is := is.New(t)
-	without, with := playLoad(false), playLoad(true)
-	t.Logf("in time without windows %d of %d, with %d of %d", without.inTime, without.finished, with.inTime, with.finished)
+	without, with := simulateOverload(false), simulateOverload(true)
+	t.Logf("in time without windows: %d of %d, with windows: %d of %d", without.inTime, without.finished, with.inTime, with.finished)
 	is.True(with.inTime*2 > with.finished)
 	is.True(with.inTime*10 > without.inTime*13)
 }
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -10,127 +10,127 @@
 	"laburnumvane/core/toggle"
 )
 
-// Weights of the cost. All times are what one more attempt is expected to take.
+// Weights of the cost. All durations are the expected time of one more attempt.
 const (
-	// queueShare is how much of its latency each request in flight adds: a
-	// server works on several at once, so that less than a whole one is waited
-	// for.
+	// queueShare is the share of a server's latency that each request in flight adds. It is below
+	// 1 since a server runs several requests concurrently.
 	queueShare = 0.5
-	// farShare and farLeast are what a server in another data centre costs
-	// more, as a share of the usual latency and at least. Bytes between data
-	// centres are paid for, so that a near server is left only for a clear gain.
-	farShare = 1.6
-	farLeast = 5 * time.Millisecond
-	// joinedPart is the part of that for a server whose answer comes joined with those
-	// of others there: a receipt in place of a request, headers and a body.
-	joinedPart = 0.25
-	// quietTimes and quietLeast say when a server with requests in flight
-	// counts as gone quiet: longer than so many usual latencies, and so long.
-	quietTimes = 2.5
-	quietLeast = 15 * time.Millisecond
-	// darkAfter is how long a server may be quiet before it gets nothing more
-	// until it speaks: several times the pauses that servers make.
-	darkAfter = 700 * time.Millisecond
-	// failCost and refuseCost are what a failure and a refusal cost on average:
-	// another round trip and a token of the budget.
+	// remoteCostRatio (as a share of the usual latency) and remoteCostMin are the extra cost of a
+	// server in another data centre. Traffic between data centres is paid for, so a local server
+	// is passed over only for a clear gain.
+	remoteCostRatio = 1.6
+	remoteCostMin   = 5 * time.Millisecond
+	// mergedCostRatio is the share of that extra cost for a server whose answer is sent merged
+	// with others from its data centre: it saves a request, headers and a body.
+	mergedCostRatio = 0.25
+	// A server with requests in flight counts as silent once it has not answered for silentRatio
+	// times the usual latency, and for at least silentMin.
+	silentRatio = 2.5
+	silentMin   = 15 * time.Millisecond
+	// unresponsiveAfter is how long a server may be silent before it gets no further requests
+	// until it answers: several times the length of pauses on servers.
+	unresponsiveAfter = 700 * time.Millisecond
+	// failCost and refuseCost are the average costs of a failure and of a refusal: another round
+	// trip and a token of the retry budget.
 	failCost   = 300 * time.Millisecond
 	refuseCost = 100 * time.Millisecond
-	// avoidTime is how long a server gets nothing after no connection could be
-	// opened to it, or it stayed dark. Where the pool goes on trying, the next
-	// success ends it sooner.
+	// avoidTime is how long a server is not picked after no connection could be opened to it, or
+	// after it became unresponsive. If the connection pool keeps trying, its next success ends
+	// this early.
 	avoidTime = 2 * time.Second
-	// strangerTime is the same for a server that is not at its address any
-	// more; its process will not come back.
-	strangerTime = time.Minute
-	// gain is the weight of the newest latency and verdict.
-	gain = 0.3
-	// slowTimes makes a strike: an answer that took so many times the usual.
-	slowTimes = 3.5
-	// mostSlow bounds how slow a server is taken to be.
-	mostSlow = 20
-	// fadeFirst is the time within which what is remembered of a server loses
-	// two thirds. fadeNext holds from the second strike on and doubles with
-	// each: that server is slow, and each look at it costs a slow answer.
-	fadeFirst = 400 * time.Millisecond
-	fadeNext  = 4 * time.Second
-	fadeMost  = 8 * time.Second
-	// failFade is the same for failures and refusals.
-	failFade = 4 * time.Second
-	// windowMost bounds how many requests of this VM a server works on or queues. A
-	// window is cut when an answer took windowTimes the usual, at most once for each
-	// round trip and by as much as it took longer, to between windowCutMost and
-	// windowCutLeast of what it was, and rises by windowRise for each round trip
-	// without. It never stands above what this VM's connections allow, or the first
-	// cuts would change nothing: with both, the last of three servers of a shard
-	// answered within 100 ms and not 133 at the median, in the second after the others
-	// were lost. The rise is small since all VMs rise together: with a whole request a
-	// round trip nine VMs filled that server's queue again at once.
+	// staleAddressTime is the same after another process answered at the server's address: the
+	// old process will not come back.
+	staleAddressTime = time.Minute
+	// smoothing is the weight of the newest latency and verdict in the moving averages.
+	smoothing = 0.3
+	// slowRatio is the ratio to the usual latency from which on an answer counts as slow.
+	slowRatio = 3.5
+	// maxSlowdown bounds the estimated slowdown.
+	maxSlowdown = 20
+	// decayFirst is the time in which a slowdown loses two thirds of its weight. decayRepeated
+	// applies from the second slow answer in a row and doubles with each further one up to
+	// decayMax, since each new check of a slow server costs a slow answer.
+	decayFirst    = 400 * time.Millisecond
+	decayRepeated = 4 * time.Second
+	decayMax      = 8 * time.Second
+	// failureDecay is the decay time of failures and refusals.
+	failureDecay = 4 * time.Second
+	// windowMax bounds how many requests of this VM a server runs or queues. The window is cut
+	// when an answer took more than windowCutRatio times the usual latency, at most once per
+	// round trip and in proportion to the excess, to between windowCutMin and windowCutMax of its
+	// size. Otherwise it grows by windowIncrease per round trip. It never exceeds this VM's
+	// maximum number of connections, or the first cuts would have no effect. With both rules, the
+	// last of three servers of a shard answered within 100 ms instead of 133 ms at the median, in
+	// the second after the other two were lost. The increase is small since all VMs increase at
+	// the same time: at one request per round trip, nine VMs filled that server's queue again at
+	// once.
 	//
-	// A refusal alone does not cut it: a server that is full is slow too, and one that
-	// refuses at random takes what it takes. At a third more load than a server can
-	// take its own queue would grow until each answer is late; so the queue stays at
-	// that length, and what does not fit waits here, where it can still go elsewhere.
-	windowMost     = 16
-	windowCutLeast = 0.7
-	windowCutMost  = 0.3
-	windowRise     = 0.2
-	windowTimes    = 3
-	// expectFor is how long the longest kind of request is remembered.
-	expectFor = time.Second
-	// soundTimes and soundFails bound what a sound server may be remembered for:
-	// less than a strike, and one failure or refusal twelve seconds ago.
-	soundTimes = 2
-	soundFails = 0.02
-	// warnedSlow is how many times the usual a server is thought to take that another VM
-	// found slow or silent: enough for it to be left, and gone with fadeFirst unless this
-	// VM sees the same.
-	warnedSlow = 4
-	// noise keeps VMs with the same memory from choosing the same server.
-	noise = 0.1
+	// A refusal alone does not cut the window: an overloaded server is slow as well, and one that
+	// refuses at random still takes its usual throughput. At a third more load than a server's
+	// capacity its own queue would grow until every answer is late. The window keeps the queue at
+	// an acceptable length; excess requests wait on this VM, where they can still be sent to
+	// another server.
+	windowMax      = 16
+	windowCutMax   = 0.7
+	windowCutMin   = 0.3
+	windowIncrease = 0.2
+	windowCutRatio = 3
+	// longestUsualTTL is how long the longest kind of request is remembered.
+	longestUsualTTL = time.Second
+	// healthySlowdown and healthyFailures bound what is remembered of a server that counts as
+	// healthy: less than a slow answer, and one failure or refusal twelve seconds ago.
+	healthySlowdown = 2
+	healthyFailures = 0.02
+	// warnedSlowdown is the slowdown assumed for a server that another VM reported as slow or
+	// silent: enough for other servers to be preferred, and decaying with decayFirst unless this
+	// VM observes the same.
+	warnedSlowdown = 4
+	// costNoise is the random variation of costs, so that VMs with the same observations do not
+	// all pick the same server.
+	costNoise = 0.1
 )
 
-// Config sets a table.
+// Config holds the parameters of a Table.
 type Config struct {
-	// DataCentre is where this VM stands.
+	// DataCentre is the data centre of this VM.
 	DataCentre string
-	// Off are the mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off toggle.Set
 }
 
-// Table holds what this VM has seen of each server.
+// Table holds this VM's observations of each server. It is safe for concurrent use.
 type Table struct {
-	cfg  Config
-	mu   sync.Mutex
-	seen map[origin.Process]*memory
-	// tells are the services whose servers tell their load.
-	tells map[string]bool
+	cfg   Config
+	mu    sync.Mutex
+	stats map[origin.Process]*serverStats
+	// reportsLoad holds, by service, whether its servers report their load.
+	reportsLoad map[string]bool
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New(cfg Config) *Table {
-	return &Table{cfg: cfg, seen: make(map[origin.Process]*memory), tells: make(map[string]bool)}
+	return &Table{cfg: cfg, stats: make(map[origin.Process]*serverStats), reportsLoad: make(map[string]bool)}
 }
 
-// Kind is what is known of a kind of request.
+// Kind describes a kind of request.
 type Kind struct {
-	// Usual is what such a request takes at most servers.
+	// Usual is the latency of such a request on most servers.
 	Usual time.Duration
-	// Slack is how long a server may say nothing before it is passed over: the
-	// time after which another one would be asked anyway. A pause that ends
-	// before costs the request nothing, and the way around it bytes between
-	// data centres.
+	// Slack is how long a server may be silent before that raises its cost: the time after which
+	// a hedge would be sent anyway. A pause that ends earlier costs the request nothing, while
+	// avoiding it costs traffic between data centres.
 	Slack time.Duration
-	// Joined is the data centre from which the answer would come joined with others;
-	// empty if there is none.
+	// Joined is the data centre whose answer would be sent merged with others; empty if there is
+	// none.
 	Joined string
-	// Told has what servers tell of their load decide too.
+	// Told lets the load reports of servers influence the cost.
 	Told bool
 }
 
-// Pick returns the cheapest of the servers that take requests and are not in
-// tried. The draw, uniform within 0 to 1, parts servers of nearly the same cost.
-// There may be none though some are listed: those that cannot be reached or stay
-// dark are no choice, and the caller can say so at once.
+// Pick returns the cheapest server that takes requests and is not in tried. Draw returns uniform
+// random numbers in [0, 1), to spread requests over servers of nearly the same cost. Servers that
+// are unreachable or unresponsive are never picked, so that the caller can fail at once if there
+// are no others; ok is then false.
 func (tb *Table) Pick(now time.Duration, ki Kind, ups, tried []*origin.Upstream, draw func() float64) (*origin.Upstream, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -141,7 +141,7 @@
 			continue
 		}
 		cost, ok := tb.cost(now, ki, up)
-		if cost *= 1 + noise*draw(); ok && cost < least {
+		if cost *= 1 + costNoise*draw(); ok && cost < least {
 			best, least = up, cost
 		}
 	}
@@ -157,180 +157,181 @@
 	return false
 }
 
-// cost is in nanoseconds; ok is false if the server is no choice.
+// cost returns the cost in nanoseconds; ok is false if the server must not be picked.
 func (tb *Table) cost(now time.Duration, ki Kind, up *origin.Upstream) (cost float64, ok bool) {
 	usual := ki.Usual
 	cost = float64(usual)
 	if up.DataCentre != tb.cfg.DataCentre && !tb.cfg.Off.Off(toggle.Nearness) {
-		way := max(farShare*float64(usual), float64(farLeast))
+		remoteCost := max(remoteCostRatio*float64(usual), float64(remoteCostMin))
 		if up.DataCentre == ki.Joined {
-			way *= joinedPart
+			remoteCost *= mergedCostRatio
 		}
-		cost += way
+		cost += remoteCost
 	}
-	me, seen := tb.seen[up.Process()]
+	st, seen := tb.stats[up.Process()]
 	if !seen {
 		return cost, true
 	}
-	latency := float64(usual) * me.slowness(now)
+	latency := float64(usual) * st.currentSlowdown(now)
 	if ki.Told && !tb.cfg.Off.Off(toggle.Loads) {
-		pace := max(me.slowness(now), me.told.pace(now))
-		latency = float64(usual) * pace * (1 + me.told.wait(now))
+		pace := max(st.currentSlowdown(now), st.report.currentPace(now))
+		latency = float64(usual) * pace * (1 + st.report.queueWait(now))
 	}
-	quiet := me.quiet(now)
-	if now < me.avoidUntil || quiet > float64(darkAfter) {
+	silentFor := st.silence(now)
+	if now < st.avoidUntil || silentFor > float64(unresponsiveAfter) {
 		return 0, false
 	}
-	cost += latency*(1+queueShare*float64(me.inFlight)) - float64(usual)
+	cost += latency*(1+queueShare*float64(st.inFlight)) - float64(usual)
 	if !tb.cfg.Off.Off(toggle.Failures) {
-		kept := fading(now-me.failAt, failFade)
-		cost += kept * (me.fails*float64(failCost) + me.refusals*float64(refuseCost))
+		weight := decay(now-st.ratesAt, failureDecay)
+		cost += weight * (st.failureRate*float64(failCost) + st.refusalRate*float64(refuseCost))
 	}
 	if !tb.cfg.Off.Off(toggle.Pauses) {
-		cost += max(0, quiet-float64(ki.Slack))
+		cost += max(0, silentFor-float64(ki.Slack))
 	}
 	return cost, true
 }
 
-// Begin counts an attempt as in flight.
+// Begin records the start of an attempt.
 func (tb *Table) Begin(now, usual time.Duration, pr origin.Process) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me := tb.of(pr)
-	if me.inFlight == 0 {
-		me.quietSince = now
+	st := tb.statsOf(pr)
+	if st.inFlight == 0 {
+		st.silentSince = now
 	}
-	if usual >= me.expect || now-me.expectAt > expectFor {
-		me.expect, me.expectAt = usual, now
+	if usual >= st.longestUsual || now-st.longestUsualAt > longestUsualTTL {
+		st.longestUsual, st.longestUsualAt = usual, now
 	}
-	me.inFlight++
+	st.inFlight++
 }
 
-func (tb *Table) of(pr origin.Process) *memory {
-	me, ok := tb.seen[pr]
+func (tb *Table) statsOf(pr origin.Process) *serverStats {
+	st, ok := tb.stats[pr]
 	if !ok {
-		me = &memory{window: windowMost}
-		tb.seen[pr] = me
+		st = &serverStats{window: windowMax}
+		tb.stats[pr] = st
 	}
-	return me
+	return st
 }
 
-// Attempt is what came of an attempt.
+// Attempt is the result of an attempt.
 type Attempt struct {
 	Verdict fanout.Verdict
-	// Took is how long the server took; Usual what it takes at most servers.
+	// Took is the latency of the attempt, Usual that of its kind on most servers.
 	Took  time.Duration
 	Usual time.Duration
-	// Most is how many connections this VM may have to the server, which is as many
-	// requests at once; 0 if that is not known.
+	// Most is the maximum number of connections, and thus of concurrent requests, from this VM to
+	// the server; 0 if unknown.
 	Most int
 }
 
-// End settles an attempt and returns how many requests of this VM the server may
-// have at once from now on.
+// End records the end of an attempt and returns how many requests of this VM the server may have
+// in flight from now on.
 func (tb *Table) End(now time.Duration, pr origin.Process, at Attempt) (window int) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, ok := tb.seen[pr]
+	st, ok := tb.stats[pr]
 	if !ok {
-		return windowMost
+		return windowMax
 	}
-	me.inFlight = max(0, me.inFlight-1)
+	st.inFlight = max(0, st.inFlight-1)
 	switch at.Verdict {
 	case fanout.Served:
 		if !tb.cfg.Off.Off(toggle.Slowness) {
-			me.note(now, at)
+			st.recordLatency(now, at)
 		}
-		me.mark(now, 0, 0)
-		me.quietSince = now
-		// A short request behind a long one is no sign of a queue.
-		if allowed := windowTimes * max(at.Usual, me.expect); at.Took > allowed {
-			me.cut(now, at.Took, float64(allowed))
+		st.recordOutcome(now, 0, 0)
+		st.silentSince = now
+		// A short request queued behind a long one does not indicate overload.
+		if allowed := windowCutRatio * max(at.Usual, st.longestUsual); at.Took > allowed {
+			st.cutWindow(now, at.Took, float64(allowed))
 		} else {
-			me.window += windowRise / me.window
+			st.window += windowIncrease / st.window
 		}
 	case fanout.Failed:
-		me.mark(now, 1, 0)
-		me.quietSince = now
+		st.recordOutcome(now, 1, 0)
+		st.silentSince = now
 	case fanout.Refused:
-		me.mark(now, 0, 1)
-		me.quietSince = now
+		st.recordOutcome(now, 0, 1)
+		st.silentSince = now
 	case fanout.Elsewhere:
-		me.avoidUntil = now + strangerTime
+		st.avoidUntil = now + staleAddressTime
 	case fanout.Lost:
-		// The connection failed; another one may work.
-		me.mark(now, 1, 0)
+		// The connection failed; a new one may work.
+		st.recordOutcome(now, 1, 0)
 	}
 	if at.Most > 0 {
-		me.window = min(me.window, float64(at.Most))
+		st.window = min(st.window, float64(at.Most))
 	}
-	me.window = min(me.window, windowMost)
-	return int(me.window)
+	st.window = min(st.window, windowMax)
+	return int(st.window)
 }
 
-// Withdraw settles an attempt that was given up by this VM. One that had waited
-// for long shows that the server is dark.
+// Withdraw records that this VM cancelled an attempt. If it had waited for long, and the server
+// answered nothing meanwhile, the server counts as unresponsive.
 func (tb *Table) Withdraw(now time.Duration, pr origin.Process, waited time.Duration) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, ok := tb.seen[pr]
+	st, ok := tb.stats[pr]
 	if !ok {
 		return
 	}
-	me.inFlight = max(0, me.inFlight-1)
-	if waited > darkAfter && now-me.quietSince > darkAfter {
-		me.avoidUntil = now + avoidTime
+	st.inFlight = max(0, st.inFlight-1)
+	if waited > unresponsiveAfter && now-st.silentSince > unresponsiveAfter {
+		st.avoidUntil = now + avoidTime
 	}
 }
 
-// Reached tells whether a connection to a server could be opened.
+// Reached records whether a connection to a server could be opened.
 func (tb *Table) Reached(now time.Duration, pr origin.Process, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me := tb.of(pr)
+	st := tb.statsOf(pr)
 	if ok {
-		me.avoidUntil = min(me.avoidUntil, now)
+		st.avoidUntil = min(st.avoidUntil, now)
 		return
 	}
-	me.avoidUntil = max(me.avoidUntil, now+avoidTime)
+	st.avoidUntil = max(st.avoidUntil, now+avoidTime)
 }
 
-// Sound tells whether nothing speaks against a server: it is not slow, does not
-// refuse or fail, and is not silent.
+// Sound tells whether a server counts as healthy: not slow, silent or avoided, and without recent
+// refusals or failures.
 func (tb *Table) Sound(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, ok := tb.seen[pr]
+	st, ok := tb.stats[pr]
 	if !ok {
 		return true
 	}
-	kept := fading(now-me.failAt, failFade)
-	return me.strikes == 0 && me.slowness(now) < soundTimes &&
-		kept*(me.fails+me.refusals) < soundFails && me.quiet(now) == 0 && now >= me.avoidUntil
+	weight := decay(now-st.ratesAt, failureDecay)
+	return st.slowAnswers == 0 && st.currentSlowdown(now) < healthySlowdown &&
+		weight*(st.failureRate+st.refusalRate) < healthyFailures && st.silence(now) == 0 && now >= st.avoidUntil
 }
 
-// Doubted tells whether a server is slow, or silent for longer than it should be.
+// Doubted tells whether a server is slow, or silent for longer than expected.
 func (tb *Table) Doubted(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, ok := tb.seen[pr]
-	return ok && (me.strikes > 1 && me.slowness(now) >= soundTimes || me.quiet(now) > 0)
+	st, ok := tb.stats[pr]
+	return ok && (st.slowAnswers > 1 && st.currentSlowdown(now) >= healthySlowdown || st.silence(now) > 0)
 }
 
-// Warn takes another VM's word that a server is slow or silent. A VM that stands beside a
-// server has its answers to many others: with three requests of ten to a slow server each
-// of 21 VMs needs a second to find one, and the VMs beside it a fifth of that.
+// Warn records another VM's report that a server is slow or silent. VMs in the server's data
+// centre see its answers to many other VMs and find this out sooner: if three of ten requests go
+// to a slow server, each of 21 VMs needs a second to notice, and the VMs next to the server a
+// fifth of that.
 func (tb *Table) Warn(now time.Duration, pr origin.Process) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me := tb.of(pr)
-	if me.slowness(now) < warnedSlow {
-		me.slow, me.slowAt = warnedSlow, now
+	st := tb.statsOf(pr)
+	if st.currentSlowdown(now) < warnedSlowdown {
+		st.slowdown, st.slowdownAt = warnedSlowdown, now
 	}
 }
 
-// SoundPlaces lists the data centres other than this VM's own that have a sound server
-// among those; near tells whether this one has.
+// SoundPlaces returns the data centres, other than this VM's own, that have a healthy server
+// among ups; near tells whether this VM's own has one.
 func (tb *Table) SoundPlaces(now time.Duration, ups []*origin.Upstream) (near bool, places []string) {
 	for _, up := range ups {
 		switch {
@@ -344,39 +345,39 @@
 	return near, places
 }
 
-// Quiet is how long a server with requests of this VM has said nothing.
+// Quiet returns for how long a server with requests of this VM in flight has not answered.
 func (tb *Table) Quiet(now time.Duration, pr origin.Process) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	me, ok := tb.seen[pr]
-	if !ok || me.inFlight == 0 {
+	st, ok := tb.stats[pr]
+	if !ok || st.inFlight == 0 {
 		return 0
 	}
-	return now - me.quietSince
+	return now - st.silentSince
 }
 
-// Overdue counts the servers outside this VM's data centre that should have answered
-// something by now.
+// Overdue counts the servers outside this VM's data centre that are silent for longer than
+// expected.
 func (tb *Table) Overdue(now time.Duration, dir *origin.Directory) int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	owed := 0
+	overdue := 0
 	dir.All(func(up *origin.Upstream) {
-		me, seen := tb.seen[up.Process()]
-		if seen && up.DataCentre != tb.cfg.DataCentre && me.quiet(now) > 0 {
-			owed++
+		st, seen := tb.stats[up.Process()]
+		if seen && up.DataCentre != tb.cfg.DataCentre && st.silence(now) > 0 {
+			overdue++
 		}
 	})
-	return owed
+	return overdue
 }
 
-// Keep forgets all servers but those.
+// Keep removes all servers that are not in the directory and have no requests in flight.
 func (tb *Table) Keep(dir *origin.Directory) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	for pr, me := range tb.seen {
-		if !dir.Has(pr) && me.inFlight == 0 {
-			delete(tb.seen, pr)
+	for pr, st := range tb.stats {
+		if !dir.Has(pr) && st.inFlight == 0 {
+			delete(tb.stats, pr)
 		}
 	}
 }
--- a/core/steer/steer_test.go
+++ b/core/steer/steer_test.go
@@ -27,204 +27,199 @@
 	}
 }
 
-// world is a table with a clock.
-type world struct {
+// clockedTable is a table with a simulated clock.
+type clockedTable struct {
 	t   *testing.T
 	tb  *steer.Table
 	now time.Duration
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{t: t, tb: steer.New(steer.Config{DataCentre: "east"}), now: time.Second}
+func newClockedTable(t *testing.T) *clockedTable {
+	return &clockedTable{t: t, tb: steer.New(steer.Config{DataCentre: "east"}), now: time.Second}
 }
 
-func (wo *world) pick(tried ...*origin.Upstream) string {
-	up, ok := wo.tb.Pick(wo.now, steer.Kind{Usual: usual}, servers(), tried, half)
+func (ct *clockedTable) pick(tried ...*origin.Upstream) string {
+	up, ok := ct.tb.Pick(ct.now, steer.Kind{Usual: usual}, servers(), tried, half)
 	if !ok {
 		return ""
 	}
 	return up.ID
 }
 
-// serve has the near server answer one request after some time.
-func (wo *world) serve(took time.Duration) {
-	wo.end(took, fanout.Served)
+// serve has the local server answer one request after the given time.
+func (ct *clockedTable) serve(took time.Duration) {
+	ct.finish(took, fanout.Served)
 }
 
-// end ends one request to the near server.
-func (wo *world) end(took time.Duration, ve fanout.Verdict) int {
-	wo.tb.Begin(wo.now, usual, process("near"))
-	wo.now += took
-	return wo.tb.End(wo.now, process("near"), steer.Attempt{Verdict: ve, Took: took, Usual: usual})
+// finish runs one request on the local server and returns the window.
+func (ct *clockedTable) finish(took time.Duration, ve fanout.Verdict) int {
+	ct.tb.Begin(ct.now, usual, process("near"))
+	ct.now += took
+	return ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: ve, Took: took, Usual: usual})
 }
 
-func TestNearFirst(t *testing.T) {
+func TestLocalServerIsPreferred(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	is.Equal(wo.pick(), "near")
-	is.Equal(wo.pick(servers()[0]), "far")
-	is.Equal(wo.pick(servers()...), "")
+	ct := newClockedTable(t)
+	is.Equal(ct.pick(), "near")
+	is.Equal(ct.pick(servers()[0]), "far")
+	is.Equal(ct.pick(servers()...), "")
 }
 
-// A server is in a pause: a request that went there hangs. The next request of
-// this VM must not walk into the same pause, and once the server has answered it
-// is used again at once, for the pause is over.
-func TestPauseIsPassedAround(t *testing.T) {
+// A server pauses, and a request to it hangs. The next request of this VM must avoid the paused
+// server. Once the server has answered, it is used again at once, since the pause is over.
+func TestPausedServerIsAvoided(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.serve(usual)
-	wo.tb.Begin(wo.now, usual, process("near"))
-	is.Equal(wo.pick(), "near")
-	wo.now += 60 * ms
-	is.Equal(wo.pick(), "far")
-	wo.now += 140 * ms
-	wo.tb.End(wo.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 200 * ms, Usual: usual})
-	is.Equal(wo.pick(), "near")
+	ct := newClockedTable(t)
+	ct.serve(usual)
+	ct.tb.Begin(ct.now, usual, process("near"))
+	is.Equal(ct.pick(), "near")
+	ct.now += 60 * ms
+	is.Equal(ct.pick(), "far")
+	ct.now += 140 * ms
+	ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 200 * ms, Usual: usual})
+	is.Equal(ct.pick(), "near")
 }
 
-// The same pause, and a request that has time: it may wait for the end of the
-// pause as long as another server would be asked later anyway.
+// The same pause with a request that has slack: it may wait for the pause to end for as long as a
+// hedge would take to be sent anyway.
 func TestPauseWithinSlack(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.serve(usual)
-	wo.tb.Begin(wo.now, usual, process("near"))
-	wo.now += 70 * ms
+	ct := newClockedTable(t)
+	ct.serve(usual)
+	ct.tb.Begin(ct.now, usual, process("near"))
+	ct.now += 70 * ms
 	patient := steer.Kind{Usual: usual, Slack: 80 * ms}
-	up, _ := wo.tb.Pick(wo.now, patient, servers(), nil, half)
+	up, _ := ct.tb.Pick(ct.now, patient, servers(), nil, half)
 	is.Equal(up.ID, "near")
-	wo.now += 60 * ms
-	up, _ = wo.tb.Pick(wo.now, patient, servers(), nil, half)
+	ct.now += 60 * ms
+	up, _ = ct.tb.Pick(ct.now, patient, servers(), nil, half)
 	is.Equal(up.ID, "far")
 }
 
-// A server is slow, not paused: each answer takes ten times the usual. Callers
-// would find it again and again if one slow answer were all that is remembered;
-// after the second in a row it is left alone, the longer the more often it was
-// found slow, and asked again when it may have recovered.
-func TestSlowServerIsLeft(t *testing.T) {
+// A server is slow rather than paused: each answer takes ten times the usual. If only one slow
+// answer were remembered, callers would be sent there repeatedly. After the second in a row it is
+// avoided, for longer the more often it was slow, and then tried again.
+func TestSlowServerIsAvoided(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.serve(10 * usual)
-	is.Equal(wo.pick(), "near")
-	wo.serve(10 * usual)
-	is.Equal(wo.pick(), "far")
-	first := wo.until("near")
-	wo.serve(10 * usual)
-	second := wo.until("near")
+	ct := newClockedTable(t)
+	ct.serve(10 * usual)
+	is.Equal(ct.pick(), "near")
+	ct.serve(10 * usual)
+	is.Equal(ct.pick(), "far")
+	first := ct.waitUntilPicked("near")
+	ct.serve(10 * usual)
+	second := ct.waitUntilPicked("near")
 	is.True(second > first)
-	wo.serve(usual)
-	is.Equal(wo.pick(), "near")
+	ct.serve(usual)
+	is.Equal(ct.pick(), "near")
 }
 
-// until waits for a server to be picked.
-func (wo *world) until(id string) time.Duration {
-	began := wo.now
-	for wo.pick() != id {
-		wo.now += 100 * ms
-		if wo.now-began > time.Minute {
-			wo.t.Fatalf("%s is never picked again", id)
+// waitUntilPicked waits until a server is picked and returns how long that took.
+func (ct *clockedTable) waitUntilPicked(id string) time.Duration {
+	start := ct.now
+	for ct.pick() != id {
+		ct.now += 100 * ms
+		if ct.now-start > time.Minute {
+			ct.t.Fatalf("%s is not picked again within a minute", id)
 		}
 	}
-	return wo.now - began
+	return ct.now - start
 }
 
-// A short request waits behind a long one at a server with few slots. That says
-// nothing of the server, which must stay the first choice for both.
-func TestShortBehindLong(t *testing.T) {
+// A short request is queued behind a long one on a server with few slots. The server is not slow,
+// and must remain the first choice for both kinds.
+func TestShortRequestBehindLongOne(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
+	ct := newClockedTable(t)
 	const short = 6 * ms
-	wo.serve(usual)
+	ct.serve(usual)
 	for range 3 {
-		wo.tb.Begin(wo.now, short, process("near"))
-		wo.now += 5 * short
-		wo.tb.End(wo.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 5 * short, Usual: short})
+		ct.tb.Begin(ct.now, short, process("near"))
+		ct.now += 5 * short
+		ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 5 * short, Usual: short})
 	}
-	is.Equal(wo.pick(), "near")
+	is.Equal(ct.pick(), "near")
 }
 
-// A server loses its power: it says nothing, and nothing fails either. Requests
-// to it would wait for their deadlines. After darkAfter it is no choice, so that
-// a caller whose request needs it can be told at once; a connection that opens
-// shows that it is back.
-func TestDarkServerIsNoChoice(t *testing.T) {
+// A server loses power: it does not answer, and no connection fails either, so requests would
+// wait until their deadlines. After unresponsiveAfter it is not picked, so that a request that
+// needs it can fail at once. A connection that opens shows that it is back.
+func TestUnresponsiveServerIsNotPicked(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.tb.Begin(wo.now, usual, process("near"))
-	wo.tb.Begin(wo.now, usual, process("far"))
-	wo.now += 800 * ms
-	is.Equal(wo.pick(), "")
-	wo.tb.Withdraw(wo.now, process("near"), 800*ms)
-	wo.tb.Withdraw(wo.now, process("far"), 800*ms)
-	is.Equal(wo.pick(), "")
-	wo.tb.Reached(wo.now, process("near"), true)
-	is.Equal(wo.pick(), "near")
+	ct := newClockedTable(t)
+	ct.tb.Begin(ct.now, usual, process("near"))
+	ct.tb.Begin(ct.now, usual, process("far"))
+	ct.now += 800 * ms
+	is.Equal(ct.pick(), "")
+	ct.tb.Withdraw(ct.now, process("near"), 800*ms)
+	ct.tb.Withdraw(ct.now, process("far"), 800*ms)
+	is.Equal(ct.pick(), "")
+	ct.tb.Reached(ct.now, process("near"), true)
+	is.Equal(ct.pick(), "near")
 }
 
-func TestUnreachedAndStranger(t *testing.T) {
+func TestUnreachableAndStaleAddress(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.tb.Reached(wo.now, process("near"), false)
-	is.Equal(wo.pick(), "far")
-	wo.tb.Reached(wo.now, process("near"), true)
-	is.Equal(wo.pick(), "near")
-	wo.end(ms, fanout.Elsewhere)
-	wo.now += 30 * time.Second
-	is.Equal(wo.pick(), "far")
+	ct := newClockedTable(t)
+	ct.tb.Reached(ct.now, process("near"), false)
+	is.Equal(ct.pick(), "far")
+	ct.tb.Reached(ct.now, process("near"), true)
+	is.Equal(ct.pick(), "near")
+	ct.finish(ms, fanout.Elsewhere)
+	ct.now += 30 * time.Second
+	is.Equal(ct.pick(), "far")
 }
 
-// A server answers some requests with failures, or refuses some, while its health
-// is good. Each costs a second attempt, of which there are few: another server
-// is taken while that is remembered.
+// A server fails or refuses some requests while its health checks succeed. Each costs a second
+// attempt, of which the budget allows few, so another server is preferred until that has decayed.
 func TestFailuresAreRemembered(t *testing.T) {
 	for _, ve := range []fanout.Verdict{fanout.Failed, fanout.Refused, fanout.Lost} {
 		t.Run(ve.String(), func(t *testing.T) {
 			is := is.New(t)
-			wo := newWorld(t)
+			ct := newClockedTable(t)
 			for range 3 {
-				wo.end(usual, ve)
+				ct.finish(usual, ve)
 			}
-			is.Equal(wo.pick(), "far")
-			wo.until("near")
+			is.Equal(ct.pick(), "far")
+			ct.waitUntilPicked("near")
 		})
 	}
 }
 
-// More comes than the server can take, so that its queue grows and each answer
-// takes longer. The window closes with the answers' times and not with a single
-// pause, and opens when answers are quick again.
+// More requests arrive than the server can handle, so its queue grows and answers take longer.
+// The window shrinks to 1 only if several answers are slow, not for a single pause, and grows when
+// answers are fast again.
 func TestWindow(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	open := wo.end(usual, fanout.Served)
-	once := wo.end(10*usual, fanout.Served)
+	ct := newClockedTable(t)
+	open := ct.finish(usual, fanout.Served)
+	once := ct.finish(10*usual, fanout.Served)
 	is.True(once < open)
 	closed := once
 	for range 20 {
-		closed = wo.end(5*usual, fanout.Served)
+		closed = ct.finish(5*usual, fanout.Served)
 	}
 	is.Equal(closed, 1)
-	// Sixteen requests at once need as many answers for each step, at a fifth of a
-	// step for each round trip.
+	// Each increase of a window of 16 takes 16 answers, and adds a fifth of a request.
 	for range 800 {
-		closed = wo.end(usual, fanout.Served)
+		closed = ct.finish(usual, fanout.Served)
 	}
 	is.Equal(closed, open)
 }
 
-func TestKeepForgets(t *testing.T) {
+func TestKeepRemovesServers(t *testing.T) {
 	is := is.New(t)
-	wo := newWorld(t)
-	wo.tb.Reached(wo.now, process("near"), false)
-	wo.tb.Keep(origin.New(nil))
-	is.Equal(wo.pick(), "near")
+	ct := newClockedTable(t)
+	ct.tb.Reached(ct.now, process("near"), false)
+	ct.tb.Keep(origin.New(nil))
+	is.Equal(ct.pick(), "near")
 }
 
-// A server starts again under its id. That its former life was slow, out of reach or
-// gone from its address says nothing of the new one, which must be asked at once;
-// what still comes of the former one must not be held against it either.
-func TestAnotherLife(t *testing.T) {
+// A server restarts under the same ID. That the old process was slow, unreachable or gone from
+// its address must not affect the new one, which has to be picked at once. Late results of the
+// old process must not count against the new one either.
+func TestRestartedServer(t *testing.T) {
 	is := is.New(t)
 	tb := steer.New(steer.Config{DataCentre: "east"})
 	before := &origin.Upstream{ID: "a", Born: 1, Addr: "a:1", DataCentre: "east"}
@@ -243,8 +238,7 @@
 	is.Equal(pick(after), "a")
 }
 
-// A joined answer waits for the slowest server in it, so that only servers against
-// which nothing speaks are asked together.
+// A merged answer waits for its slowest server, so only healthy servers are asked together.
 func TestSound(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -269,8 +263,8 @@
 	}
 }
 
-// What a server tells of itself is kept with its age, and is told apart by process.
-func TestTold(t *testing.T) {
+// Load reports are kept with their age, separately for each process.
+func TestLoadReports(t *testing.T) {
 	is := is.New(t)
 	tb := steer.New(steer.Config{DataCentre: "east"})
 	up := &origin.Upstream{ID: "a", Born: 1, Service: "s"}
