--- a/core/hedge/example_test.go
+++ b/core/hedge/example_test.go
@@ -7,8 +7,8 @@
 	"laburnumvane/core/hedge"
 )
 
-// Until there are enough observations the delay is the ceiling: nothing is
-// hedged on a guess. Then it follows the quantile.
+// The delay is the ceiling until there are enough observations to estimate the quantile. Then it
+// follows the quantile.
 func Example() {
 	tr := hedge.New(hedge.Config{Quantile: 0.9, Floor: 2 * time.Millisecond, Ceiling: time.Second})
 	fmt.Println(tr.Delay())
--- a/core/hedge/hedge.go
+++ b/core/hedge/hedge.go
@@ -1,5 +1,5 @@
-// Package hedge decides when a straggling sub-request deserves a second try: it
-// keeps the latencies of the last few thousand and tells the delay at a quantile.
+// Package hedge determines the delay after which a sub-request is late enough to be hedged: a
+// quantile of the latencies of the last few thousand sub-requests.
 //
 // # Usage
 //
@@ -7,11 +7,11 @@
 //	tr.Observe(latency)
 //	delay := tr.Delay()
 //
-// A sub-request that is given up has to be told with GaveUp. Without these the
-// slowest never show, the quantile falls, more are given up, and so on down to
-// the floor.
+// Report cancelled sub-requests with GaveUp. Otherwise the slowest ones would be missing from the
+// latencies, the quantile would fall, more sub-requests would be hedged and cancelled, and so on
+// until the delay reaches the floor.
 //
-// A Tracker may be used from many goroutines.
+// A Tracker is safe for concurrent use.
 package hedge
 
 import (
@@ -23,87 +23,87 @@
 )
 
 const (
-	// window is the number of observations after which the histogram starts
-	// empty, so that a change of load shows within a few thousand replies.
-	window = 8192
-	// leastSamples is the number of observations in a window below which the
-	// quantiles of the last one stay: those of a handful say nothing.
-	leastSamples = 512
-	// refreshEvery is the number of observations after which the quantiles
-	// are read anew.
+	// windowSize is the number of observations after which the histogram is reset, so that a
+	// change of load shows within a few thousand replies.
+	windowSize = 8192
+	// minSamples is the number of observations in a window below which the quantiles of the
+	// previous window are kept: those of a few observations are unreliable.
+	minSamples = 512
+	// refreshEvery is the number of observations after which the quantiles are recomputed.
 	refreshEvery = 256
-	// leastQuantile is the one that Least tells.
-	leastQuantile = 5
+	// lowQuantile is the quantile, in per cent, that Least returns.
+	lowQuantile = 5
 
-	resolution    = int64(time.Microsecond)
-	longest       = int64(20 * time.Second)
-	digits        = 2
-	percentPerOne = 100
+	resolution        = int64(time.Microsecond)
+	maxLatency        = int64(20 * time.Second)
+	significantDigits = 2
+	percentPerOne     = 100
 )
 
-// Config sets a tracker.
+// Config holds the parameters of a Tracker.
 type Config struct {
-	// Quantile of the latency after which to hedge, between 0 and 1.
+	// Quantile of the latency after which a sub-request is hedged, between 0 and 1.
 	Quantile float64
-	// Floor and Ceiling bound the delay. The delay is the ceiling until there
-	// are enough observations.
+	// Floor and Ceiling bound the delay. The delay is Ceiling until there are enough
+	// observations.
 	Floor   time.Duration
 	Ceiling time.Duration
 }
 
-// Tracker holds the latencies of one kind of search.
+// Tracker tracks the latencies of one kind of search.
 type Tracker struct {
 	cfg   Config
 	delay atomic.Int64
 	least atomic.Int64
 
-	mu   sync.Mutex
-	hist *hdrhistogram.Histogram
-	seen int
+	mu    sync.Mutex
+	hist  *hdrhistogram.Histogram
+	count int
 }
 
-// New makes a tracker that knows nothing yet.
+// New returns a tracker without observations.
 func New(cfg Config) *Tracker {
 	tr := &Tracker{
 		cfg:  cfg,
-		hist: hdrhistogram.New(1, longest/resolution, digits),
+		hist: hdrhistogram.New(1, maxLatency/resolution, significantDigits),
 	}
 	tr.delay.Store(int64(cfg.Ceiling))
 	return tr
 }
 
-// GaveUp adds a sub-request given up after it had taken so long. Its latency is
-// not known but for being longer, which counts for the quantile if it is past the
-// delay already, and says nothing if not.
+// GaveUp adds a sub-request that was cancelled after the given time. Its latency is only known to
+// be longer. That counts for the quantile if the time exceeds the current delay; otherwise it is
+// ignored.
 func (tr *Tracker) GaveUp(after time.Duration) {
 	if after >= tr.Delay() {
 		tr.Observe(after)
 	}
 }
 
-// Observe adds the latency of one reply.
+// Observe adds the latency of a reply.
 func (tr *Tracker) Observe(latency time.Duration) {
-	value := min(max(int64(latency), 0), longest) / resolution
+	value := min(max(int64(latency), 0), maxLatency) / resolution
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
-	// The value lies within the histogram's range: there is no error.
+	// The value is within the histogram's range, so there is no error.
 	_ = tr.hist.RecordValue(value)
-	tr.seen++
-	if tr.seen >= leastSamples && tr.seen%refreshEvery == 0 {
+	tr.count++
+	if tr.count >= minSamples && tr.count%refreshEvery == 0 {
 		tr.refresh()
 	}
-	if tr.seen == window {
+	if tr.count == windowSize {
 		tr.hist.Reset()
-		tr.seen = 0
+		tr.count = 0
 	}
 }
 
-// Delay is the time after which a sub-request counts as straggling.
+// Delay returns the time after which a sub-request is late.
 func (tr *Tracker) Delay() time.Duration {
 	return time.Duration(tr.delay.Load())
 }
 
-// Least is the time within which hardly any reply comes; 0 while unknown.
+// Least returns the 5 % quantile of the latency: few replies arrive earlier. It is 0 while there
+// are too few observations.
 func (tr *Tracker) Least() time.Duration {
 	return time.Duration(tr.least.Load())
 }
@@ -111,5 +111,5 @@
 func (tr *Tracker) refresh() {
 	delay := time.Duration(tr.hist.ValueAtQuantile(tr.cfg.Quantile*percentPerOne) * resolution)
 	tr.delay.Store(int64(min(max(delay, tr.cfg.Floor), tr.cfg.Ceiling)))
-	tr.least.Store(tr.hist.ValueAtQuantile(leastQuantile) * resolution)
+	tr.least.Store(tr.hist.ValueAtQuantile(lowQuantile) * resolution)
 }
--- a/core/hedge/hedge_test.go
+++ b/core/hedge/hedge_test.go
@@ -21,21 +21,21 @@
 	return hedge.New(hedge.Config{Quantile: 0.98, Floor: floor, Ceiling: ceiling})
 }
 
-// The delay lies within a hundredth of an observation that is at most one rank
-// away from the true quantile.
-func TestDelayIsTheQuantile(t *testing.T) {
+// The delay is within one per cent of an observation at most one rank away from the true
+// quantile.
+func TestDelayMatchesQuantile(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4096
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		mean := float64(rapid.IntRange(5, 60).Draw(rt, "meanMs")) * float64(time.Millisecond)
 		tr := newTracker()
-		seen := make([]time.Duration, n)
-		for i := range seen {
-			seen[i] = time.Duration(rnd.ExpFloat64() * mean)
-			tr.Observe(seen[i])
+		observed := make([]time.Duration, n)
+		for i := range observed {
+			observed[i] = time.Duration(rnd.ExpFloat64() * mean)
+			tr.Observe(observed[i])
 		}
-		slices.Sort(seen)
-		below, above := min(seen[n*98/100-2], ceiling), min(seen[n*98/100+1], ceiling)
+		slices.Sort(observed)
+		below, above := min(observed[n*98/100-2], ceiling), min(observed[n*98/100+1], ceiling)
 		got := tr.Delay()
 		if got < below*99/100 || got > above*101/100 {
 			rt.Fatalf("delay %v, true quantile between %v and %v", got, below, above)
@@ -50,11 +50,11 @@
 		count   int
 		want    time.Duration
 	}{
-		{"nothing seen", 0, 0, ceiling},
-		{"a handful says nothing", time.Millisecond, 10, ceiling},
-		{"never below the floor", time.Microsecond, 1000, floor},
-		{"never above the ceiling", time.Hour, 1000, ceiling},
-		{"a negative one counts as none", -time.Second, 1000, floor},
+		{"no observations", 0, 0, ceiling},
+		{"too few observations", time.Millisecond, 10, ceiling},
+		{"not below the floor", time.Microsecond, 1000, floor},
+		{"not above the ceiling", time.Hour, 1000, ceiling},
+		{"negative latency counts as 0", -time.Second, 1000, floor},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -68,9 +68,9 @@
 	}
 }
 
-// The upstreams become ten times slower, then as fast as before. The delay
-// follows within some ten thousand replies, both ways.
-func TestDelayFollowsTheLoad(t *testing.T) {
+// The upstreams become ten times slower, then as fast as before. The delay must follow within
+// some ten thousand replies both times.
+func TestDelayFollowsLoad(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	tr := newTracker()
@@ -87,26 +87,25 @@
 	is.True(tr.Delay() < 20*time.Millisecond)
 }
 
-// Each twentieth reply is slow, is hedged after the delay and then given up: its
-// latency is never seen. The delay must not slide down to where ordinary replies
-// are hedged.
-func TestDelayStaysWhenTheSlowestAreGivenUp(t *testing.T) {
+// One reply in twenty is slow; it is hedged after the delay and then cancelled, so its latency is
+// never observed. The delay must not fall so far that ordinary replies are hedged.
+func TestDelayWithCancelledSubRequests(t *testing.T) {
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	tr := newTracker()
 	for range 200_000 {
-		took := time.Duration((5 + 5*rnd.Float64()) * float64(time.Millisecond))
+		latency := time.Duration((5 + 5*rnd.Float64()) * float64(time.Millisecond))
 		if rnd.IntN(20) == 0 {
-			took *= 20
+			latency *= 20
 		}
-		if hedged := tr.Delay() + 2*time.Millisecond; took > hedged {
+		if hedged := tr.Delay() + 2*time.Millisecond; latency > hedged {
 			tr.GaveUp(hedged)
 			continue
 		}
-		tr.Observe(took)
+		tr.Observe(latency)
 	}
 	is.True(tr.Delay() > 10*time.Millisecond)
-	tr.GaveUp(time.Microsecond) // says nothing, and must not count
+	tr.GaveUp(time.Microsecond) //  shorter than the delay, so it must be ignored
 }
 
 func latencies() []time.Duration {
@@ -118,14 +117,14 @@
 	return out
 }
 
-// BenchmarkObserve is the cost of one observation, reading of quantiles included.
+// BenchmarkObserve measures one observation, including its share of recomputing the quantiles.
 func BenchmarkObserve(b *testing.B) {
-	seen := latencies()
+	observed := latencies()
 	tr := newTracker()
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for i := 0; pb.Next(); i++ {
-			tr.Observe(seen[i%len(seen)])
+			tr.Observe(observed[i%len(observed)])
 		}
 	})
 }
