--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -18,12 +18,12 @@
 		draw  float64
 		wait  time.Duration
 	}{
-		{"none yet", 0, 0, time.Second},
-		{"one", 1, 0, time.Second},
-		{"one, spread", 1, 1, 1500 * time.Millisecond},
-		{"two", 2, 0, 2 * time.Second},
-		{"four", 4, 0, 8 * time.Second},
-		{"many", 5000, 0.5, 10 * time.Second},
+		{"no failure yet", 0, 0, time.Second},
+		{"one failure", 1, 0, time.Second},
+		{"one failure, full jitter", 1, 1, 1500 * time.Millisecond},
+		{"two failures", 2, 0, 2 * time.Second},
+		{"four failures", 4, 0, 8 * time.Second},
+		{"many failures", 5000, 0.5, 10 * time.Second},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -32,14 +32,14 @@
 	}
 }
 
-// The store turns 195 VMs away for nine seconds, and each tries to write its entry all
-// the while. Every call is paid for, also one that is refused, and none of them can
-// succeed: with a second and a half from one to the next there were six of each VM.
-func TestFewTriesInALongOutage(t *testing.T) {
+// The store rejects 195 VMs for nine seconds, and each keeps trying to write its entry. Every
+// call is paid for, also a rejected one, and none of them can succeed: at an average interval of
+// 1.5 s there were six calls per VM.
+func TestFewAttemptsInLongOutage(t *testing.T) {
 	is := is.New(t)
 	const vms, outage = 195, 9 * time.Second
 	rnd := rand.New(rand.NewPCG(3, 4))
-	tries := func(bo retry.Backoff) int {
+	countAttempts := func(bo retry.Backoff) int {
 		n := 0
 		for range vms {
 			fails := 0
@@ -50,7 +50,7 @@
 		}
 		return n
 	}
-	steady := retry.Backoff{First: time.Second, Most: time.Second, Jitter: 1}
-	growing := retry.Backoff{First: time.Second, Most: 8 * time.Second, Jitter: 1}
-	is.True(2*tries(growing) <= tries(steady))
+	constant := retry.Backoff{First: time.Second, Most: time.Second, Jitter: 1}
+	exponential := retry.Backoff{First: time.Second, Most: 8 * time.Second, Jitter: 1}
+	is.True(2*countAttempts(exponential) <= countAttempts(constant))
 }
