--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget bounds extra work: each primary request earns a fraction of a
-// token, each extra request spends a whole one.
+// Package budget limits extra work to a share of the primary work: each primary request earns a
+// fraction of a token, and each extra request, such as a hedge, spends a whole one.
 //
 // # Usage
 //
@@ -9,67 +9,66 @@
 //		// send the hedge
 //	}
 //
-// A Budget may be used from many goroutines.
+// A Budget is safe for concurrent use.
 package budget
 
 import "sync/atomic"
 
-// scale is the number of units in a token: fractions are kept as whole units so
-// that one atomic add suffices.
+// scale is the number of units per token. Fractions of tokens are kept as whole units, so that a
+// single atomic add suffices.
 const scale = 1 << 20
 
-// Config sizes a budget.
+// Config holds the parameters of a Budget.
 type Config struct {
-	// Share is the tokens earned by one primary, 0 to 1.
+	// Share is the number of tokens earned by one primary request, 0 to 1.
 	Share float64
-	// Burst is the most tokens kept, so that a quiet hour does not pay for a
-	// storm.
+	// Burst is the maximum number of tokens kept, so that a quiet hour does not pay for a burst
+	// of extra requests.
 	Burst float64
-	// Rounds raises that bound with the size of what is sent at once: to so
-	// many tokens for each primary of the round that earned last. A server
-	// that is lost takes a part of many rounds with it, however large they
-	// are.
+	// Rounds raises this maximum with the number of requests sent at once: to Rounds tokens for
+	// each primary request of the latest round. A lost server affects its share of many rounds,
+	// however large they are.
 	Rounds float64
 }
 
-// Budget is a bucket of tokens. The work it allows over any time is at most
-// Share times the primaries of that time, plus Burst, plus one Charge.
+// Budget is a token bucket. Over any period it allows at most Share times the primary requests of
+// that period, plus Burst, plus one Charge.
 type Budget struct {
-	earn  int64
-	most  int64
-	round int64
-	units atomic.Int64
+	share           int64
+	burst           int64
+	burstPerPrimary int64
+	units           atomic.Int64
 }
 
-// New makes a budget with a full bucket.
+// New returns a budget with a full bucket.
 func New(cfg Config) *Budget {
 	bu := &Budget{
-		earn:  int64(cfg.Share * scale),
-		most:  int64(cfg.Burst * scale),
-		round: int64(cfg.Rounds * scale),
+		share:           int64(cfg.Share * scale),
+		burst:           int64(cfg.Burst * scale),
+		burstPerPrimary: int64(cfg.Rounds * scale),
 	}
-	bu.units.Store(bu.most)
+	bu.units.Store(bu.burst)
 	return bu
 }
 
-// Earn credits n primaries, which are sent as one round.
+// Earn credits n primary requests, which are sent together as one round.
 func (bu *Budget) Earn(n int) {
-	units := bu.earn * int64(n)
-	most := max(bu.most, bu.round*int64(n))
+	units := bu.share * int64(n)
+	most := max(bu.burst, bu.burstPerPrimary*int64(n))
 	after := bu.units.Add(units)
 	if after > most {
-		// Another goroutine may spend in between; taking off no more than
-		// was just put in never takes a token that was there before.
+		// Another goroutine may spend in between. Removing at most the units added above never
+		// removes tokens that were there before.
 		bu.units.Add(-min(after-most, units))
 	}
 }
 
-// Credit adds tokens that were earned by the passing of time.
+// Credit adds tokens that are earned over time.
 func (bu *Budget) Credit(tokens float64) {
 	units := int64(tokens * scale)
 	after := bu.units.Add(units)
-	if after > bu.most {
-		bu.units.Add(-min(after-bu.most, units))
+	if after > bu.burst {
+		bu.units.Add(-min(after-bu.burst, units))
 	}
 }
 
@@ -78,28 +77,28 @@
 	bu.units.Add(scale)
 }
 
-// Spend takes one token and tells whether there was one.
+// Spend takes one token and tells whether one was available.
 func (bu *Budget) Spend() bool {
 	for {
 		have := bu.units.Load()
 		if have < scale {
 			return false
 		}
-		// Taking first and putting back where there was none would for a
-		// moment hide tokens from others.
+		// Subtracting first and adding back on failure would temporarily hide tokens from other
+		// goroutines.
 		if bu.units.CompareAndSwap(have, have-scale) {
 			return true
 		}
 	}
 }
 
-// Charge takes n tokens, also where that leaves a debt that later primaries
-// have to earn back.
+// Charge takes n tokens even if fewer are available. The debt has to be earned back by later
+// primary requests.
 func (bu *Budget) Charge(n int) {
 	bu.units.Add(-int64(n) * scale)
 }
 
-// Tokens is the number of whole tokens left, below 0 in debt.
+// Tokens returns the number of whole tokens left; it is negative in debt.
 func (bu *Budget) Tokens() int {
 	return int(bu.units.Load() / scale)
 }
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -11,9 +11,9 @@
 	"laburnumvane/core/budget"
 )
 
-// However primaries and extra work interleave, the extra work stays within its
-// share of the primaries so far, plus the burst.
-func TestBudgetBoundsExtraWork(t *testing.T) {
+// For any interleaving of primary and extra requests, the extra ones stay within their share of
+// the primary ones so far, plus the burst.
+func TestBudgetLimitsExtraRequests(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := rapid.SampledFrom([]float64{0, 0.03, 0.1, 1}).Draw(rt, "share")
 		burst := float64(rapid.IntRange(0, 20).Draw(rt, "burst"))
@@ -30,7 +30,7 @@
 				extra++
 			}
 			if float64(extra) > share*float64(primaries)+burst {
-				rt.Fatalf("%d extra for %d primaries", extra, primaries)
+				rt.Fatalf("%d extra requests for %d primary ones", extra, primaries)
 			}
 		}
 	})
@@ -42,37 +42,37 @@
 	bu.Charge(4)
 	is.Equal(bu.Tokens(), -2)
 	bu.Earn(4)
-	is.Equal(bu.Spend(), false) // the debt is paid, but nothing is left
+	is.Equal(bu.Spend(), false) //  the debt is paid, but no token is left
 	bu.Earn(2)
 	is.Equal(bu.Spend(), true)
 	bu.Refund()
 	is.Equal(bu.Tokens(), 1)
 }
 
-// Many goroutines spend at once: no token is given out twice, and none is lost.
-func TestBudgetFromManyGoroutines(t *testing.T) {
+// Many goroutines spend at once: no token is granted twice, and none is lost.
+func TestBudgetConcurrentSpend(t *testing.T) {
 	is := is.New(t)
 	const tokens, workers = 1000, 8
 	bu := budget.New(budget.Config{Share: 1, Burst: tokens})
-	var got atomic.Int64
+	var granted atomic.Int64
 	var wg sync.WaitGroup
 	for range workers {
 		wg.Go(func() {
 			for range tokens {
 				if bu.Spend() {
-					got.Add(1)
+					granted.Add(1)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	is.Equal(got.Load(), int64(tokens))
+	is.Equal(granted.Load(), int64(tokens))
 	is.Equal(bu.Tokens(), 0)
 }
 
-// A round of 270 sub-requests needs more room than one of ten: the bucket grows
-// with it, but only as primaries earn.
-func TestBudgetGrowsWithTheRound(t *testing.T) {
+// A round of 270 sub-requests needs a larger bucket than one of ten: the maximum grows with the
+// round, but tokens still have to be earned.
+func TestBudgetGrowsWithRound(t *testing.T) {
 	is := is.New(t)
 	bu := budget.New(budget.Config{Share: 0.1, Burst: 50, Rounds: 5})
 	bu.Earn(10)
@@ -82,5 +82,5 @@
 	}
 	is.Equal(bu.Tokens(), 1350)
 	bu.Earn(10)
-	is.Equal(bu.Tokens(), 1350) // a small round adds nothing above its own bound, and takes nothing
+	is.Equal(bu.Tokens(), 1350) //  a small round adds nothing beyond its own maximum, and removes nothing
 }
--- a/core/budget/example_test.go
+++ b/core/budget/example_test.go
@@ -6,8 +6,8 @@
 	"laburnumvane/core/budget"
 )
 
-// A search of 270 shards earns eight hedges at three per cent; the burst is
-// there for the first searches after a quiet time.
+// A search of 270 shards earns eight hedges at three per cent. The burst serves the first
+// searches after a quiet period.
 func Example() {
 	bu := budget.New(budget.Config{Share: 0.03, Burst: 20})
 	for bu.Spend() {
