--- a/core/valve/valve.go
+++ b/core/valve/valve.go
@@ -1,79 +1,77 @@
-// Package valve decides which share of requests is let in while the servers that
-// all of them need have too little room.
+// Package valve sheds load: it determines the share of requests to admit while the servers that
+// all of them need lack capacity.
 //
 // # Usage
 //
 //	va := valve.New(valve.Config{})
 //	if !va.Admit(level, rnd.Float64()) {
-//		// refuse, with the time to come back
+//		// refuse, with a Retry-After
 //	}
 //	va.Note(short)
 //
 // # Why
 //
-// A request over many shards fails where two of them have no room for it. If
-// each of ten shards takes four of five requests and lets the fifth go, as
-// chance has it, nine of ten shards answer in one request of three; if one
-// request of five is refused before it is sent, the other four are answered. So
-// what cannot be served is refused as a whole, at once, and costs no server
-// anything.
+// A request over many shards fails if two of them have no capacity for it. If each of ten shards
+// accepts four of five requests and refuses the fifth at random, only one request in three gets
+// answers from at least nine shards. If instead one request in five is refused before it is sent,
+// the other four are answered. So requests that cannot be served are refused as a whole, at once,
+// and at no cost to the servers.
 //
 // # How
 //
-// Each request that came out late or not at all for want of room closes the valve
-// by a share; each other one opens it by a step. Both balance where about one
-// request in five is short of room. Failures of other kinds say nothing: letting
-// in less would not mend them.
+// Each request that was late or failed for lack of capacity reduces the admitted share by a
+// factor; each other one increases it by a step. The two balance when about one request in five
+// lacks capacity. Failures of other kinds do not count, since admitting fewer requests would not
+// prevent them.
 //
-// A Valve may be used from many goroutines.
+// A Valve is safe for concurrent use.
 package valve
 
 import "sync"
 
 // Defaults of a Config.
 const (
-	// DefaultStep and DefaultCut open and close the valve within a second or
-	// two at twenty requests a second.
+	// DefaultStep and DefaultCut move the share between its bounds within one or two seconds at
+	// twenty requests per second.
 	DefaultStep = 0.01
 	DefaultCut  = 0.05
-	// DefaultStreak is how many requests in a row have to find room before each
-	// further one opens the valve by streakTimes the step before: while one in
-	// five is short of room that is rare, and when the shortage has ended the
-	// valve is open after some twenty requests in place of seventy.
+	// DefaultStreak is how many consecutive requests have to find capacity before each further
+	// step is streakFactor times the previous one. While one request in five lacks capacity such
+	// streaks are rare. After the shortage, the share is back to 1 after about twenty requests
+	// instead of seventy.
 	DefaultStreak = 5
-	streakTimes   = 1.5
-	// DefaultLeast is what is always let in, to see when there is room again,
-	// and so that no kind of request is starved. Where requests fail because a
-	// shard is slow, letting in less mends nothing: with two slow shards of 36
-	// for five of forty seconds, 62 VMs answered 82 of 100 requests in time with
-	// 0.3, and 85 with 0.5.
-	DefaultLeast = 0.5
+	streakFactor  = 1.5
+	// DefaultMinShare is the share that is always admitted, to detect when there is capacity
+	// again, and so that no kind of request is starved. If requests fail because one shard is
+	// slow, admitting fewer does not help: with two of 36 shards slow for five of forty seconds,
+	// 62 VMs answered 82 of 100 requests in time with 0.3, and 85 with 0.5.
+	DefaultMinShare = 0.5
 )
 
-// Config sets a valve; fields that are 0 take the defaults.
+// Config holds the parameters of a Valve; fields that are 0 take the defaults.
 type Config struct {
-	// Step is what a request that found room opens, as a share of all.
+	// Step is by how much a request that found capacity increases the admitted share.
 	Step float64
-	// Cut is the share by which one that did not closes it.
+	// Cut is the fraction of the admitted share that a request without capacity takes off.
 	Cut float64
-	// Streak is how many in a row find room before the steps grow.
+	// Streak is the number of consecutive requests that find capacity before the steps grow.
 	Streak int
-	// Least is the share that is always let in.
-	Least float64
+	// MinShare is the share that is always admitted.
+	MinShare float64
 }
 
-// Valve is the share of requests let in.
+// Valve holds the admitted share of requests.
 type Valve struct {
-	cfg  Config
-	mu   sync.Mutex
-	open float64
-	// streak counts the requests since the last one that found no room, step is
-	// what the next one opens.
+	cfg   Config
+	mu    sync.Mutex
+	share float64
+	// streak counts the requests since the last one that lacked capacity; step is the next
+	// increase.
 	streak int
 	step   float64
 }
 
-// New makes an open valve.
+// New returns a valve that admits all requests.
 func New(cfg Config) *Valve {
 	if cfg.Step == 0 {
 		cfg.Step = DefaultStep
@@ -84,45 +82,45 @@
 	if cfg.Streak == 0 {
 		cfg.Streak = DefaultStreak
 	}
-	if cfg.Least == 0 {
-		cfg.Least = DefaultLeast
+	if cfg.MinShare == 0 {
+		cfg.MinShare = DefaultMinShare
 	}
-	return &Valve{cfg: cfg, open: 1, step: cfg.Step}
+	return &Valve{cfg: cfg, share: 1, step: cfg.Step}
 }
 
-// Admit tells whether a request is let in. The level is 0 for the most urgent
-// kind that shares the servers; others yield first. The draw is uniform within 0
-// to 1.
+// Admit tells whether to admit a request. Level is 0 for the most urgent kind that shares the
+// servers; less urgent kinds are refused first. Draw is a uniform random number in [0, 1).
 func (va *Valve) Admit(level int, draw float64) bool {
 	va.mu.Lock()
 	defer va.mu.Unlock()
-	share := va.open
+	admitted := va.share
 	if level > 0 {
-		share *= va.open
+		admitted *= va.share
 	}
-	return draw < max(share, va.cfg.Least)
+	return draw < max(admitted, va.cfg.MinShare)
 }
 
-// Note takes in how a request that was let in came out.
+// Note records the result of an admitted request; short is set if it was late or failed for lack
+// of capacity.
 func (va *Valve) Note(short bool) {
 	va.mu.Lock()
 	defer va.mu.Unlock()
 	if short {
-		va.open *= 1 - va.cfg.Cut
+		va.share *= 1 - va.cfg.Cut
 		va.streak, va.step = 0, va.cfg.Step
 	} else {
-		va.open += va.step
+		va.share += va.step
 		if va.streak++; va.streak > va.cfg.Streak {
-			va.step *= streakTimes
+			va.step *= streakFactor
 		}
 	}
-	va.open = min(1, max(va.open, va.cfg.Least))
+	va.share = min(1, max(va.share, va.cfg.MinShare))
 	va.step = min(1, va.step)
 }
 
-// Open is the share of the most urgent requests that is let in, 0 to 1.
+// Open returns the share of the most urgent requests that is admitted, 0 to 1.
 func (va *Valve) Open() float64 {
 	va.mu.Lock()
 	defer va.mu.Unlock()
-	return va.open
+	return va.share
 }
