--- a/core/cover/cover.go
+++ b/core/cover/cover.go
@@ -1,77 +1,78 @@
-// Package cover chooses from which other data centres a request over many shards
-// gets the parts that its own has no sound server for.
+// Package cover selects the other data centres from which a request over many shards gets the
+// parts that its own data centre has no healthy server for.
 //
 // # Usage
 //
 //	var pl cover.Planner
 //	for shard := range shards {
-//		pl.Need(shard, places)
+//		pl.Need(shard, dataCentres)
 //	}
 //	chosen := pl.Choose(5, rnd.Float64)
-//	place, ok := chosen[shard]
+//	dataCentre, ok := chosen[shard]
 //
 // # Why
 //
-// The parts of one data centre come as one joined answer, which is a quarter of the
-// bytes of single ones, but only where there are enough of them to be worth the hop.
-// Drawn shard by shard, two dozen far parts fall on six data centres, four in each,
-// and hardly any are joined. Taken where most are together, they fall on three.
+// The parts from one data centre are sent as one merged answer, which takes a quarter of the
+// bytes of single ones, but only if there are enough of them to justify the additional hop. If
+// the data centre is drawn for each shard separately, two dozen remote parts are spread over six
+// data centres, four each, and hardly any are merged. Selecting the data centres with the most
+// shards needs only three of them.
 //
-// The largest group goes first, then the largest of what is left. The sizes are drawn
-// within a bound, so that the VMs of a data centre do not all lean on the same other
-// one.
+// Selection is greedy: the largest group first, then the largest among the remaining shards.
+// Sizes are randomised within a bound, so that the VMs of one data centre do not all send their
+// requests to the same other one.
 package cover
 
 import "sort"
 
-// spread is the share by which a data centre's count is raised at most when the
-// largest is chosen: those of about the same size take turns.
-const spread = 0.5
+// sizeNoise is the largest share by which a data centre's size is randomly raised, so that data
+// centres of similar size are selected in turn.
+const sizeNoise = 0.5
 
-// Planner gathers what is needed; the zero value is ready. It serves one request and
-// is not safe for concurrent use.
+// Planner collects the needed shards of one request; the zero value is ready to use. It is not
+// safe for concurrent use.
 type Planner struct {
-	// byPlace lists the shards that each data centre could serve.
-	byPlace map[string][]int
+	// byDataCentre lists the shards that each data centre has a healthy server for.
+	byDataCentre map[string][]int
 }
 
-// Need tells which data centres have a sound server of a shard that has none here.
-// One that is named twice counts once.
-func (pl *Planner) Need(shard int, places []string) {
-	if pl.byPlace == nil {
-		pl.byPlace = make(map[string][]int)
+// Need adds a shard that has no healthy server in this data centre, with the data centres that
+// have one. Duplicates count once.
+func (pl *Planner) Need(shard int, dataCentres []string) {
+	if pl.byDataCentre == nil {
+		pl.byDataCentre = make(map[string][]int)
 	}
-	for _, place := range places {
-		shards := pl.byPlace[place]
+	for _, dataCentre := range dataCentres {
+		shards := pl.byDataCentre[dataCentre]
 		if n := len(shards); n > 0 && shards[n-1] == shard {
 			continue
 		}
-		pl.byPlace[place] = append(shards, shard)
+		pl.byDataCentre[dataCentre] = append(shards, shard)
 	}
 }
 
-// Choose assigns shards to data centres in groups of at least so many. A shard that
-// fits no such group is not assigned. The draw is uniform within 0 to 1.
-func (pl *Planner) Choose(least int, draw func() float64) map[int]string {
-	places := make([]string, 0, len(pl.byPlace))
-	for place := range pl.byPlace {
-		places = append(places, place)
+// Choose assigns shards to data centres in groups of at least the given size. Shards that fit no
+// such group are not assigned. Draw returns uniform random numbers in [0, 1).
+func (pl *Planner) Choose(minSize int, draw func() float64) map[int]string {
+	dataCentres := make([]string, 0, len(pl.byDataCentre))
+	for dataCentre := range pl.byDataCentre {
+		dataCentres = append(dataCentres, dataCentre)
 	}
-	// The order of a map would make equal draws choose differently.
-	sort.Strings(places)
+	// The iteration order of a map would make equal draws give different results.
+	sort.Strings(dataCentres)
 	chosen := make(map[int]string)
 	for {
 		best, size := "", 0.0
-		for _, place := range places {
-			left := count(pl.byPlace[place], chosen)
-			if weighed := float64(left) * (1 + spread*draw()); left >= least && weighed > size {
-				best, size = place, weighed
+		for _, dataCentre := range dataCentres {
+			unassigned := countUnassigned(pl.byDataCentre[dataCentre], chosen)
+			if weight := float64(unassigned) * (1 + sizeNoise*draw()); unassigned >= minSize && weight > size {
+				best, size = dataCentre, weight
 			}
 		}
 		if best == "" {
 			return chosen
 		}
-		for _, shard := range pl.byPlace[best] {
+		for _, shard := range pl.byDataCentre[best] {
 			if _, done := chosen[shard]; !done {
 				chosen[shard] = best
 			}
@@ -79,13 +80,13 @@
 	}
 }
 
-// count is how many shards are not assigned yet.
-func count(shards []int, chosen map[int]string) int {
-	left := 0
+// countUnassigned returns how many of the shards are not assigned yet.
+func countUnassigned(shards []int, chosen map[int]string) int {
+	unassigned := 0
 	for _, shard := range shards {
 		if _, done := chosen[shard]; !done {
-			left++
+			unassigned++
 		}
 	}
-	return left
+	return unassigned
 }
