--- a/core/merge/example_test.go
+++ b/core/merge/example_test.go
@@ -6,8 +6,7 @@
 	"laburnumvane/core/merge"
 )
 
-// Two shards answer while a register is repartitioned: one member stands on
-// both.
+// Two shards answer while a register is being repartitioned: one member is on both.
 func Example() {
 	mg := merge.New(merge.Config{Limit: 2})
 	mg.Add([]merge.Hit{{Member: "ada", Key: "1"}, {Member: "ben", Key: "3"}}, false)
--- a/core/merge/merge.go
+++ b/core/merge/merge.go
@@ -1,5 +1,5 @@
-// Package merge joins the hits of many shards into one ordered, bounded list
-// that shows each member once.
+// Package merge combines the hits of many shards into one ordered list of limited length that
+// contains each member once.
 //
 // # Usage
 //
@@ -7,11 +7,10 @@
 //	mg.Add(hits, more)
 //	found, truncated := mg.Result()
 //
-// Hits are ordered by key, then member. Of a member that came more than once the
-// first in that order stays: while a register is repartitioned a member can
-// stand on two shards, under another key on each. The list is the same in
-// whatever order the shards answer. Memory is bounded by twice the limit, not by
-// what the shards send.
+// Hits are ordered by key, then by member. Of several hits for a member the first in this order
+// is kept: while a register is being repartitioned, a member can be on two shards, with different
+// keys. The list does not depend on the order in which the shards answer. Memory is bounded by
+// twice the limit, however many hits the shards send.
 package merge
 
 import (
@@ -20,42 +19,41 @@
 	"slices"
 )
 
-// Hit is one member found, in the form in which it also crosses the wire.
+// Hit is one member found; it is also the wire format.
 type Hit struct {
 	Member string          `json:"member"`
 	Key    string          `json:"key,omitempty"`
 	Fields json.RawMessage `json:"fields,omitempty"`
 }
 
-// Config bounds a merger.
+// Config holds the parameters of a Merger.
 type Config struct {
-	// Limit is the most hits kept.
+	// Limit is the maximum number of hits in the result.
 	Limit int
 }
 
-// Merger collects hits of one search under one snapshot.
+// Merger collects the hits of one search on one snapshot. It is not safe for concurrent use.
 type Merger struct {
 	cfg  Config
 	hits []Hit
-	// full is set once the first Limit hits are ordered and distinct: only a
-	// hit that goes before the last of them can matter.
+	// full is set once the first Limit hits are sorted and distinct: from then on, only a hit
+	// that precedes the last of them matters.
 	full      bool
 	truncated bool
 }
 
-// New makes an empty merger.
+// New returns an empty merger.
 func New(cfg Config) *Merger {
 	mg := Make(cfg)
 	return &mg
 }
 
-// Make is New for a Merger held by value.
+// Make is like New, for a Merger that is held by value.
 func Make(cfg Config) Merger {
 	return Merger{cfg: cfg}
 }
 
-// Add takes the hits of one shard. More tells that the shard had others beyond
-// its own limit.
+// Add adds the hits of one shard. More is set if the shard had further hits beyond its own limit.
 func (mg *Merger) Add(hits []Hit, more bool) {
 	if more {
 		mg.truncated = true
@@ -71,20 +69,19 @@
 		return
 	}
 	if mg.full && compare(hi, mg.hits[mg.cfg.Limit-1]) >= 0 {
-		mg.leaveOut(hi)
+		mg.skip(hi)
 		return
 	}
 	mg.hits = append(mg.hits, hi)
-	// Ordering at twice the limit keeps memory bounded at the cost of one
-	// sort for each limit's worth of hits.
+	// Sorting only at twice the limit bounds the memory, at the cost of one sort per Limit hits.
 	if len(mg.hits) >= 2*mg.cfg.Limit {
 		mg.compact()
 	}
 }
 
-// leaveOut drops a hit that comes after a full list. Only a member that is not
-// shown already makes the list a truncated one.
-func (mg *Merger) leaveOut(hi Hit) {
+// skip drops a hit that sorts after a full list. The list becomes truncated only if the hit's
+// member is not in it already.
+func (mg *Merger) skip(hi Hit) {
 	if mg.truncated {
 		return
 	}
@@ -115,27 +112,26 @@
 	mg.full = len(mg.hits) == mg.cfg.Limit && mg.cfg.Limit > 0
 }
 
-// fewHits is the number up to which comparing each with each is cheaper than a
-// map.
-const fewHits = 16
+// maxPairwise is the number of hits up to which pairwise comparison is cheaper than a map.
+const maxPairwise = 16
 
 // distinct keeps the first hit of each member.
 func distinct(hits []Hit) []Hit {
-	if len(hits) <= fewHits {
-		return distinctFew(hits)
+	if len(hits) <= maxPairwise {
+		return distinctPairwise(hits)
 	}
 	seen := make(map[string]struct{}, len(hits))
 	return slices.DeleteFunc(hits, func(hi Hit) bool {
-		_, double := seen[hi.Member]
+		_, duplicate := seen[hi.Member]
 		seen[hi.Member] = struct{}{}
-		return double
+		return duplicate
 	})
 }
 
-func distinctFew(hits []Hit) []Hit {
+func distinctPairwise(hits []Hit) []Hit {
 	kept := hits[:0]
 	for _, hi := range hits {
-		if !holds(kept, hi.Member) {
+		if !containsMember(kept, hi.Member) {
 			kept = append(kept, hi)
 		}
 	}
@@ -143,7 +139,7 @@
 	return kept
 }
 
-func holds(hits []Hit, member string) bool {
+func containsMember(hits []Hit, member string) bool {
 	for i := range hits {
 		if hits[i].Member == member {
 			return true
--- a/core/merge/merge_test.go
+++ b/core/merge/merge_test.go
@@ -26,9 +26,9 @@
 		{name: "sameMemberTwice", limit: 3, shards: [][]merge.Hit{{hit("a", "1")}, {hit("a", "1")}}, want: "a1"},
 		{name: "sameMemberOtherKey", limit: 3, shards: [][]merge.Hit{{hit("a", "9")}, {hit("b", "5")}, {hit("a", "1")}}, want: "a1 b5"},
 		{name: "beyondLimit", limit: 1, shards: [][]merge.Hit{{hit("a", "1"), hit("b", "2")}}, want: "a1", truncated: true},
-		{name: "onlyADoubleBeyondLimit", limit: 1, shards: [][]merge.Hit{{hit("a", "1"), hit("a", "1")}, {hit("a", "9")}}, want: "a1"},
+		{name: "onlyADuplicateBeyondLimit", limit: 1, shards: [][]merge.Hit{{hit("a", "1"), hit("a", "1")}, {hit("a", "9")}}, want: "a1"},
 		{name: "shardHadMore", limit: 3, shards: [][]merge.Hit{{hit("a", "1")}}, more: true, want: "a1", truncated: true},
-		{name: "noneWanted", limit: 0, shards: [][]merge.Hit{{hit("a", "1")}}, truncated: true},
+		{name: "limitZero", limit: 0, shards: [][]merge.Hit{{hit("a", "1")}}, truncated: true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -44,10 +44,9 @@
 	}
 }
 
-// The list shows the first Limit members of all hits, and truncated says exactly
-// whether there were others, however few of them are kept on the way and in
-// whatever order the shards answer.
-func TestMergerKeepsTheFirst(t *testing.T) {
+// The result has the first Limit members of all hits, and truncated tells exactly whether there
+// were others, however few hits are kept in between and in whatever order the shards answer.
+func TestMergerKeepsFirst(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		limit := rapid.IntRange(1, 30).Draw(rt, "limit")
 		hits := rapid.SliceOf(rapid.Custom(func(rt *rapid.T) merge.Hit {
@@ -62,7 +61,7 @@
 		got, truncated := mg.Result()
 		want := firstOfEach(hits)
 		if truncated != (len(want) > limit) {
-			rt.Fatalf("truncated is %v with %d members for %d", truncated, len(want), limit)
+			rt.Fatalf("truncated is %v with %d distinct members and a limit of %d", truncated, len(want), limit)
 		}
 		want = want[:min(limit, len(want))]
 		if text(got) != text(want) {
@@ -71,7 +70,7 @@
 	})
 }
 
-// firstOfEach is what a merger without bounds would do.
+// firstOfEach is the reference implementation, without bounds on memory.
 func firstOfEach(hits []merge.Hit) []merge.Hit {
 	sorted := slices.Clone(hits)
 	slices.SortFunc(sorted, func(a, b merge.Hit) int {
@@ -103,22 +102,22 @@
 	return out
 }
 
-// BenchmarkMerger is the cost of one hit: 270 shards send 100 each, 100 are kept.
+// BenchmarkMerger measures the cost per hit: 270 shards send 100 each, 100 are kept.
 func BenchmarkMerger(b *testing.B) {
-	const shards, each = 270, 100
+	const shards, perShard = 270, 100
 	parts := make([][]merge.Hit, shards)
 	for i := range parts {
-		for k := range each {
+		for k := range perShard {
 			parts[i] = append(parts[i], hit(fmt.Sprintf("m%d.%d", i, k), fmt.Sprintf("%05d", k*shards+i)))
 		}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		mg := merge.New(merge.Config{Limit: each})
+		mg := merge.New(merge.Config{Limit: perShard})
 		for _, hits := range parts {
 			mg.Add(hits, true)
 		}
 		mg.Result()
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*shards*each), "ns/hit")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*shards*perShard), "ns/hit")
 }
