--- a/core/poison/doc.go
+++ b/core/poison/doc.go
@@ -1,5 +1,5 @@
-// Package poison tells requests apart that crash the servers which run them, and keeps what
-// is known of each.
+// Package poison identifies requests that crash the servers which run them, and records what this
+// VM knows about each.
 //
 // # Usage
 //
@@ -10,8 +10,8 @@
 //	case poison.Suspect: // try it at one server first
 //	}
 //
-// An attempt that a server broke is told with Broken, a server's end with Ended, in any
-// order; a trial stands between BeginTrial and EndTrial. Answered clears a request. What the
-// updates that come of it say is logged, and told to other VMs where Share is set; they take
-// it in with Learn, or sooner with Hint.
+// Call Broken for an attempt whose connection the server ended, and Ended once a server's process
+// has ended, in any order; enclose a trial in BeginTrial and EndTrial. Answered clears a request.
+// The updates that these return are to be logged, and sent to other VMs where Share is set; those
+// pass them to Learn, or, if they arrive as a hint ahead of the store, to Hint.
 package poison
--- a/core/poison/error.go
+++ b/core/poison/error.go
@@ -6,25 +6,25 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind says what went wrong.
+// Kind is the kind of an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindFormat: a text is no fingerprint.
+	// KindFormat: the text is not a valid fingerprint or record.
 	KindFormat Kind = "format"
 )
 
-var errLength = errors.New("it has another length")
+var errLength = errors.New("length is not 16 bytes")
 
-// Error is a text that cannot be read.
+// Error is returned for a text that cannot be parsed.
 type Error struct {
 	Op   string
 	Kind Kind
 	Err  error
 }
 
-// Error gives operation and kind on one line.
+// Error formats operation, kind and cause on one line.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %v", e.Op, e.Kind, e.Err) }
 
 // Unwrap returns the cause.
--- a/core/poison/record.go
+++ b/core/poison/record.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// State is what is thought of a request.
+// State is what is known about a request.
 type State uint8
 
 // States.
 const (
-	// Clear: nothing speaks against it.
+	// Clear: nothing is known against the request.
 	Clear State = iota
-	// Suspect: servers ended under it and none answered it; it goes to one server first.
+	// Suspect: servers crashed under it and none answered it; it is sent to one server first.
 	Suspect
 	// Blocked: it crashes servers, and is refused.
 	Blocked
 )
 
-// String is the state's name in logs and counters.
+// String returns the state's name in logs and counters.
 func (st State) String() string {
 	switch st {
 	case Suspect:
@@ -29,13 +29,13 @@
 	return "clear"
 }
 
-// Record is what is known of a request, as VMs tell each other.
+// Record is what is known about a request, in the form in which VMs share it.
 type Record struct {
 	Fingerprint Fingerprint
-	// Trials names the servers' processes that ended under trials.
+	// Trials names the server processes that crashed during trials of the request.
 	Trials []string
-	// Ends counts the servers that ended under it, and Repeats those of them that ended under
-	// a trial a while after the one before.
+	// Ends counts the servers that crashed under the request, and Repeats those that crashed
+	// during a trial at least a second after the previous one that counted.
 	Ends    int
 	Repeats int
 }
@@ -44,70 +44,72 @@
 type Update struct {
 	Record
 	State State
-	// Share is set if other VMs should hear of it.
+	// Share is set if other VMs have to be informed.
 	Share bool
-	// Cleared is set if the record is gone: a server answered the request.
+	// Cleared is set if the record was removed because a server answered the request.
 	Cleared bool
 }
 
-// record is what this VM knows of a request.
+// record is what this VM knows about a request.
 type record struct {
-	// ends counts the servers that ended under it, as far as this VM knows, and repeats those
-	// under a trial repeatAfter or more after the last one that counted, at endedAt.
-	ends    int
-	repeats int
-	endedAt time.Duration
-	trials  []string
-	// unserved is set once an arrival ended without any server's answer.
+	// crashes counts the servers that crashed under the request, as far as this VM knows.
+	// repeatCrashes counts those during a trial, minRepeatInterval or more after lastCounted, the
+	// time of the previous one that counted.
+	crashes       int
+	repeatCrashes int
+	lastCounted   time.Duration
+	trials        []string
+	// unserved is set once an arrival ended without an answer from any server.
 	unserved bool
-	// seen is when it came last, or a server ended under it.
-	seen time.Duration
-	// hinted is until when another VM's word alone makes it a suspect.
-	hinted time.Duration
-	// shared is when other VMs were told, or told this one; ever if they were.
-	shared time.Duration
-	ever   bool
+	// lastSeen is when the request last arrived, or a server crashed under it.
+	lastSeen time.Duration
+	// hintedUntil is until when hints from other VMs alone make it suspect.
+	hintedUntil time.Duration
+	// sharedAt is when this VM last informed others or was informed; everShared is set if it ever
+	// was.
+	sharedAt   time.Duration
+	everShared bool
 }
 
-// crashes tells whether what is known is enough to block the request.
-func (re *record) crashes() bool {
-	return len(re.trials) >= blockEnds || re.repeats >= blockRepeats
+// shouldBlock tells whether the evidence is sufficient to block the request.
+func (re *record) shouldBlock() bool {
+	return len(re.trials) >= blockTrialCrashes || re.repeatCrashes >= blockRepeatCrashes
 }
 
-// count takes in a server's end.
-func (re *record) count(now time.Duration, how Place) {
-	re.ends++
+// countCrash records a crash of a server.
+func (re *record) countCrash(now time.Duration, kind Place) {
+	re.crashes++
 	switch {
-	case re.ends == 1:
-		re.endedAt = now
-	case how != Among && now-re.endedAt >= repeatAfter:
-		re.repeats++
-		re.endedAt = now
+	case re.crashes == 1:
+		re.lastCounted = now
+	case kind != Among && now-re.lastCounted >= minRepeatInterval:
+		re.repeatCrashes++
+		re.lastCounted = now
 	}
 }
 
-// learn takes in how many servers ended, as another VM knows.
-func (re *record) learn(now time.Duration, rd Record) {
-	if re.ends == 0 {
-		re.endedAt = now
+// merge records the counts known to another VM.
+func (re *record) merge(now time.Duration, rd Record) {
+	if re.crashes == 0 {
+		re.lastCounted = now
 	}
-	re.ends, re.repeats = max(re.ends, rd.Ends), max(re.repeats, rd.Repeats)
+	re.crashes, re.repeatCrashes = max(re.crashes, rd.Ends), max(re.repeatCrashes, rd.Repeats)
 }
 
 func (re *record) state(now time.Duration) State {
 	switch {
-	case re.crashes() && now-re.seen < BlockFor:
+	case re.shouldBlock() && now-re.lastSeen < BlockFor:
 		return Blocked
-	case re.ends > 0 || len(re.trials) > 0 || re.ever || now < re.hinted:
+	case re.crashes > 0 || len(re.trials) > 0 || re.everShared || now < re.hintedUntil:
 		return Suspect
 	}
 	return Clear
 }
 
-// update is a record as it stands. The caller holds the lock.
+// update returns the current state of a record. The caller holds the lock.
 func (tb *Table) update(now time.Duration, fp Fingerprint, re *record) Update {
 	return Update{
-		Record: Record{Fingerprint: fp, Trials: slices.Clone(re.trials), Ends: re.ends, Repeats: re.repeats},
+		Record: Record{Fingerprint: fp, Trials: slices.Clone(re.trials), Ends: re.crashes, Repeats: re.repeatCrashes},
 		State:  re.state(now),
 	}
 }
--- a/core/poison/sim_flight_test.go
+++ b/core/poison/sim_flight_test.go
@@ -9,193 +9,193 @@
 )
 
 type simAttempt struct {
-	fl     *simFlight
-	k      int
-	trial  bool
-	closed bool
+	arrival *simArrival
+	k       int
+	trial   bool
+	closed  bool
 }
 
-// simFlight is one arrival at one VM.
-type simFlight struct {
-	fw      *fleet
-	vm      *simVM
-	fp      poison.Fingerprint
-	crashes bool
-	suspect bool
-	tries   int
-	began   time.Duration
-	mc      *fanout.Machine
-	sent    map[int]*simAttempt
-	seen    bool
-	replied bool
-	broken  int
-	hinted  bool
-	over    bool
+// simArrival is one arrival of a request at one VM.
+type simArrival struct {
+	ft            *fleet
+	vm            *simVM
+	fp            poison.Fingerprint
+	crashes       bool
+	suspect       bool
+	retriesLeft   int
+	arrivedAt     time.Duration
+	mc            *fanout.Machine
+	sent          map[int]*simAttempt
+	reachedServer bool
+	answered      bool
+	broken        int
+	hinted        bool
+	done          bool
 }
 
-// Pick prefers the replica that stands near, as one data centre's VMs do; for a trial it passes
-// over servers at which another request is tried.
-func (fl *simFlight) Pick(_ time.Duration, ask fanout.Ask) (*origin.Upstream, bool) {
+// Pick prefers the nearby replica, as VMs of one data centre do. For a trial it avoids servers on
+// which another request is tried.
+func (ar *simArrival) Pick(_ time.Duration, ask fanout.Ask) (*origin.Upstream, bool) {
 	if ask.Trial {
-		if up, ok := fl.pick(ask.Shard, ask.Tried, true); ok {
+		if up, ok := ar.pick(ask.Shard, ask.Tried, true); ok {
 			return up, true
 		}
 	}
-	return fl.pick(ask.Shard, ask.Tried, false)
+	return ar.pick(ask.Shard, ask.Tried, false)
 }
 
-func (fl *simFlight) pick(shard int, tried []*origin.Upstream, alone bool) (*origin.Upstream, bool) {
-	var free []*origin.Upstream
-	for _, sv := range fl.fw.servers[shard] {
-		used := fl.vm.away[sv.up.ID] || alone && fl.vm.table.OnTrial(sv.up.Process())
+func (ar *simArrival) pick(shard int, tried []*origin.Upstream, exclusive bool) (*origin.Upstream, bool) {
+	var candidates []*origin.Upstream
+	for _, sv := range ar.ft.servers[shard] {
+		excluded := ar.vm.unreachable[sv.up.ID] || exclusive && ar.vm.table.OnTrial(sv.up.Process())
 		for _, up := range tried {
-			used = used || up.ID == sv.up.ID
+			excluded = excluded || up.ID == sv.up.ID
 		}
-		if used {
+		if excluded {
 			continue
 		}
-		if sv.replica == fl.vm.index%fl.fw.sh.replicas {
+		if sv.replica == ar.vm.index%ar.ft.cfg.replicas {
 			return sv.up, true
 		}
-		free = append(free, sv.up)
+		candidates = append(candidates, sv.up)
 	}
-	if len(free) == 0 {
+	if len(candidates) == 0 {
 		return nil, false
 	}
-	return free[fl.fw.rnd.IntN(len(free))], true
+	return candidates[ar.ft.rnd.IntN(len(candidates))], true
 }
 
-// Spend grants every token: what costs servers must not be hidden by a lack of them.
-func (fl *simFlight) Spend(int, bool) bool { return true }
+// Spend grants every token, so that a lack of tokens does not limit the number of crashes.
+func (ar *simArrival) Spend(int, bool) bool { return true }
 
-func (fl *simFlight) step(ev fanout.Event) {
-	if !fl.over {
-		fl.perform(fl.mc.Step(fl.fw.now, ev))
+func (ar *simArrival) step(ev fanout.Event) {
+	if !ar.done {
+		ar.perform(ar.mc.Step(ar.ft.now, ev))
 	}
 }
 
-func (fl *simFlight) perform(acts []fanout.Action) {
+func (ar *simArrival) perform(acts []fanout.Action) {
 	for _, ac := range acts {
 		switch ac.Kind {
 		case fanout.ActSend:
-			fl.send(ac)
+			ar.send(ac)
 		case fanout.ActDrop:
-			if at := fl.sent[ac.Attempt]; at != nil && !fl.crashes {
-				fl.close(at, ac.Upstream)
+			if at := ar.sent[ac.Attempt]; at != nil && !ar.crashes {
+				ar.close(at, ac.Upstream)
 			}
 		case fanout.ActAnswer:
-			fl.over = true
+			ar.done = true
 			an := ac.Answer
-			fl.fw.after(0, func() { fl.conclude(an) })
+			ar.ft.schedule(0, func() { ar.finish(an) })
 		}
 	}
-	if !fl.over {
-		wake := fl.mc.Wake()
-		fl.fw.after(max(0, wake-fl.fw.now), func() {
-			if fl.fw.now >= wake {
-				fl.step(fanout.Event{Kind: fanout.EvWake})
+	if !ar.done {
+		wake := ar.mc.Wake()
+		ar.ft.schedule(max(0, wake-ar.ft.now), func() {
+			if ar.ft.now >= wake {
+				ar.step(fanout.Event{Kind: fanout.EvWake})
 			}
 		})
 	}
 }
 
-func (fl *simFlight) close(at *simAttempt, up *origin.Upstream) {
+func (ar *simArrival) close(at *simAttempt, up *origin.Upstream) {
 	if !at.closed {
 		at.closed = true
 		if at.trial {
-			fl.vm.table.EndTrial(up.Process())
+			ar.vm.table.EndTrial(up.Process())
 		}
 	}
 }
 
-func (fl *simFlight) send(ac fanout.Action) {
-	fw, k := fl.fw, ac.Attempt
-	at := &simAttempt{fl: fl, k: k, trial: ac.Trial}
-	fl.sent[k] = at
+func (ar *simArrival) send(ac fanout.Action) {
+	ft, k := ar.ft, ac.Attempt
+	at := &simAttempt{arrival: ar, k: k, trial: ac.Trial}
+	ar.sent[k] = at
 	if ac.Trial {
-		fl.vm.table.BeginTrial(ac.Upstream.Process())
+		ar.vm.table.BeginTrial(ac.Upstream.Process())
 	}
 	var sv *simServer
-	for _, one := range fw.servers[ac.Shard] {
+	for _, one := range ft.servers[ac.Shard] {
 		if one.up.ID == ac.Upstream.ID {
 			sv = one
 		}
 	}
 	if sv == nil || sv.down {
-		fl.vm.away[ac.Upstream.ID] = true
-		fw.after(dialTime, func() {
-			fl.close(at, ac.Upstream)
-			fl.step(fanout.Event{Kind: fanout.EvResult, Attempt: k, Verdict: fanout.Unsent})
+		ar.vm.unreachable[ac.Upstream.ID] = true
+		ft.schedule(dialDelay, func() {
+			ar.close(at, ac.Upstream)
+			ar.step(fanout.Event{Kind: fanout.EvResult, Attempt: k, Verdict: fanout.Unsent})
 		})
 		return
 	}
-	if fl.crashes && !fl.seen {
-		fl.seen = true
-		fw.reached[fl.fp] = append(fw.reached[fl.fp], fw.now)
-	}
-	fw.flights[sv] = append(fw.flights[sv], at)
-	life := sv.life
-	if fl.crashes {
-		fw.after(crashTime, func() {
-			if sv.life == life && !sv.down {
-				fw.ended[fl.fp] = append(fw.ended[fl.fp], fw.now)
-				fw.end(sv)
+	if ar.crashes && !ar.reachedServer {
+		ar.reachedServer = true
+		ft.reachedAt[ar.fp] = append(ft.reachedAt[ar.fp], ft.now)
+	}
+	ft.flights[sv] = append(ft.flights[sv], at)
+	generation := sv.generation
+	if ar.crashes {
+		ft.schedule(timeToCrash, func() {
+			if sv.generation == generation && !sv.down {
+				ft.crashedAt[ar.fp] = append(ft.crashedAt[ar.fp], ft.now)
+				ft.crash(sv)
 			}
 		})
 		return
 	}
-	if fw.rnd.Float64() < fw.lost {
-		fw.after(fw.sh.work, func() { fw.breakOne(at, sv, life) })
+	if ft.rnd.Float64() < ft.lost {
+		ft.schedule(ft.cfg.work, func() { ft.breakConnection(at, sv, generation) })
 		return
 	}
-	took := fw.sh.work/2 + time.Duration(fw.rnd.ExpFloat64()*float64(fw.sh.work)/2)
-	fw.after(took, func() {
+	took := ft.cfg.work/2 + time.Duration(ft.rnd.ExpFloat64()*float64(ft.cfg.work)/2)
+	ft.schedule(took, func() {
 		if at.closed {
 			return
 		}
-		fl.close(at, ac.Upstream)
-		fl.replied = true
-		fl.step(fanout.Event{Kind: fanout.EvResult, Attempt: k, Verdict: fanout.Served})
+		ar.close(at, ac.Upstream)
+		ar.answered = true
+		ar.step(fanout.Event{Kind: fanout.EvResult, Attempt: k, Verdict: fanout.Served})
 	})
 }
 
-// conclude ends an arrival as an entry VM does; the caller may ask once more.
-func (fl *simFlight) conclude(an fanout.Answer) {
-	fw := fl.fw
+// finish ends an arrival as an entry VM does; the caller may retry.
+func (ar *simArrival) finish(an fanout.Answer) {
+	ft := ar.ft
 	kind := "others "
-	if fl.crashes {
+	if ar.crashes {
 		kind = "crashing "
 	}
-	fw.tally[kind+an.Outcome.String()]++
+	ft.counts[kind+an.Outcome.String()]++
 	switch {
-	case fl.broken == 0 && !fl.suspect:
-	case fl.replied:
-		if up, known := fl.vm.table.Answered(fw.now, fl.fp); known {
-			fl.vm.told(fw, []poison.Update{up})
+	case ar.broken == 0 && !ar.suspect:
+	case ar.answered:
+		if up, known := ar.vm.table.Answered(ft.now, ar.fp); known {
+			ar.vm.share(ft, []poison.Update{up})
 		}
 	default:
-		fl.breaks(0)
-		fl.vm.told(fw, fl.vm.table.Unserved(fw.now, fl.fp))
+		ar.countBroken(0)
+		ar.vm.share(ft, ar.vm.table.Unserved(ft.now, ar.fp))
 	}
-	if fl.suspect {
-		fw.release(fl.vm, fl.fp)
+	if ar.suspect {
+		ft.releaseTurn(ar.vm, ar.fp)
 	}
-	again := fw.sh.idempotent || an.Outcome == fanout.OutcomeNotRun
-	if an.Outcome != fanout.OutcomeServed && again && fl.tries > 0 {
-		fw.after(returnTime, func() { fw.arrive(fw.otherVM(fl.vm), fl.fp, fl.crashes, fl.tries-1) })
+	again := ft.cfg.idempotent || an.Outcome == fanout.OutcomeNotRun
+	if an.Outcome != fanout.OutcomeServed && again && ar.retriesLeft > 0 {
+		ft.schedule(retryDelay, func() { ft.arrive(ft.otherVM(ar.vm), ar.fp, ar.crashes, ar.retriesLeft-1) })
 	}
 }
 
-// breaks counts attempts that servers broke, and gives the others a hint.
-func (fl *simFlight) breaks(n int) {
-	fl.broken += n
-	if fl.hinted || fl.replied || fl.broken < hintEnds && n > 0 || fl.broken == 0 {
+// countBroken counts attempts that servers broke, and sends a hint to the other VMs.
+func (ar *simArrival) countBroken(n int) {
+	ar.broken += n
+	if ar.hinted || ar.answered || ar.broken < hintMinBroken && n > 0 || ar.broken == 0 {
 		return
 	}
-	fl.hinted = true
-	fl.fw.after(hintTime, func() {
-		for _, vm := range fl.fw.vms {
-			vm.table.Hint(fl.fw.now, poison.Record{Fingerprint: fl.fp})
+	ar.hinted = true
+	ar.ft.schedule(hintDelay, func() {
+		for _, vm := range ar.ft.vms {
+			vm.table.Hint(ar.ft.now, poison.Record{Fingerprint: ar.fp})
 		}
 	})
 }
--- a/core/poison/sim_server_test.go
+++ b/core/poison/sim_server_test.go
@@ -9,61 +9,61 @@
 )
 
 type simServer struct {
-	shard, replica, life int
-	up                   *origin.Upstream
-	down                 bool
+	shard, replica, generation int
+	up                         *origin.Upstream
+	down                       bool
 }
 
-func (sv *simServer) begin() {
-	sv.life++
+func (sv *simServer) start() {
+	sv.generation++
 	sv.down = false
-	sv.up = &origin.Upstream{ID: fmt.Sprintf("%d.%d.%d", sv.shard, sv.replica, sv.life), Addr: fmt.Sprintf("%d.%d", sv.shard, sv.replica)}
+	sv.up = &origin.Upstream{ID: fmt.Sprintf("%d.%d.%d", sv.shard, sv.replica, sv.generation), Addr: fmt.Sprintf("%d.%d", sv.shard, sv.replica)}
 }
 
-// end ends a server; whatever is under way there breaks.
-func (fw *fleet) end(sv *simServer) {
+// crash ends a server; all attempts there break.
+func (ft *fleet) crash(sv *simServer) {
 	if sv.down {
 		return
 	}
 	sv.down = true
-	fw.tally["ended"]++
+	ft.counts["ended"]++
 	pr := sv.up.Process()
-	under := fw.flights[sv]
-	fw.flights[sv] = nil
-	for _, at := range under {
+	attempts := ft.flights[sv]
+	ft.flights[sv] = nil
+	for _, at := range attempts {
 		if at.closed {
 			continue
 		}
 		at.closed = true
-		fl := at.fl
-		fl.breaks(1)
-		fl.vm.told(fw, fl.vm.table.Broken(fw.now, fl.fp, pr, at.ends(pr)))
+		ar := at.arrival
+		ar.countBroken(1)
+		ar.vm.share(ft, ar.vm.table.Broken(ft.now, ar.fp, pr, at.endTrial(pr)))
 	}
-	for _, vm := range fw.vms {
-		fw.after(dialTime, func() { vm.told(fw, vm.table.Ended(fw.now, pr)) })
+	for _, vm := range ft.vms {
+		ft.schedule(dialDelay, func() { vm.share(ft, vm.table.Ended(ft.now, pr)) })
 	}
-	for _, at := range under {
-		at.fl.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
+	for _, at := range attempts {
+		at.arrival.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
 	}
-	fw.after(awayTime, sv.begin)
+	ft.schedule(restartTime, sv.start)
 }
 
-// breakOne ends one connection, of a server that lives.
-func (fw *fleet) breakOne(at *simAttempt, sv *simServer, life int) {
-	if at.closed || sv.life != life {
+// breakConnection ends the connection of an attempt while its server keeps running.
+func (ft *fleet) breakConnection(at *simAttempt, sv *simServer, generation int) {
+	if at.closed || sv.generation != generation {
 		return
 	}
 	at.closed = true
-	fl, pr := at.fl, sv.up.Process()
-	fl.breaks(1)
-	fl.vm.told(fw, fl.vm.table.Broken(fw.now, fl.fp, pr, at.ends(pr)))
-	fl.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
+	ar, pr := at.arrival, sv.up.Process()
+	ar.countBroken(1)
+	ar.vm.share(ft, ar.vm.table.Broken(ft.now, ar.fp, pr, at.endTrial(pr)))
+	ar.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
 }
 
-// ends ends an attempt, and tells how it stood at its server.
-func (at *simAttempt) ends(pr origin.Process) poison.Place {
+// endTrial ends an attempt and returns how it ran on its server.
+func (at *simAttempt) endTrial(pr origin.Process) poison.Place {
 	if !at.trial {
 		return poison.Among
 	}
-	return at.fl.vm.table.EndTrial(pr)
+	return at.arrival.vm.table.EndTrial(pr)
 }
--- a/core/poison/sim_test.go
+++ b/core/poison/sim_test.go
@@ -9,125 +9,126 @@
 	"github.com/matryer/is"
 )
 
-// seeds is how many runs there are of each fleet; more by hand.
+// seeds is the number of runs of each simulated fleet.
 var seeds = flag.Int("seeds", 2, "runs of each simulated fleet")
 
-// harm is what befalls the servers of a fleet.
-type harm struct {
+// faultScenario describes the faults of a simulated fleet.
+type faultScenario struct {
 	name string
-	// crashers is how many requests crash servers, and come again every few seconds.
-	crashers int
-	// everywhere is set if they come to all VMs at once.
+	// crashing is the number of distinct requests that crash servers and are repeated every few
+	// seconds.
+	crashing int
+	// everywhere is set if each of them arrives at all VMs at once.
 	everywhere bool
-	// strike ends servers, or connections, from the first second on.
-	strike func(fw *fleet)
+	// inject ends servers or connections, from the first second on.
+	inject func(ft *fleet)
 }
 
-func harms() []harm {
-	replica := func(fw *fleet, r int) {
-		for _, shard := range fw.servers {
-			fw.end(shard[r])
+func faultScenarios() []faultScenario {
+	crashReplica := func(ft *fleet, r int) {
+		for _, shard := range ft.servers {
+			ft.crash(shard[r])
 		}
 	}
-	return []harm{
-		{name: "one request crashes servers", crashers: 1},
-		{name: "it comes to all VMs at once", crashers: 1, everywhere: true},
-		{name: "twenty requests crash servers", crashers: 20},
-		{name: "one server ends", strike: func(fw *fleet) { fw.end(fw.servers[0][0]) }},
-		{name: "a shard ends", strike: func(fw *fleet) {
-			for _, sv := range fw.servers[0] {
-				fw.end(sv)
+	return []faultScenario{
+		{name: "one crashing request", crashing: 1},
+		{name: "one crashing request, at all VMs at once", crashing: 1, everywhere: true},
+		{name: "twenty crashing requests", crashing: 20},
+		{name: "one server crashes", inject: func(ft *fleet) { ft.crash(ft.servers[0][0]) }},
+		{name: "all servers of a shard crash", inject: func(ft *fleet) {
+			for _, sv := range ft.servers[0] {
+				ft.crash(sv)
 			}
 		}},
-		{name: "a rack ends", strike: func(fw *fleet) { replica(fw, 0) }},
-		{name: "two racks end, 40 ms apart", strike: func(fw *fleet) {
-			replica(fw, 0)
-			fw.after(40*ms, func() { replica(fw, 1) })
+		{name: "one rack fails", inject: func(ft *fleet) { crashReplica(ft, 0) }},
+		{name: "two racks fail, 40 ms apart", inject: func(ft *fleet) {
+			crashReplica(ft, 0)
+			ft.schedule(40*ms, func() { crashReplica(ft, 1) })
 		}},
-		{name: "servers end in turn", strike: func(fw *fleet) {
+		{name: "all servers crash in turn", inject: func(ft *fleet) {
 			wait := time.Duration(0)
-			for _, shard := range fw.servers {
+			for _, shard := range ft.servers {
 				for _, sv := range shard {
-					fw.after(wait, func() { fw.end(sv) })
+					ft.schedule(wait, func() { ft.crash(sv) })
 					wait += 70 * ms
 				}
 			}
 		}},
-		{name: "a fifth of the answers is lost", strike: func(fw *fleet) { fw.lost = 0.2 }},
-		{name: "half of the answers is lost", strike: func(fw *fleet) { fw.lost = 0.5 }},
+		{name: "a fifth of the answers are lost", inject: func(ft *fleet) { ft.lost = 0.2 }},
+		{name: "half of the answers are lost", inject: func(ft *fleet) { ft.lost = 0.5 }},
 	}
 }
 
-// crash has requests come that crash servers, every few seconds, each at some VM or at all.
-func (fw *fleet) crash(ha harm, until time.Duration) {
-	for n := range ha.crashers {
-		gap := window + time.Duration(100+fw.rnd.IntN(400))*ms
+// sendCrashing repeats the crashing requests every few seconds, each at one VM or at all.
+func (ft *fleet) sendCrashing(sc faultScenario, until time.Duration) {
+	for n := range sc.crashing {
+		gap := learnWindow + time.Duration(100+ft.rnd.IntN(400))*ms
 		for at := time.Second; at < until; at += gap {
-			if !ha.everywhere {
-				fw.after(at, func() { fw.arrive(fw.vms[fw.rnd.IntN(len(fw.vms))], crasher(n), true, 1) })
+			if !sc.everywhere {
+				ft.schedule(at, func() { ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], crashingRequest(n), true, 1) })
 				continue
 			}
-			for _, vm := range fw.vms {
-				fw.after(at, func() { fw.arrive(vm, crasher(n), true, 1) })
+			for _, vm := range ft.vms {
+				ft.schedule(at, func() { ft.arrive(vm, crashingRequest(n), true, 1) })
 			}
 		}
 	}
 }
 
-// Servers end under requests that crash them, which come again, and for other reasons while
-// requests run there. The first must come to servers a few times at most. Nobody else's
-// request may be refused: others are under way at the servers that end, and come again at
-// the same moment too; a whole search breaks where a rack ends.
-func TestNobodyElseIsRefused(t *testing.T) {
-	for _, sh := range shapes() {
-		for _, ha := range harms() {
-			t.Run(sh.name+", "+ha.name, func(t *testing.T) {
+// Servers crash under requests that are repeated, and for other reasons. A crashing request may
+// reach servers a few times at most. No other request may be refused, although others run on the
+// servers that crash, are repeated at the same time, and break all at once when a rack fails.
+func TestHarmlessRequestsAreNotRefused(t *testing.T) {
+	for _, cfg := range fleetConfigs() {
+		for _, sc := range faultScenarios() {
+			t.Run(cfg.name+", "+sc.name, func(t *testing.T) {
 				is := is.New(t)
 				ended, served, arrived := 0, 0, 0
 				for seed := range *seeds {
-					fw := newFleet(sh, uint64(seed))
-					// A request that crashes servers needs some returns; what else ends does so once.
+					ft := newFleet(cfg, uint64(seed))
+					// A crashing request has to arrive several times; the other faults happen
+					// once.
 					end := 6 * time.Second
-					if ha.crashers > 0 {
+					if sc.crashing > 0 {
 						end = 20 * time.Second
 					}
-					fw.load(end)
-					fw.poll(end)
-					fw.crash(ha, end)
-					if ha.strike != nil {
-						fw.after(time.Second, func() { ha.strike(fw) })
+					ft.sendBackground(end)
+					ft.sendRepeated(end)
+					ft.sendCrashing(sc, end)
+					if sc.inject != nil {
+						ft.schedule(time.Second, func() { sc.inject(ft) })
 					}
-					fw.run(end + time.Second)
-					for n := range ha.crashers {
-						is.True(fw.late(crasher(n)) <= mostAfter)
+					ft.run(end + time.Second)
+					for n := range sc.crashing {
+						is.True(ft.lateArrivals(crashingRequest(n)) <= maxLateArrivals)
 					}
-					is.Equal(fw.tally["others refused"], 0)
-					ended += fw.tally["ended"]
-					served += fw.tally["others served"]
-					arrived += fw.lastKey
+					is.Equal(ft.counts["others refused"], 0)
+					ended += ft.counts["ended"]
+					served += ft.counts["others served"]
+					arrived += ft.lastKey
 				}
-				t.Logf("servers ended %d a run; %.3f of the others' requests served", ended / *seeds, float64(served)/float64(arrived))
+				t.Logf("%d servers crashed per run; %.3f of the other requests served", ended / *seeds, float64(served)/float64(arrived))
 			})
 		}
 	}
 }
 
-// shapeOf finds a fleet by its name.
-func shapeOf(t *testing.T, name string) shape {
+// fleetConfigByName returns a configuration by its name.
+func fleetConfigByName(t *testing.T, name string) fleetConfig {
 	t.Helper()
-	for _, sh := range shapes() {
-		if sh.name == name {
-			return sh
+	for _, cfg := range fleetConfigs() {
+		if cfg.name == name {
+			return cfg
 		}
 	}
-	t.Fatalf("no fleet is called %s", name)
-	return shape{}
+	t.Fatalf("no fleet configuration is named %s", name)
+	return fleetConfig{}
 }
 
-// Twenty requests crash servers at the same time, and come again every few seconds. Servers
-// that end under one are claimed by another one's trial, so that the end counts for neither,
-// and some of the twenty come to servers more often than they may: one had crashed ten servers
-// at 1.03 s, and its arrivals at 5.452, 9.898, 9.916 and 14.35 s reached servers again.
+// Twenty requests crash servers at the same time, and each is repeated every few seconds. Crashes
+// are attributed to several of them and thus count for none, so that some reached servers more
+// often than allowed: one had crashed ten servers at 1.03 s, and its arrivals at 5.452, 9.898,
+// 9.916 and 14.35 s reached servers again.
 func TestManyCrashingRequestsAtOnce(t *testing.T) {
 	for _, tc := range []struct {
 		fleet string
@@ -142,14 +143,14 @@
 		t.Run(fmt.Sprintf("%s, %d", tc.fleet, tc.seed), func(t *testing.T) {
 			is := is.New(t)
 			const crashers, end = 20, 20 * time.Second
-			fw := newFleet(shapeOf(t, tc.fleet), tc.seed)
-			fw.load(end)
-			fw.crash(harm{crashers: crashers}, end)
-			fw.run(end + time.Second)
+			ft := newFleet(fleetConfigByName(t, tc.fleet), tc.seed)
+			ft.sendBackground(end)
+			ft.sendCrashing(faultScenario{crashing: crashers}, end)
+			ft.run(end + time.Second)
 			for n := range crashers {
-				is.True(fw.late(crasher(n)) <= mostAfter)
+				is.True(ft.lateArrivals(crashingRequest(n)) <= maxLateArrivals)
 			}
-			is.Equal(fw.tally["others refused"], 0)
+			is.Equal(ft.counts["others refused"], 0)
 		})
 	}
 }
--- a/core/poison/sim_vm_test.go
+++ b/core/poison/sim_vm_test.go
@@ -10,108 +10,109 @@
 type simVM struct {
 	index int
 	table *poison.Table
-	// away are the processes that could not be reached.
-	away map[string]bool
-	// turns holds, for each suspect request that is being tried here, those that wait.
-	turns map[poison.Fingerprint][]func()
+	// unreachable holds the processes to which no connection could be opened.
+	unreachable map[string]bool
+	// waiting holds, by suspect request that is being tried on this VM, the arrivals that wait
+	// for the result.
+	waiting map[poison.Fingerprint][]func()
 }
 
-// told passes on to the other VMs what they should hear.
-func (vm *simVM) told(fw *fleet, ups []poison.Update) {
+// share sends updates to the other VMs.
+func (vm *simVM) share(ft *fleet, ups []poison.Update) {
 	for _, up := range ups {
 		if !up.Share {
 			continue
 		}
 		if !up.Cleared {
-			fw.after(hintTime, func() {
-				for _, other := range fw.vms {
-					other.table.Hint(fw.now, up.Record)
+			ft.schedule(hintDelay, func() {
+				for _, other := range ft.vms {
+					other.table.Hint(ft.now, up.Record)
 				}
 			})
 		}
-		fw.after(shareTime, func() {
-			for _, other := range fw.vms {
+		ft.schedule(shareDelay, func() {
+			for _, other := range ft.vms {
 				if other == vm {
 					continue
 				}
 				if up.Cleared {
-					other.table.Release(fw.now, up.Fingerprint)
+					other.table.Release(ft.now, up.Fingerprint)
 				} else {
-					other.table.Learn(fw.now, up.Record)
+					other.table.Learn(ft.now, up.Record)
 				}
 			}
 		})
 	}
 }
 
-// arrive brings a request to a VM.
-func (fw *fleet) arrive(vm *simVM, fp poison.Fingerprint, crashes bool, tries int) {
+// arrive processes the arrival of a request at a VM.
+func (ft *fleet) arrive(vm *simVM, fp poison.Fingerprint, crashes bool, retries int) {
 	kind := "others "
 	if crashes {
 		kind = "crashing "
 	}
-	fw.tally[kind+"arrived"]++
-	st, _ := vm.table.Arrive(fw.now, fp)
+	ft.counts[kind+"arrived"]++
+	st, _ := vm.table.Arrive(ft.now, fp)
 	if st != poison.Suspect {
-		fw.begin(vm, fp, crashes, tries, st)
+		ft.start(vm, fp, crashes, retries, st)
 		return
 	}
-	owner := fw.vms[fp.Key()%uint64(len(fw.vms))]
+	owner := ft.vms[fp.Key()%uint64(len(ft.vms))]
 	if owner == vm {
-		fw.take(vm, fp, crashes, tries, fw.now)
+		ft.takeTurn(vm, fp, crashes, retries, ft.now)
 		return
 	}
-	began := fw.now
-	fw.after(hopTime, func() {
-		owner.table.Hint(fw.now, poison.Record{Fingerprint: fp})
-		fw.take(owner, fp, crashes, tries, began)
+	arrivedAt := ft.now
+	ft.schedule(forwardDelay, func() {
+		owner.table.Hint(ft.now, poison.Record{Fingerprint: fp})
+		ft.takeTurn(owner, fp, crashes, retries, arrivedAt)
 	})
 }
 
-// take takes a request in its turn, if it is still a suspect.
-func (fw *fleet) take(vm *simVM, fp poison.Fingerprint, crashes bool, tries int, began time.Duration) {
-	st, _ := vm.table.Arrive(fw.now, fp)
+// takeTurn starts a request, or queues it while it is suspect and being tried.
+func (ft *fleet) takeTurn(vm *simVM, fp poison.Fingerprint, crashes bool, retries int, arrivedAt time.Duration) {
+	st, _ := vm.table.Arrive(ft.now, fp)
 	if st != poison.Suspect {
-		fw.begin(vm, fp, crashes, tries, st)
+		ft.start(vm, fp, crashes, retries, st)
 		return
 	}
-	if waiting, busy := vm.turns[fp]; busy {
-		vm.turns[fp] = append(waiting, func() {
-			if fw.now < began+fw.patience() {
-				fw.take(vm, fp, crashes, tries, began)
+	if queued, busy := vm.waiting[fp]; busy {
+		vm.waiting[fp] = append(queued, func() {
+			if ft.now < arrivedAt+ft.callerTimeout() {
+				ft.takeTurn(vm, fp, crashes, retries, arrivedAt)
 			}
 		})
 		return
 	}
-	vm.turns[fp] = nil
-	fw.begin(vm, fp, crashes, tries, st)
+	vm.waiting[fp] = nil
+	ft.start(vm, fp, crashes, retries, st)
 }
 
-// release ends a turn.
-func (fw *fleet) release(vm *simVM, fp poison.Fingerprint) {
-	waiting := vm.turns[fp]
-	delete(vm.turns, fp)
-	for _, next := range waiting {
+// releaseTurn ends a trial and starts the requests that waited for it.
+func (ft *fleet) releaseTurn(vm *simVM, fp poison.Fingerprint) {
+	queued := vm.waiting[fp]
+	delete(vm.waiting, fp)
+	for _, next := range queued {
 		next()
 	}
 }
 
-// begin runs a request, or refuses it.
-func (fw *fleet) begin(vm *simVM, fp poison.Fingerprint, crashes bool, tries int, st poison.State) {
+// start sends a request to servers, or refuses it if it is blocked.
+func (ft *fleet) start(vm *simVM, fp poison.Fingerprint, crashes bool, retries int, st poison.State) {
 	if st == poison.Blocked {
 		kind := "others "
 		if crashes {
 			kind = "crashing "
 		}
-		fw.tally[kind+"refused"]++
+		ft.counts[kind+"refused"]++
 		return
 	}
-	fl := &simFlight{fw: fw, vm: vm, fp: fp, crashes: crashes, suspect: st == poison.Suspect, tries: tries, began: fw.now, sent: map[int]*simAttempt{}}
-	hard := fw.patience()
-	fl.mc = fanout.New(fanout.Config{
-		Shards: fw.sh.shards, MinParts: fw.sh.shards - fw.sh.shards/5, Idempotent: fw.sh.idempotent, MaxAttempts: 2,
-		Target: fw.now + hard/4, Hard: fw.now + hard, HedgeAfter: 3 * fw.sh.work, LeastTime: 3 * ms,
-		Suspect: fl.suspect, TrialGap: 5 * ms, Blocked: func() bool { return vm.table.Blocked(fw.now, fp) }, Draw: fw.rnd.Float64, Chooser: fl, Budget: fl,
+	ar := &simArrival{ft: ft, vm: vm, fp: fp, crashes: crashes, suspect: st == poison.Suspect, retriesLeft: retries, arrivedAt: ft.now, sent: map[int]*simAttempt{}}
+	hard := ft.callerTimeout()
+	ar.mc = fanout.New(fanout.Config{
+		Shards: ft.cfg.shards, MinParts: ft.cfg.shards - ft.cfg.shards/5, Idempotent: ft.cfg.idempotent, MaxAttempts: 2,
+		Target: ft.now + hard/4, Hard: ft.now + hard, HedgeAfter: 3 * ft.cfg.work, LeastTime: 3 * ms,
+		Suspect: ar.suspect, TrialGap: 5 * ms, Blocked: func() bool { return vm.table.Blocked(ft.now, fp) }, Draw: ft.rnd.Float64, Chooser: ar, Budget: ar,
 	})
-	fl.perform(fl.mc.Start(fw.now))
+	ar.perform(ar.mc.Start(ft.now))
 }
--- a/core/poison/sim_world_test.go
+++ b/core/poison/sim_world_test.go
@@ -8,34 +8,35 @@
 	"laburnumvane/core/poison"
 )
 
-// A fleet in virtual time: VMs with a table each, shards with servers, callers. Servers end
-// under some requests, or for other reasons while requests run there.
+// A simulated fleet: VMs with a table each, shards with servers, and callers. Servers crash under
+// some requests, or for other reasons while requests run.
 
 const (
 	ms = time.Millisecond
-	// shareTime is how long it takes until the other VMs hear of a request.
-	shareTime = 250 * ms
-	// hintTime is the same for a word that it may be one, and hintEnds what it takes.
-	hintTime = 8 * ms
-	hintEnds = 3
-	// returnTime is how long a caller takes to ask again, at another VM.
-	returnTime = 5 * ms
-	// dialTime is how long it takes to find that a server is away.
-	dialTime = 2 * ms
-	// hopTime is how long another VM takes to get a request.
-	hopTime = 3 * ms
-	// awayTime is how long a server that ended is away.
-	awayTime = 3 * time.Second
-	// crashTime is how long a server works on a request before it ends.
-	crashTime = 30 * ms
-	// window is how long after the third end VMs may still learn of it, and mostAfter how
-	// many arrivals may reach servers later.
-	window    = 4 * time.Second
-	mostAfter = 3
+	// shareDelay is how long it takes until other VMs get a shared record.
+	shareDelay = 250 * ms
+	// hintDelay is the same for a hint; hintMinBroken is the number of broken attempts after
+	// which one is sent.
+	hintDelay     = 8 * ms
+	hintMinBroken = 3
+	// retryDelay is how long a caller takes to retry on another VM.
+	retryDelay = 5 * ms
+	// dialDelay is how long it takes to find out that a server is down.
+	dialDelay = 2 * ms
+	// forwardDelay is how long it takes to forward a request to another VM.
+	forwardDelay = 3 * ms
+	// restartTime is how long a crashed server is down.
+	restartTime = 3 * time.Second
+	// timeToCrash is how long a server runs a crashing request before it crashes.
+	timeToCrash = 30 * ms
+	// learnWindow is how long after the third crash the request may still reach servers freely,
+	// and maxLateArrivals how many arrivals may do so later.
+	learnWindow     = 4 * time.Second
+	maxLateArrivals = 3
 )
 
-// shape is what a fleet is made of, and what its callers want.
-type shape struct {
+// fleetConfig is the size of a fleet and the load of its callers.
+type fleetConfig struct {
 	name       string
 	vms        int
 	shards     int
@@ -45,153 +46,154 @@
 	work       time.Duration
 }
 
-// fleet is one run.
+// fleet is one simulation run.
 type fleet struct {
-	sh   shape
-	rnd  *rand.Rand
-	now  time.Duration
-	todo todo
-	vms  []*simVM
-	// servers are by shard and replica; each life of one is another process.
+	cfg    fleetConfig
+	rnd    *rand.Rand
+	now    time.Duration
+	events eventQueue
+	vms    []*simVM
+	// servers are listed by shard and replica; each restart of one is another process.
 	servers [][]*simServer
 	flights map[*simServer][]*simAttempt
 	lastKey int
 
-	// ended holds when servers ended under each request that crashes them, and reached when
-	// its arrivals first came to one.
-	ended   map[poison.Fingerprint][]time.Duration
-	reached map[poison.Fingerprint][]time.Duration
-	// lost is the share of answers that are lost with their connections.
-	lost  float64
-	tally map[string]int
+	// crashedAt holds when servers crashed under each crashing request, and reachedAt when its
+	// arrivals first reached one.
+	crashedAt map[poison.Fingerprint][]time.Duration
+	reachedAt map[poison.Fingerprint][]time.Duration
+	// lost is the share of answers that are lost together with their connections.
+	lost   float64
+	counts map[string]int
 }
 
-type task struct {
+type simEvent struct {
 	at  time.Duration
 	seq int
-	do  func()
+	run func()
 }
 
-type todo struct {
-	tasks []task
+type eventQueue struct {
+	items []simEvent
 	seq   int
 }
 
-func (td *todo) Len() int { return len(td.tasks) }
-func (td *todo) Less(i, j int) bool {
-	if td.tasks[i].at != td.tasks[j].at {
-		return td.tasks[i].at < td.tasks[j].at
+func (eq *eventQueue) Len() int { return len(eq.items) }
+func (eq *eventQueue) Less(i, j int) bool {
+	if eq.items[i].at != eq.items[j].at {
+		return eq.items[i].at < eq.items[j].at
 	}
-	return td.tasks[i].seq < td.tasks[j].seq
+	return eq.items[i].seq < eq.items[j].seq
 }
-func (td *todo) Swap(i, j int) { td.tasks[i], td.tasks[j] = td.tasks[j], td.tasks[i] }
-func (td *todo) Push(x any)    { td.tasks = append(td.tasks, x.(task)) }
-func (td *todo) Pop() any {
-	last := td.tasks[len(td.tasks)-1]
-	td.tasks = td.tasks[:len(td.tasks)-1]
+func (eq *eventQueue) Swap(i, j int) { eq.items[i], eq.items[j] = eq.items[j], eq.items[i] }
+func (eq *eventQueue) Push(x any)    { eq.items = append(eq.items, x.(simEvent)) }
+func (eq *eventQueue) Pop() any {
+	last := eq.items[len(eq.items)-1]
+	eq.items = eq.items[:len(eq.items)-1]
 	return last
 }
 
-func newFleet(sh shape, seed uint64) *fleet {
-	fw := &fleet{
-		sh: sh, rnd: rand.New(rand.NewPCG(seed, 1)), flights: map[*simServer][]*simAttempt{}, tally: map[string]int{},
-		ended: map[poison.Fingerprint][]time.Duration{}, reached: map[poison.Fingerprint][]time.Duration{},
-		servers: make([][]*simServer, sh.shards),
+func newFleet(cfg fleetConfig, seed uint64) *fleet {
+	ft := &fleet{
+		cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 1)), flights: map[*simServer][]*simAttempt{}, counts: map[string]int{},
+		crashedAt: map[poison.Fingerprint][]time.Duration{}, reachedAt: map[poison.Fingerprint][]time.Duration{},
+		servers: make([][]*simServer, cfg.shards),
 	}
-	for i := range sh.vms {
-		fw.vms = append(fw.vms, &simVM{index: i, table: poison.New(), away: map[string]bool{}, turns: map[poison.Fingerprint][]func(){}})
+	for i := range cfg.vms {
+		ft.vms = append(ft.vms, &simVM{index: i, table: poison.New(), unreachable: map[string]bool{}, waiting: map[poison.Fingerprint][]func(){}})
 	}
-	for i := range sh.shards {
-		for r := range sh.replicas {
+	for i := range cfg.shards {
+		for r := range cfg.replicas {
 			sv := &simServer{shard: i, replica: r}
-			sv.begin()
-			fw.servers[i] = append(fw.servers[i], sv)
+			sv.start()
+			ft.servers[i] = append(ft.servers[i], sv)
 		}
 	}
-	return fw
+	return ft
 }
 
-func (fw *fleet) after(wait time.Duration, do func()) {
-	fw.todo.seq++
-	heap.Push(&fw.todo, task{at: fw.now + wait, seq: fw.todo.seq, do: do})
+func (ft *fleet) schedule(wait time.Duration, run func()) {
+	ft.events.seq++
+	heap.Push(&ft.events, simEvent{at: ft.now + wait, seq: ft.events.seq, run: run})
 }
 
-func (fw *fleet) run(until time.Duration) {
-	for len(fw.todo.tasks) > 0 && fw.todo.tasks[0].at <= until {
-		ta := heap.Pop(&fw.todo).(task)
-		fw.now = ta.at
-		ta.do()
+func (ft *fleet) run(until time.Duration) {
+	for len(ft.events.items) > 0 && ft.events.items[0].at <= until {
+		ev := heap.Pop(&ft.events).(simEvent)
+		ft.now = ev.at
+		ev.run()
 	}
-	fw.now = until
+	ft.now = until
 }
 
-// patience is how long callers wait.
-func (fw *fleet) patience() time.Duration {
-	if fw.sh.shards == 1 {
+// callerTimeout is how long callers wait.
+func (ft *fleet) callerTimeout() time.Duration {
+	if ft.cfg.shards == 1 {
 		return 1500 * ms
 	}
 	return 400 * ms
 }
 
-func (fw *fleet) otherVM(vm *simVM) *simVM {
-	return fw.vms[(vm.index+1+fw.rnd.IntN(len(fw.vms)-1))%len(fw.vms)]
+func (ft *fleet) otherVM(vm *simVM) *simVM {
+	return ft.vms[(vm.index+1+ft.rnd.IntN(len(ft.vms)-1))%len(ft.vms)]
 }
 
-// load has callers ask for other things all the while.
-func (fw *fleet) load(until time.Duration) {
-	gap := time.Second / time.Duration(fw.sh.rate)
+// sendBackground sends distinct harmless requests throughout the run.
+func (ft *fleet) sendBackground(until time.Duration) {
+	gap := time.Second / time.Duration(ft.cfg.rate)
 	var next func()
 	next = func() {
-		fw.lastKey++
-		fw.arrive(fw.vms[fw.rnd.IntN(len(fw.vms))], numbered(fw.lastKey), false, 1)
-		if fw.now < until {
-			fw.after(time.Duration(fw.rnd.ExpFloat64()*float64(gap)), next)
+		ft.lastKey++
+		ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], fingerprint(ft.lastKey), false, 1)
+		if ft.now < until {
+			ft.schedule(time.Duration(ft.rnd.ExpFloat64()*float64(gap)), next)
 		}
 	}
-	fw.after(0, next)
+	ft.schedule(0, next)
 }
 
-// pollEvery is how often, on average, each of some callers asks for the same again.
+// pollEvery is how often, on average, each of some callers repeats its request.
 const (
 	pollEvery = 1500 * ms
 	pollers   = 6
 )
 
-// poll has callers ask for the same again and again: they are at several VMs when servers
-// end, and at later ends too.
-func (fw *fleet) poll(until time.Duration) {
+// sendRepeated sends repeated harmless requests: they run on several VMs when servers crash, and
+// again at later crashes.
+func (ft *fleet) sendRepeated(until time.Duration) {
 	for n := range pollers {
 		var next func()
 		next = func() {
-			fw.arrive(fw.vms[fw.rnd.IntN(len(fw.vms))], numbered(2_000_000+n), false, 1)
-			if fw.now < until {
-				fw.after(time.Duration(fw.rnd.ExpFloat64()*float64(pollEvery)), next)
+			ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], fingerprint(2_000_000+n), false, 1)
+			if ft.now < until {
+				ft.schedule(time.Duration(ft.rnd.ExpFloat64()*float64(pollEvery)), next)
 			}
 		}
-		fw.after(0, next)
+		ft.schedule(0, next)
 	}
 }
 
-// late counts the arrivals of a request that reached servers later than the window after the
-// third had ended under it.
-func (fw *fleet) late(fp poison.Fingerprint) int {
-	if len(fw.ended[fp]) < 3 {
+// lateArrivals counts the arrivals of a request that reached servers later than learnWindow after
+// the third crash under it.
+func (ft *fleet) lateArrivals(fp poison.Fingerprint) int {
+	if len(ft.crashedAt[fp]) < 3 {
 		return 0
 	}
 	n := 0
-	for _, at := range fw.reached[fp] {
-		if at > fw.ended[fp][2]+window {
+	for _, at := range ft.reachedAt[fp] {
+		if at > ft.crashedAt[fp][2]+learnWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// crasher is the fingerprint of the request that crashes servers; the others' count from 1.
-func crasher(n int) poison.Fingerprint { return numbered(1_000_000 + n) }
+// crashingRequest returns the fingerprint of crashing request n; those of harmless requests count
+// from 1.
+func crashingRequest(n int) poison.Fingerprint { return fingerprint(1_000_000 + n) }
 
-func shapes() []shape {
-	return []shape{
+func fleetConfigs() []fleetConfig {
+	return []fleetConfig{
 		{"10 shards", 8, 10, 3, true, 150, 8 * ms},
 		{"36 shards", 12, 36, 3, true, 100, 8 * ms},
 		{"54 shards", 12, 54, 3, true, 60, 8 * ms},
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -9,84 +9,86 @@
 )
 
 const (
-	// blockEnds is how many servers have to end under trials of a request, each alone,
-	// before it is blocked. Others may have been under way at the one server that the
-	// request crashed first, but not at the next ones, which are drawn.
-	blockEnds = 2
-	// blockRepeats blocks a request too, whoever else was under way where servers ended: so
-	// many ended under a trial of it, each repeatAfter or more after the last. Many such
-	// requests at once claim each other's ends, so that trials alone would block none; a
-	// request that merely was beside them is answered meanwhile.
-	blockRepeats = 2
-	repeatAfter  = time.Second
-	// BlockFor is how long a blocked request must stay away to be tried again.
+	// blockTrialCrashes is how many servers have to crash during exclusive trials of a request
+	// before it is blocked. Other requests may have been running on the first server that
+	// crashed, but not on the next ones, which are picked at random.
+	blockTrialCrashes = 2
+	// blockRepeatCrashes blocks a request as well, regardless of other requests on the servers:
+	// that many servers crashed during a trial of it, each at least minRepeatInterval after the
+	// previous one. With many crashing requests at once, each crash is attributed to several of
+	// them, so that blockTrialCrashes alone would block none. A harmless request that ran on the
+	// same servers is answered in the meantime.
+	blockRepeatCrashes = 2
+	minRepeatInterval  = time.Second
+	// BlockFor is for how long a blocked request must not arrive before it is tried again.
 	BlockFor = 10 * time.Minute
-	// keepFor is how long a request is remembered that did not come again.
-	keepFor = 30 * time.Minute
-	// shownFor is how long after an attempt broke its server's end may be shown, and the
-	// other way round.
-	shownFor = 2 * time.Second
-	// hintFor is how long another VM's word makes a request a suspect, and clearFor how long
-	// a server's answer outweighs such words: those who sent them have not heard of it.
-	hintFor  = 10 * time.Second
-	clearFor = 5 * time.Second
-	// expireEvery is how often it is looked for what can be dropped: it takes a look at
-	// all records, and hundreds of attempts may break at once.
-	expireEvery = 250 * time.Millisecond
-	// mostRecords bounds the requests that are remembered; a record takes some 300 bytes.
-	mostRecords = 4096
-	// mostLosses bounds the attempts at one server whose end is not shown yet; a server
-	// works on fewer at once.
-	mostLosses = 64
-	// mostTrialEnds bounds the servers that a record names.
-	mostTrialEnds = 8
+	// recordTTL is how long a request is remembered after it last arrived.
+	recordTTL = 30 * time.Minute
+	// matchWindow is the maximum time between a broken attempt and the end of the server's
+	// process, in either order, for the two to be matched.
+	matchWindow = 2 * time.Second
+	// hintTTL is how long a hint from another VM makes a request suspect. clearedTTL is how long
+	// hints are ignored after a server answered the request, since their senders do not know of
+	// the answer yet.
+	hintTTL    = 10 * time.Second
+	clearedTTL = 5 * time.Second
+	// expireInterval is the minimum time between two scans for expired records: a scan visits all
+	// records, and hundreds of attempts may break at once.
+	expireInterval = 250 * time.Millisecond
+	// maxRecords bounds the number of records; each takes about 300 bytes.
+	maxRecords = 4096
+	// maxBrokenPerServer bounds the broken attempts that are kept per server until its process is
+	// known to have ended; a server runs fewer at once.
+	maxBrokenPerServer = 64
+	// maxTrialNames bounds the server names in a record.
+	maxTrialNames = 8
 )
 
-// loss is an attempt that broke and whose server may have ended.
-type loss struct {
-	fp  Fingerprint
-	at  time.Duration
-	how Place
+// brokenAttempt is an attempt whose connection broke and whose server may have crashed.
+type brokenAttempt struct {
+	fp   Fingerprint
+	at   time.Duration
+	kind Place
 }
 
-// Table holds what is known of requests under which servers ended. It is safe for
-// concurrent use.
+// Table records the requests under which servers crashed. It is safe for concurrent use.
 type Table struct {
 	// count is the number of records, so that requests need no lock while there are none.
 	count atomic.Int64
 
-	mu      sync.Mutex
-	records map[Fingerprint]*record
-	losses  map[origin.Process][]loss
-	ended   map[origin.Process]time.Duration
-	claims  map[string]claim
-	trials  map[origin.Process]*trial
-	// cleared holds when a server answered a request that was suspected.
-	cleared map[Fingerprint]time.Duration
-	// expireAt is when it is looked next for what can be dropped.
+	mu           sync.Mutex
+	records      map[Fingerprint]*record
+	broken       map[origin.Process][]brokenAttempt
+	endedAt      map[origin.Process]time.Duration
+	attributions map[string]attribution
+	trials       map[origin.Process]*serverTrials
+	// clearedAt is when a server answered a request that had a record.
+	clearedAt map[Fingerprint]time.Duration
+	// expireAt is the time of the next scan for expired records.
 	expireAt time.Duration
 }
 
-// New makes an empty table.
+// New returns an empty table.
 func New() *Table {
 	return &Table{
-		records: make(map[Fingerprint]*record),
-		losses:  make(map[origin.Process][]loss),
-		ended:   make(map[origin.Process]time.Duration),
-		claims:  make(map[string]claim),
-		trials:  make(map[origin.Process]*trial),
-		cleared: make(map[Fingerprint]time.Duration),
+		records:      make(map[Fingerprint]*record),
+		broken:       make(map[origin.Process][]brokenAttempt),
+		endedAt:      make(map[origin.Process]time.Duration),
+		attributions: make(map[string]attribution),
+		trials:       make(map[origin.Process]*serverTrials),
+		clearedAt:    make(map[Fingerprint]time.Duration),
 	}
 }
 
-// Empty tells whether nothing is known of any request.
+// Empty tells whether the table has no records.
 func (tb *Table) Empty() bool { return tb.count.Load() == 0 }
 
-// Len is the number of requests of which something is known.
+// Len returns the number of records.
 func (tb *Table) Len() int { return int(tb.count.Load()) }
 
-// Arrive tells what is thought of a request that came. Refresh is set if others should be
-// told of it anew, or they would forget while it still comes.
+// Arrive records the arrival of a request and returns its state. If refresh.Share is set, other
+// VMs have to be informed again, since their records would expire although the request still
+// arrives.
 func (tb *Table) Arrive(now time.Duration, fp Fingerprint) (st State, refresh Update) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -96,72 +98,73 @@
 		return Clear, Update{}
 	}
 	st = re.state(now)
-	if st == Suspect && re.crashes() {
-		// It stayed away for long: one more server decides.
-		tb.trim(re)
-	}
-	re.seen = now
-	if st == Blocked && re.ever && now-re.shared >= BlockFor/2 {
-		re.shared = now
+	if st == Suspect && re.shouldBlock() {
+		// The request did not arrive for long: it may be tried again, and one more crash blocks
+		// it.
+		tb.demote(re)
+	}
+	re.lastSeen = now
+	if st == Blocked && re.everShared && now-re.sharedAt >= BlockFor/2 {
+		re.sharedAt = now
 		refresh = tb.update(now, fp, re)
 		refresh.Share = true
 	}
 	return st, refresh
 }
 
-// Broken notes that a server ended the connection under a request.
-func (tb *Table) Broken(now time.Duration, fp Fingerprint, pr origin.Process, how Place) []Update {
+// Broken records that a server ended the connection of an attempt.
+func (tb *Table) Broken(now time.Duration, fp Fingerprint, pr origin.Process, kind Place) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
-	re := tb.of(now, fp)
-	re.seen = now
-	if _, ok := tb.ended[pr]; ok {
-		return tb.note(now, fp, pr, how, nil)
+	re := tb.recordOf(now, fp)
+	re.lastSeen = now
+	if _, ok := tb.endedAt[pr]; ok {
+		return tb.recordCrash(now, fp, pr, kind, nil)
 	}
-	if len(tb.losses[pr]) < mostLosses {
-		tb.losses[pr] = append(tb.losses[pr], loss{fp: fp, at: now, how: how})
+	if len(tb.broken[pr]) < maxBrokenPerServer {
+		tb.broken[pr] = append(tb.broken[pr], brokenAttempt{fp: fp, at: now, kind: kind})
 	}
 	return nil
 }
 
-// Ended notes that a server has ended, so that what broke there was not one connection's
-// doing.
+// Ended records that a server's process has ended, which confirms that the attempts whose
+// connections broke were not hit by a mere connection failure.
 func (tb *Table) Ended(now time.Duration, pr origin.Process) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
-	tb.ended[pr] = now
+	tb.endedAt[pr] = now
 	var ups []Update
-	for _, lo := range tb.losses[pr] {
-		ups = tb.note(now, lo.fp, pr, lo.how, ups)
+	for _, ba := range tb.broken[pr] {
+		ups = tb.recordCrash(now, ba.fp, pr, ba.kind, ups)
 	}
-	delete(tb.losses, pr)
+	delete(tb.broken, pr)
 	return ups
 }
 
-// note takes one end into a record. The caller holds the lock.
-func (tb *Table) note(now time.Duration, fp Fingerprint, pr origin.Process, how Place, ups []Update) []Update {
+// recordCrash adds a crash to a request's record. The caller holds the lock.
+func (tb *Table) recordCrash(now time.Duration, fp Fingerprint, pr origin.Process, kind Place, ups []Update) []Update {
 	re, ok := tb.records[fp]
 	if !ok {
-		// A server answered the request meanwhile.
+		// A server answered the request in the meantime.
 		return ups
 	}
-	re.count(now, how)
-	re.seen = now
-	if how == Alone {
-		ups = tb.claim(now, fp, re, nameOf(pr), ups)
+	re.countCrash(now, kind)
+	re.lastSeen = now
+	if kind == ExclusiveTrial {
+		ups = tb.attribute(now, fp, re, processName(pr), ups)
 	}
 	up := tb.update(now, fp, re)
 	up.Share = re.unserved || up.State == Blocked
 	if up.Share {
-		re.shared, re.ever = now, true
+		re.sharedAt, re.everShared = now, true
 	}
 	return append(ups, up)
 }
 
-// Answered notes that a server answered a request: it does not crash servers. The update
-// says so to others if they were told.
+// Answered records that a server answered a request, so it does not crash servers. The update is
+// to be shared if other VMs were informed before; known is false if there was nothing to clear.
 func (tb *Table) Answered(now time.Duration, fp Fingerprint) (up Update, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -170,15 +173,15 @@
 		return Update{}, false
 	}
 	up = tb.update(now, fp, re)
-	up.State, up.Cleared, up.Share = Clear, true, re.ever
-	tb.forget(fp)
-	if len(tb.cleared) < mostRecords {
-		tb.cleared[fp] = now
+	up.State, up.Cleared, up.Share = Clear, true, re.everShared
+	tb.remove(fp)
+	if len(tb.clearedAt) < maxRecords {
+		tb.clearedAt[fp] = now
 	}
 	return up, up.Ends > 0 || up.Share
 }
 
-// Unserved notes that an arrival of a request ended without any server's answer.
+// Unserved records that an arrival of a request ended without an answer from any server.
 func (tb *Table) Unserved(now time.Duration, fp Fingerprint) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -187,30 +190,30 @@
 		return nil
 	}
 	re.unserved = true
-	if re.ends == 0 {
+	if re.crashes == 0 {
 		return nil
 	}
-	re.shared, re.ever = now, true
+	re.sharedAt, re.everShared = now, true
 	up := tb.update(now, fp, re)
 	up.Share = true
 	return []Update{up}
 }
 
-// Hint takes another VM's word that servers may have ended under a request. It is soon
-// forgotten, but for the trials that it names: the request goes to one server first.
+// Hint records another VM's report that servers may have crashed under a request, which makes the
+// request suspect for a short time. The trials that it names are kept.
 func (tb *Table) Hint(now time.Duration, rd Record) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
-	if at, ok := tb.cleared[rd.Fingerprint]; ok && now-at < clearFor {
+	if at, ok := tb.clearedAt[rd.Fingerprint]; ok && now-at < clearedTTL {
 		return nil
 	}
-	re := tb.of(now, rd.Fingerprint)
-	re.seen, re.hinted = now, now+hintFor
-	return append(tb.claimAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
+	re := tb.recordOf(now, rd.Fingerprint)
+	re.lastSeen, re.hintedUntil = now, now+hintTTL
+	return append(tb.attributeAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
 }
 
-// Blocked tells whether a request is known to crash servers.
+// Blocked tells whether a request is blocked.
 func (tb *Table) Blocked(now time.Duration, fp Fingerprint) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -218,19 +221,19 @@
 	return ok && re.state(now) == Blocked
 }
 
-// Learn takes what another VM knows.
+// Learn merges another VM's record into this one's.
 func (tb *Table) Learn(now time.Duration, rd Record) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
-	re := tb.of(now, rd.Fingerprint)
-	re.seen, re.shared, re.ever = now, now, true
-	re.learn(now, rd)
-	return append(tb.claimAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
+	re := tb.recordOf(now, rd.Fingerprint)
+	re.lastSeen, re.sharedAt, re.everShared = now, now, true
+	re.merge(now, rd)
+	return append(tb.attributeAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
 }
 
-// Release takes back that a request is blocked: an operator took its entry away, or it
-// lapsed. It is tried at one server when it comes again, and one more end blocks it.
+// Release lifts the block of a request, after an operator removed its entry or it expired. The
+// request is suspect when it arrives again, and one more crash blocks it.
 func (tb *Table) Release(now time.Duration, fp Fingerprint) (Update, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -238,8 +241,8 @@
 	if !ok {
 		return Update{}, false
 	}
-	tb.trim(re)
-	re.ever = false
+	tb.demote(re)
+	re.everShared = false
 	re.unserved = false
 	return tb.update(now, fp, re), true
 }
--- a/core/poison/trial.go
+++ b/core/poison/trial.go
@@ -8,48 +8,48 @@
 	"laburnumvane/core/origin"
 )
 
-// claim is the request under whose trial a server ended. With two it was neither's doing
-// for certain.
-type claim struct {
-	fp       Fingerprint
-	disputed bool
-	at       time.Duration
+// attribution is the request to which the crash of a server during a trial is attributed. If
+// trials of two requests claim the same crash, it is ambiguous and counts for neither.
+type attribution struct {
+	fp        Fingerprint
+	ambiguous bool
+	at        time.Duration
 }
 
-// trial is the trials under way at a server.
-type trial struct {
-	open  int
-	mixed bool
+// serverTrials is the state of the trials on one server.
+type serverTrials struct {
+	open       int
+	overlapped bool
 }
 
-// Place is how a request stood at a server.
+// Place tells how a request ran on a server.
 type Place uint8
 
-// Places.
+// Kinds of runs.
 const (
-	// Among: as any request, beside others.
+	// Among: not a trial; it ran beside other requests.
 	Among Place = iota
-	// Beside: tried, while another request was tried there too.
-	Beside
-	// Alone: tried, and no other meanwhile.
-	Alone
+	// SharedTrial: a trial during which another request was tried on the server too.
+	SharedTrial
+	// ExclusiveTrial: a trial with no other one on the server.
+	ExclusiveTrial
 )
 
-// BeginTrial notes that a request is tried at a server, and EndTrial that its result is
-// there.
+// BeginTrial records the start of a request's trial on a server. EndTrial has to follow once
+// there is a result.
 func (tb *Table) BeginTrial(pr origin.Process) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tr, ok := tb.trials[pr]
 	if !ok {
-		tr = &trial{}
+		tr = &serverTrials{}
 		tb.trials[pr] = tr
 	}
 	tr.open++
-	tr.mixed = tr.mixed || tr.open > 1
+	tr.overlapped = tr.overlapped || tr.open > 1
 }
 
-// EndTrial ends what BeginTrial began, and tells how the request stood there.
+// EndTrial records the end of a trial and tells whether it was the only one on the server.
 func (tb *Table) EndTrial(pr origin.Process) Place {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -61,13 +61,13 @@
 	if tr.open == 0 {
 		delete(tb.trials, pr)
 	}
-	if tr.mixed {
-		return Beside
+	if tr.overlapped {
+		return SharedTrial
 	}
-	return Alone
+	return ExclusiveTrial
 }
 
-// OnTrial tells whether a request is being tried at a server.
+// OnTrial tells whether a request is being tried on a server.
 func (tb *Table) OnTrial(pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -75,48 +75,48 @@
 	return ok
 }
 
-// claim counts a server's end as one request's doing, unless it is counted as another's:
-// then it is neither's. Both may have been under way there, from different VMs, and only
-// what comes next tells them apart. The caller holds the lock.
-func (tb *Table) claim(now time.Duration, fp Fingerprint, re *record, name string, ups []Update) []Update {
-	cl, claimed := tb.claims[name]
+// attribute attributes a server's crash to a request. If the crash is attributed to another
+// request already, it counts for neither: both may have run on the server, sent by different VMs,
+// and only later crashes can tell which is the cause. The caller holds the lock.
+func (tb *Table) attribute(now time.Duration, fp Fingerprint, re *record, name string, ups []Update) []Update {
+	attr, found := tb.attributions[name]
 	switch {
-	case !claimed:
-		if len(re.trials) < mostTrialEnds {
-			tb.claims[name] = claim{fp: fp, at: now}
+	case !found:
+		if len(re.trials) < maxTrialNames {
+			tb.attributions[name] = attribution{fp: fp, at: now}
 			re.trials = append(re.trials, name)
 		}
 		return ups
-	case cl.disputed || cl.fp == fp:
+	case attr.ambiguous || attr.fp == fp:
 		return ups
 	}
-	tb.claims[name] = claim{disputed: true, at: now}
-	other, ok := tb.records[cl.fp]
+	tb.attributions[name] = attribution{ambiguous: true, at: now}
+	other, ok := tb.records[attr.fp]
 	if !ok {
 		return ups
 	}
-	other.trials = slices.DeleteFunc(other.trials, func(one string) bool { return one == name })
-	return append(ups, tb.update(now, cl.fp, other))
+	other.trials = slices.DeleteFunc(other.trials, func(trial string) bool { return trial == name })
+	return append(ups, tb.update(now, attr.fp, other))
 }
 
-// claimAll takes the trials that another VM names. The caller holds the lock.
-func (tb *Table) claimAll(now time.Duration, rd Record, re *record) []Update {
+// attributeAll attributes the crashes that another VM's record names. The caller holds the lock.
+func (tb *Table) attributeAll(now time.Duration, rd Record, re *record) []Update {
 	var ups []Update
 	for _, name := range rd.Trials {
-		ups = tb.claim(now, rd.Fingerprint, re, name, ups)
+		ups = tb.attribute(now, rd.Fingerprint, re, name, ups)
 	}
 	return ups
 }
 
-// trim leaves a record one end short of being blocked. The caller holds the lock.
-func (tb *Table) trim(re *record) {
-	re.ends, re.repeats = max(re.ends, 1), min(re.repeats, blockRepeats-1)
-	for len(re.trials) >= blockEnds {
+// demote leaves a record one crash short of being blocked. The caller holds the lock.
+func (tb *Table) demote(re *record) {
+	re.crashes, re.repeatCrashes = max(re.crashes, 1), min(re.repeatCrashes, blockRepeatCrashes-1)
+	for len(re.trials) >= blockTrialCrashes {
 		last := len(re.trials) - 1
-		delete(tb.claims, re.trials[last])
+		delete(tb.attributions, re.trials[last])
 		re.trials = re.trials[:last]
 	}
 }
 
-// nameOf names a server's process to other VMs.
-func nameOf(pr origin.Process) string { return pr.ID + "@" + strconv.FormatInt(pr.Born, 10) }
+// processName returns the name of a server's process in shared records.
+func processName(pr origin.Process) string { return pr.ID + "@" + strconv.FormatInt(pr.Born, 10) }
--- a/core/poison/word.go
+++ b/core/poison/word.go
@@ -2,23 +2,23 @@
 
 import "github.com/go-faster/errors"
 
-// A record as a word that VMs pass on to each other at once: the fingerprint, and each
-// trial's name behind its length.
+// The compact encoding of a record in hints between VMs: the fingerprint, followed by each
+// trial's name, prefixed with its length in one byte.
 
 const (
-	// mostWordTrials and mostNameLen bound what a word names; a server's name is shorter.
-	mostWordTrials = 4
-	mostNameLen    = 255
+	// maxHintTrials and maxNameLen bound the encoded names; names of servers are shorter.
+	maxHintTrials = 4
+	maxNameLen    = 255
 )
 
-var errWord = errors.New("it ends too soon, or goes on")
+var errHintLength = errors.New("record truncated or too long")
 
-// Word is the record as a word. Names beyond the first ones, and those that are too long,
-// are left out: others hear of them by way of the store.
+// Word returns the compact encoding. Further names, and names that are too long, are left out;
+// other VMs get them through the store.
 func (rd Record) Word() string {
 	out := append([]byte(nil), rd.Fingerprint[:]...)
 	for n, name := range rd.Trials {
-		if n == mostWordTrials || len(name) > mostNameLen {
+		if n == maxHintTrials || len(name) > maxNameLen {
 			break
 		}
 		out = append(out, byte(len(name)))
@@ -27,18 +27,18 @@
 	return string(out)
 }
 
-// ParseWord reads what Word wrote.
+// ParseWord parses the result of Word.
 func ParseWord(word string) (Record, error) {
 	var rd Record
 	if len(word) < len(rd.Fingerprint) {
-		return rd, &Error{Op: "poison.ParseWord", Kind: KindFormat, Err: errWord}
+		return rd, &Error{Op: "poison.ParseWord", Kind: KindFormat, Err: errHintLength}
 	}
 	copy(rd.Fingerprint[:], word)
 	rest := word[len(rd.Fingerprint):]
 	for len(rest) > 0 {
 		size := int(rest[0])
-		if len(rest) < 1+size || len(rd.Trials) == mostWordTrials {
-			return Record{}, &Error{Op: "poison.ParseWord", Kind: KindFormat, Err: errWord}
+		if len(rest) < 1+size || len(rd.Trials) == maxHintTrials {
+			return Record{}, &Error{Op: "poison.ParseWord", Kind: KindFormat, Err: errHintLength}
 		}
 		rd.Trials = append(rd.Trials, rest[1:1+size])
 		rest = rest[1+size:]
--- a/core/poison/word_test.go
+++ b/core/poison/word_test.go
@@ -9,21 +9,21 @@
 	"laburnumvane/core/poison"
 )
 
-func TestWord(t *testing.T) {
+func TestWordRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, trials := range [][]string{nil, {"a@0"}, {"a@0", "b@17"}} {
-		want := poison.Record{Fingerprint: numbered(7), Trials: trials}
+		want := poison.Record{Fingerprint: fingerprint(7), Trials: trials}
 		got, err := poison.ParseWord(want.Word())
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
-	long := poison.Record{Fingerprint: numbered(7), Trials: []string{"a", strings.Repeat("b", 300)}}
+	long := poison.Record{Fingerprint: fingerprint(7), Trials: []string{"a", strings.Repeat("b", 300)}}
 	got, err := poison.ParseWord(long.Word())
 	is.NoErr(err)
 	is.Equal(got.Trials, []string{"a"})
 }
 
-// Whatever another VM passes on must not end this one.
+// Messages of other VMs must not panic this one, and the encoding must be unambiguous.
 func FuzzWord(f *testing.F) {
 	f.Add("")
 	f.Add(poison.Record{Trials: []string{"a@0", "b@0"}}.Word())
