--- a/core/ticket/bound_test.go
+++ b/core/ticket/bound_test.go
@@ -7,9 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A caller gets "not run" and comes back with the same ticket for ever. The
-// lists beside the table must not remember each time.
-func TestReleasedTicketsLeaveNothing(t *testing.T) {
+// A caller gets "not run" and retries with the same ticket forever. The auxiliary lists of the
+// table must not grow with each retry.
+func TestReleasedTicketsAreRemoved(t *testing.T) {
 	is := is.New(t)
 	tb := New[string](Config{Addr: "vm1", Incarnation: 1, Secret: []byte("s"), TTL: time.Hour, Cap: 8})
 	token := tb.Issue(0, "wash")
@@ -17,10 +17,10 @@
 		tb.Release(tb.Begin(0, token, "wash", 1).Number)
 	}
 	is.Equal(tb.Len(), 0)
-	is.True(len(tb.ends) <= listSlack+2)
+	is.True(len(tb.byExpiry) <= listSlack+2)
 }
 
-// Tickets are used shortly before their expiry, behind one that lives long.
+// Many tickets are used shortly before their expiry, after one that is kept for long.
 func TestFinishedListIsBounded(t *testing.T) {
 	is := is.New(t)
 	tb := New[string](Config{Addr: "vm1", Incarnation: 1, Secret: []byte("s"), TTL: time.Hour, Cap: 8})
@@ -35,5 +35,5 @@
 	is.True(tb.Len() <= 3)
 	is.True(tb.Bytes() <= 15)
 	is.True(len(tb.finished) <= listSlack+8)
-	is.True(len(tb.ends) <= listSlack+8)
+	is.True(len(tb.byExpiry) <= listSlack+8)
 }
--- a/core/ticket/doc.go
+++ b/core/ticket/doc.go
@@ -1,6 +1,6 @@
-// Package ticket makes a request that must not be repeated run at most once. A
-// ticket is an idempotency token that only the process that issued it will run;
-// that process keeps what became of it in memory until it expires.
+// Package ticket makes a request that must not be repeated run at most once. A ticket is an
+// idempotency token that only the issuing process accepts; that process keeps the result in
+// memory until the ticket expires.
 //
 // # Usage
 //
@@ -19,24 +19,22 @@
 //		// forward to vd.Issuer
 //	}
 //
-// A Table is not safe for use from several goroutines.
+// A Table is not safe for concurrent use.
 //
-// # Why it is enough
+// # Why no store is needed
 //
-// No store is asked, so no lost answer, pause or partition of one can run a
-// request twice. If the issuer is gone, its memory is gone with it, and no other
-// process accepts its tickets: a request can be lost, but not run again. A pause
-// of the issuer stops its clock's users along with it: the table and the expiry
-// are judged by the same process.
+// No external store is involved, so no lost answer, pause or partition of a store can make a
+// request run twice. If the issuer's process ends, its memory is lost, and no other process
+// accepts its tickets: the request may be lost, but cannot run again. A pause of the issuer is
+// harmless, since the same process evaluates both the table and the expiry.
 //
-// # What a verdict promises
+// # What the verdicts guarantee
 //
-// Full, Forged, OtherTeam and OtherBody say that this attempt did not run; Full
-// also that no earlier one did, for a ticket that was used is remembered until
-// it expires. After Void, Expired and Forgotten an earlier attempt may have run
-// (after Forgotten it has), so none of them may be reported as "not run".
+// Full, Forged, OtherTeam and OtherBody mean that this attempt did not run. Full also means that
+// no earlier one did, since used tickets are remembered until they expire. After Void, Expired
+// and Forgotten an earlier attempt may have run (after Forgotten it has), so these must not be
+// reported as "not run".
 //
-// Memory is bounded by the number of tickets in use, in all and for one team,
-// and by the bytes of their answers. An answer that has to go leaves its ticket
-// marked as used.
+// Memory is bounded by the number of used tickets, in total and per team, and by the size of
+// their answers. If an answer is dropped, its ticket stays marked as used.
 package ticket
--- a/core/ticket/example_test.go
+++ b/core/ticket/example_test.go
@@ -7,8 +7,8 @@
 	"laburnumvane/core/ticket"
 )
 
-// A client takes a ticket ahead, sends its request, loses the reply, and asks
-// again with the same ticket: it gets the first run's answer.
+// A client obtains a ticket in advance, sends its request, loses the reply, and retries with the
+// same ticket: it gets the answer of the first run.
 func ExampleTable() {
 	tb := ticket.New[string](ticket.Config{
 		Addr:        "10.0.0.1:7003",
@@ -35,7 +35,7 @@
 	// 1 ran before: member m17
 }
 
-// A ticket comes to another process, which reads from it whom to ask.
+// A ticket arrives at another process, which reads the issuer's address from it.
 func ExampleTable_Begin_elsewhere() {
 	cfg := ticket.Config{Addr: "10.0.0.1:7003", Incarnation: 42, Secret: []byte("a"), TTL: time.Minute, Cap: 10}
 	token := ticket.New[string](cfg).Issue(0, "wash")
--- a/core/ticket/expiry.go
+++ b/core/ticket/expiry.go
@@ -6,30 +6,30 @@
 	"time"
 )
 
-// expiry is when a used ticket may be forgotten.
+// expiry is the time after which a used ticket may be removed.
 type expiry struct {
 	number uint64
 	at     time.Duration
 }
 
-// expiries is a heap, the earliest first.
-type expiries []expiry
+// expiryQueue is a priority queue, earliest expiry first.
+type expiryQueue []expiry
 
-func (ex *expiries) push(one expiry) {
-	heap.Push((*expiryHeap)(ex), one)
+func (ex *expiryQueue) push(entry expiry) {
+	heap.Push((*expiryHeap)(ex), entry)
 }
 
-func (ex *expiries) pop() expiry {
+func (ex *expiryQueue) pop() expiry {
 	return heap.Pop((*expiryHeap)(ex)).(expiry)
 }
 
-// keep drops all entries that keep does not want.
-func (ex *expiries) keep(keep func(expiry) bool) {
-	*ex = slices.DeleteFunc(*ex, func(one expiry) bool { return !keep(one) })
+// retain removes all entries for which keep returns false.
+func (ex *expiryQueue) retain(keep func(expiry) bool) {
+	*ex = slices.DeleteFunc(*ex, func(entry expiry) bool { return !keep(entry) })
 	heap.Init((*expiryHeap)(ex))
 }
 
-// expiryHeap has the methods that the library asks for.
+// expiryHeap implements heap.Interface.
 type expiryHeap []expiry
 
 func (eh expiryHeap) Len() int           { return len(eh) }
@@ -43,7 +43,7 @@
 func (eh *expiryHeap) Pop() any {
 	old := *eh
 	last := len(old) - 1
-	one := old[last]
+	entry := old[last]
 	*eh = old[:last]
-	return one
+	return entry
 }
--- a/core/ticket/property_test.go
+++ b/core/ticket/property_test.go
@@ -10,38 +10,38 @@
 	"laburnumvane/core/ticket"
 )
 
-// fleet is three VMs that come and go, and what has really run.
+// fleet is three VMs that restart, and a record of what really ran.
 type fleet struct {
-	now     time.Duration
-	vms     []*ticket.Table[string]
-	lives   uint64
-	tickets []string
-	// runs counts, for each ticket, the runs begun and not released.
+	now          time.Duration
+	vms          []*ticket.Table[string]
+	incarnations uint64
+	tickets      []string
+	// runs counts, by ticket, the runs that were begun and not released.
 	runs    map[string]int
-	running []running
+	running []activeRun
 }
 
-type running struct {
-	vm     int
-	life   uint64
-	number uint64
-	ticket string
+type activeRun struct {
+	vm          int
+	incarnation uint64
+	number      uint64
+	ticket      string
 }
 
-func (fl *fleet) boot(vm int) {
-	fl.lives++
+func (fl *fleet) restart(vm int) {
+	fl.incarnations++
 	fl.vms[vm] = ticket.New[string](ticket.Config{
 		Addr:        fmt.Sprint("vm", vm),
-		Incarnation: fl.lives,
-		Secret:      []byte(fmt.Sprint("secret ", fl.lives)),
+		Incarnation: fl.incarnations,
+		Secret:      []byte(fmt.Sprint("secret ", fl.incarnations)),
 		TTL:         ttl,
 		Cap:         6,
 		MaxBytes:    40,
 	})
 }
 
-// use presents a ticket to a VM, which forwards once.
-func (fl *fleet) use(rt *rapid.T, vm int, token string, body uint64) {
+// present presents a ticket to a VM, which forwards it at most once.
+func (fl *fleet) present(rt *rapid.T, vm int, token string, body uint64) {
 	vd := fl.vms[vm].Begin(fl.now, token, "wash", body)
 	if vd.Kind == ticket.VerdictElsewhere {
 		var at int
@@ -57,46 +57,45 @@
 		if fl.runs[token] > 1 {
 			rt.Fatalf("ticket ran %d times", fl.runs[token])
 		}
-		fl.running = append(fl.running, running{vm: vm, number: vd.Number, ticket: token, life: fl.lives})
+		fl.running = append(fl.running, activeRun{vm: vm, number: vd.Number, ticket: token, incarnation: fl.incarnations})
 	case ticket.VerdictFull:
 		if fl.runs[token] > 0 {
-			rt.Fatal("called full, which promises that it never ran")
+			rt.Fatal("verdict full for a ticket that ran")
 		}
 	case ticket.VerdictAnswered:
 		if vd.Answer != token {
-			rt.Fatal("another ticket's answer")
+			rt.Fatal("answer of another ticket")
 		}
 	case ticket.VerdictElsewhere:
 		rt.Fatal("forwarded twice")
 	}
 }
 
-// end lets a run finish: answered, or released as certainly not run. A run whose
-// VM has died since finishes into the memory of nobody.
-func (fl *fleet) end(i int, released bool, alive bool) {
-	rn := fl.running[i]
+// finish ends a run: answered, or released as not run. The result of a run whose VM has restarted
+// since is lost.
+func (fl *fleet) finish(i int, released bool, alive bool) {
+	run := fl.running[i]
 	fl.running = append(fl.running[:i], fl.running[i+1:]...)
 	if !alive {
 		return
 	}
 	if released {
-		fl.runs[rn.ticket]--
-		fl.vms[rn.vm].Release(rn.number)
+		fl.runs[run.ticket]--
+		fl.vms[run.vm].Release(run.number)
 		return
 	}
-	fl.vms[rn.vm].Finish(rn.number, rn.ticket, 10)
+	fl.vms[run.vm].Finish(run.number, run.ticket, 10)
 }
 
-// Tickets are used again and again, on any VM, while VMs die and come back at
-// the same address, time jumps, runs end late or not at all, and the table
-// overflows. No ticket ever runs twice.
+// Tickets are used repeatedly, on any VM, while VMs restart at the same address, time jumps, runs
+// end late or never, and the table overflows. No ticket runs twice.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fl := &fleet{vms: make([]*ticket.Table[string], 3), runs: make(map[string]int)}
 		born := make([]uint64, 3)
 		for vm := range fl.vms {
-			fl.boot(vm)
-			born[vm] = fl.lives
+			fl.restart(vm)
+			born[vm] = fl.incarnations
 		}
 		for range rapid.IntRange(1, 150).Draw(rt, "steps") {
 			vm := rapid.IntRange(0, 2).Draw(rt, "vm")
@@ -106,46 +105,46 @@
 			case 2, 3, 4, 5:
 				if len(fl.tickets) > 0 {
 					i := rapid.IntRange(0, len(fl.tickets)-1).Draw(rt, "ticket")
-					fl.use(rt, vm, fl.tickets[i], uint64(rapid.IntRange(1, 2).Draw(rt, "body")))
+					fl.present(rt, vm, fl.tickets[i], uint64(rapid.IntRange(1, 2).Draw(rt, "body")))
 				}
 			case 6, 7:
 				if len(fl.running) > 0 {
 					i := rapid.IntRange(0, len(fl.running)-1).Draw(rt, "run")
-					rn := fl.running[i]
-					fl.end(i, rapid.Bool().Draw(rt, "released"), rn.life >= born[rn.vm])
+					run := fl.running[i]
+					fl.finish(i, rapid.Bool().Draw(rt, "released"), run.incarnation >= born[run.vm])
 				}
 			case 8:
 				fl.now += time.Duration(rapid.IntRange(0, 40).Draw(rt, "jump")) * time.Second
 			case 9:
-				fl.boot(vm)
-				born[vm] = fl.lives
+				fl.restart(vm)
+				born[vm] = fl.incarnations
 			}
 			if fl.vms[vm].Len() > 6 || fl.vms[vm].Bytes() > 40 {
-				rt.Fatal("memory out of bounds")
+				rt.Fatal("table exceeds its bounds")
 			}
 		}
 	})
 }
 
-// A token is altered in any byte: it is never taken for a first use.
+// A token with any byte changed is never accepted as a first use.
 func TestAlteredToken(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := newTable("vm1", 1)
 		token := []byte(tb.Issue(0, "wash"))
 		i := rapid.IntRange(0, len(token)-1).Draw(rt, "byte")
-		to := rapid.Byte().Draw(rt, "value")
-		if token[i] == to {
+		value := rapid.Byte().Draw(rt, "value")
+		if token[i] == value {
 			return
 		}
-		token[i] = to
+		token[i] = value
 		if vd := tb.Begin(0, string(token), "wash", 1); vd.Kind == ticket.VerdictRun {
-			rt.Fatalf("byte %d changed to %q and it would run", i, to)
+			rt.Fatalf("byte %d changed to %q, and the token was accepted", i, value)
 		}
 	})
 }
 
-// Whatever a caller sends for a ticket, it is refused or names an issuer, and
-// never runs: nobody but the table can make one.
+// Any text that a caller sends as a ticket is refused or names an issuer, and never runs, since
+// only the table can sign tickets.
 func FuzzToken(f *testing.F) {
 	genuine := newTable("vm1", 1).Issue(0, "wash")
 	f.Add(genuine[:len(genuine)-2])
@@ -162,17 +161,17 @@
 		case ticket.VerdictForged, ticket.VerdictVoid:
 		case ticket.VerdictElsewhere:
 			if !ok || is != vd.Issuer {
-				t.Fatalf("issuer %v, read as %v", vd.Issuer, is)
+				t.Fatalf("verdict names issuer %v, IssuerOf returns %v", vd.Issuer, is)
 			}
 		case ticket.VerdictRun:
 			if text != genuine {
-				t.Fatal("a token that was never issued would run")
+				t.Fatal("a token that was never issued was accepted")
 			}
 		default:
 			t.Fatalf("verdict %d", vd.Kind)
 		}
 		if vd.Kind != ticket.VerdictRun && tb.Len() != 0 {
-			t.Fatal("a refused token takes memory")
+			t.Fatal("a refused token takes memory in the table")
 		}
 	})
 }
--- a/core/ticket/table.go
+++ b/core/ticket/table.go
@@ -8,67 +8,67 @@
 
 // Defaults of a Config.
 const (
-	// DefaultMaxBytes bounds the answers kept.
+	// DefaultMaxBytes bounds the total size of the kept answers.
 	DefaultMaxBytes = 16 << 20
-	// teamShare is the part of the table that one team may fill.
-	teamShare = 2
-	// listSlack is how many entries of tickets that are gone the lists may
-	// hold beside as many as there are tickets.
+	// One team may use 1/teamDivisor of the table.
+	teamDivisor = 2
+	// listSlack is how many entries of removed tickets the auxiliary lists may hold, in addition
+	// to as many as there are used tickets.
 	listSlack = 64
 )
 
-// Config sets a table. All fields but MaxBytes are required.
+// Config holds the parameters of a Table. All fields but Shared and MaxBytes are required.
 type Config struct {
-	// Addr and Incarnation name this process to other VMs.
+	// Addr and Incarnation identify this process to other VMs.
 	Addr        string
 	Incarnation uint64
-	// Secret signs tickets; it lives at least as long as the process.
+	// Secret signs tickets. It must not change while the process runs.
 	Secret []byte
-	// Shared tells that all VMs have the same Secret, so that each can check
-	// the tickets of others before it asks their issuer.
+	// Shared is set if all VMs have the same Secret, so that each can verify the tickets of
+	// others before it asks their issuer.
 	Shared bool
-	// TTL is how long a ticket may be used, counted from its issue.
+	// TTL is how long a ticket may be used after it was issued.
 	TTL time.Duration
-	// Cap bounds the used tickets remembered. One team has at most half.
+	// Cap is the maximum number of used tickets. One team may have at most half of it.
 	Cap int
-	// MaxBytes bounds the answers kept, by the sizes given to Finish.
+	// MaxBytes bounds the kept answers, by the sizes passed to Finish; 0 is DefaultMaxBytes.
 	MaxBytes int
 }
 
-// VerdictKind says what to do with a request that carries a ticket.
+// VerdictKind is the kind of a Verdict.
 type VerdictKind uint8
 
 // Verdicts.
 const (
-	// VerdictRun: first use; run it, then call Finish or Release.
+	// VerdictRun: first use; run the request, then call Finish or Release.
 	VerdictRun VerdictKind = iota + 1
 	// VerdictWait: the first use is still running.
 	VerdictWait
-	// VerdictAnswered: Answer holds the first use's answer.
+	// VerdictAnswered: Answer holds the answer of the first use.
 	VerdictAnswered
-	// VerdictForgotten: it ran, and its answer was dropped to save memory.
+	// VerdictForgotten: the request ran, and its answer was dropped to save memory.
 	VerdictForgotten
-	// VerdictUnverified: another VM's by its address, but not signed with the
-	// shared secret. It is forged, or was issued under another secret: while
-	// secrets are exchanged an earlier use may have run.
+	// VerdictUnverified: by its address the ticket is another VM's, but it is not signed with the
+	// shared secret. It is forged, or was signed with another secret: while secrets are being
+	// rotated, an earlier use may have run.
 	VerdictUnverified
-	// VerdictElsewhere: Issuer must be asked.
+	// VerdictElsewhere: the request has to be forwarded to Issuer.
 	VerdictElsewhere
 	// VerdictVoid: issued by an earlier process at this address.
 	VerdictVoid
-	// VerdictExpired: too old; an earlier use may have run.
+	// VerdictExpired: the ticket expired; an earlier use may have run.
 	VerdictExpired
-	// VerdictForged: not a ticket of any VM, or altered.
+	// VerdictForged: not a ticket of any VM, or modified.
 	VerdictForged
 	// VerdictOtherTeam: issued to another team.
 	VerdictOtherTeam
-	// VerdictOtherBody: used before with another request.
+	// VerdictOtherBody: used before with a different request.
 	VerdictOtherBody
-	// VerdictFull: no memory to remember its use; it did not run.
+	// VerdictFull: there is no capacity to record the use; the request did not run.
 	VerdictFull
 )
 
-// Verdict is what to do with a request.
+// Verdict tells what to do with a request that carries a ticket.
 type Verdict[A any] struct {
 	Kind   VerdictKind
 	Number uint64
@@ -76,21 +76,21 @@
 	Issuer Issuer
 }
 
-// Table remembers the tickets that were used.
+// Table records the tickets that were used.
 type Table[A any] struct {
 	cfg    Config
 	issued uint64
-	used   map[uint64]*use[A]
+	used   map[uint64]*ticketUse[A]
 	teams  map[string]int
-	// ends orders the used tickets by expiry: they are not used in the order
-	// of their issue.
-	ends expiries
-	// finished lists tickets with a kept answer, the oldest first.
+	// byExpiry orders the used tickets by expiry, since they may be used in another order than
+	// they were issued.
+	byExpiry expiryQueue
+	// finished lists the tickets with a kept answer, oldest first.
 	finished []uint64
 	bytes    int
 }
 
-type use[A any] struct {
+type ticketUse[A any] struct {
 	team   string
 	body   uint64
 	state  useState
@@ -106,15 +106,15 @@
 	useForgotten
 )
 
-// New makes an empty table.
+// New returns an empty table.
 func New[A any](cfg Config) *Table[A] {
 	if cfg.MaxBytes == 0 {
 		cfg.MaxBytes = DefaultMaxBytes
 	}
-	return &Table[A]{cfg: cfg, used: make(map[uint64]*use[A]), teams: make(map[string]int)}
+	return &Table[A]{cfg: cfg, used: make(map[uint64]*ticketUse[A]), teams: make(map[string]int)}
 }
 
-// Issue makes a ticket for a team. It costs no memory until it is used.
+// Issue returns a new ticket for a team. It takes no memory until it is used.
 func (tb *Table[A]) Issue(now time.Duration, team string) string {
 	tb.issued++
 	tk := token{
@@ -128,7 +128,7 @@
 	return tk.encode()
 }
 
-// Begin judges a request that carries a ticket. Body is a hash of the request.
+// Begin returns the verdict on a request that carries a ticket. Body is a hash of the request.
 func (tb *Table[A]) Begin(now time.Duration, text, team string, body uint64) Verdict[A] {
 	tb.expire(now)
 	tk, ok := decode(text)
@@ -136,8 +136,7 @@
 		return Verdict[A]{Kind: VerdictForged}
 	}
 	if tk.Addr != tb.cfg.Addr {
-		// Unchecked, a forged ticket makes this VM send a request to
-		// whatever address it names.
+		// Without this check, a forged ticket could make this VM send a request to any address.
 		if tb.cfg.Shared && !hmac.Equal(tk.MAC, tk.sign(tb.cfg.Secret)) {
 			return Verdict[A]{Kind: VerdictUnverified}
 		}
@@ -155,13 +154,14 @@
 	if now >= tk.Expires {
 		return Verdict[A]{Kind: VerdictExpired}
 	}
-	return tb.use(tk, body)
+	return tb.beginVerified(tk, body)
 }
 
-func (tb *Table[A]) use(tk token, body uint64) Verdict[A] {
+// beginVerified returns the verdict on a ticket that this process issued for the team.
+func (tb *Table[A]) beginVerified(tk token, body uint64) Verdict[A] {
 	us, ok := tb.used[tk.Number]
 	if !ok {
-		return tb.first(tk, body)
+		return tb.firstUse(tk, body)
 	}
 	if us.body != body {
 		return Verdict[A]{Kind: VerdictOtherBody}
@@ -176,30 +176,31 @@
 	}
 }
 
-func (tb *Table[A]) first(tk token, body uint64) Verdict[A] {
+// firstUse records the first use of a ticket.
+func (tb *Table[A]) firstUse(tk token, body uint64) Verdict[A] {
 	if tb.full(tk.Team) {
 		return Verdict[A]{Kind: VerdictFull}
 	}
-	tb.used[tk.Number] = &use[A]{team: tk.Team, body: body}
+	tb.used[tk.Number] = &ticketUse[A]{team: tk.Team, body: body}
 	tb.teams[tk.Team]++
-	tb.ends.push(expiry{number: tk.Number, at: tk.Expires})
+	tb.byExpiry.push(expiry{number: tk.Number, at: tk.Expires})
 	tb.compact()
 	return Verdict[A]{Kind: VerdictRun, Number: tk.Number}
 }
 
-// full keeps one team from taking the whole table: a team that uses up tickets
-// at a hundred times its rate must not stop those of the others.
+// full also limits each team's share of the table: a team that uses tickets at a hundred times
+// its usual rate must not block the other teams.
 func (tb *Table[A]) full(team string) bool {
-	share := max(1, tb.cfg.Cap/teamShare)
-	return len(tb.used) >= tb.cfg.Cap || tb.teams[team] >= share
+	perTeam := max(1, tb.cfg.Cap/teamDivisor)
+	return len(tb.used) >= tb.cfg.Cap || tb.teams[team] >= perTeam
 }
 
-// Finish keeps the answer of a ticket's first use. The size is in bytes; where
-// there is no more room, older answers are dropped, and their tickets stay used.
+// Finish records the answer to a ticket's first use. Size is in bytes. If the answers exceed
+// MaxBytes, the oldest are dropped, and their tickets stay used.
 func (tb *Table[A]) Finish(number uint64, answer A, size int) {
 	us, ok := tb.used[number]
 	if !ok || us.state != useRunning {
-		// It ran on beyond its expiry; nobody may ask for it any more.
+		// The run finished after the ticket expired; it cannot be asked for any more.
 		return
 	}
 	if size > tb.cfg.MaxBytes {
@@ -210,27 +211,26 @@
 	tb.bytes += size
 	tb.finished = append(tb.finished, number)
 	for tb.bytes > tb.cfg.MaxBytes {
-		tb.dropOldest()
+		tb.dropOldestAnswer()
 	}
 }
 
-func (tb *Table[A]) dropOldest() {
+func (tb *Table[A]) dropOldestAnswer() {
 	number := tb.finished[0]
 	tb.finished = tb.finished[1:]
-	// Those that expired have given their bytes back already.
+	// The bytes of expired tickets were subtracted already.
 	if us, ok := tb.used[number]; ok && us.state == useAnswered {
-		tb.forget(us)
+		tb.dropAnswer(us)
 	}
 }
 
-func (tb *Table[A]) forget(us *use[A]) {
+func (tb *Table[A]) dropAnswer(us *ticketUse[A]) {
 	var none A
 	tb.bytes -= us.size
 	us.state, us.answer, us.size = useForgotten, none, 0
 }
 
-// Release takes back a first use that did certainly not run, so that the same
-// ticket can be used again.
+// Release undoes a first use that certainly did not run, so that the ticket can be used again.
 func (tb *Table[A]) Release(number uint64) {
 	us, ok := tb.used[number]
 	if !ok || us.state != useRunning {
@@ -239,27 +239,27 @@
 	tb.remove(number, us)
 }
 
-// Len is the number of used tickets remembered.
+// Len returns the number of used tickets.
 func (tb *Table[A]) Len() int {
 	return len(tb.used)
 }
 
-// Bytes is the size of the answers kept.
+// Bytes returns the total size of the kept answers.
 func (tb *Table[A]) Bytes() int {
 	return tb.bytes
 }
 
-// expire forgets tickets that Begin would refuse as expired anyway.
+// expire removes tickets that Begin would refuse as expired anyway.
 func (tb *Table[A]) expire(now time.Duration) {
-	for len(tb.ends) > 0 && tb.ends[0].at <= now {
-		number := tb.ends.pop().number
+	for len(tb.byExpiry) > 0 && tb.byExpiry[0].at <= now {
+		number := tb.byExpiry.pop().number
 		if us, ok := tb.used[number]; ok {
 			tb.remove(number, us)
 		}
 	}
 }
 
-func (tb *Table[A]) remove(number uint64, us *use[A]) {
+func (tb *Table[A]) remove(number uint64, us *ticketUse[A]) {
 	tb.bytes -= us.size
 	delete(tb.used, number)
 	if tb.teams[us.team]--; tb.teams[us.team] == 0 {
@@ -267,13 +267,13 @@
 	}
 }
 
-// compact rebuilds the lists that still name tickets which are gone, so that a
-// ticket released and used again for ever does not fill the memory.
+// compact removes entries of removed tickets from the auxiliary lists, so that a ticket that is
+// released and used again repeatedly does not fill the memory.
 func (tb *Table[A]) compact() {
-	most := 2*len(tb.used) + listSlack
-	if len(tb.ends) > most {
+	limit := 2*len(tb.used) + listSlack
+	if len(tb.byExpiry) > limit {
 		seen := make(map[uint64]bool, len(tb.used))
-		tb.ends.keep(func(ex expiry) bool {
+		tb.byExpiry.retain(func(ex expiry) bool {
 			if _, ok := tb.used[ex.number]; !ok || seen[ex.number] {
 				return false
 			}
@@ -281,7 +281,7 @@
 			return true
 		})
 	}
-	if len(tb.finished) > most {
+	if len(tb.finished) > limit {
 		tb.finished = slices.DeleteFunc(tb.finished, func(number uint64) bool {
 			us, ok := tb.used[number]
 			return !ok || us.state != useAnswered
--- a/core/ticket/table_test.go
+++ b/core/ticket/table_test.go
@@ -24,7 +24,7 @@
 	})
 }
 
-// What a caller may be told about a ticket, by what became of it.
+// The verdict on a ticket for each state of its use.
 func TestVerdicts(t *testing.T) {
 	cases := []struct {
 		name string
@@ -34,32 +34,32 @@
 		{"first use", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictRun},
-		{"again while it runs", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"repeated while running", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Begin(0, token, "wash", 1)
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictWait},
-		{"the reply was lost", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"repeated after the reply was lost", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Finish(tb.Begin(0, token, "wash", 1).Number, "found", 5)
 			return tb.Begin(ttl-1, token, "wash", 1)
 		}, ticket.VerdictAnswered},
-		{"again after it was released", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"repeated after release", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Release(tb.Begin(0, token, "wash", 1).Number)
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictRun},
-		{"released after it was answered", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"released after the answer", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			number := tb.Begin(0, token, "wash", 1).Number
 			tb.Finish(number, "found", 5)
 			tb.Release(number)
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictAnswered},
-		{"another request", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"different request", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Begin(0, token, "wash", 1)
 			return tb.Begin(0, token, "wash", 2)
 		}, ticket.VerdictOtherBody},
-		{"another team", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"different team", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			return tb.Begin(0, token, "enrol", 1)
 		}, ticket.VerdictOtherTeam},
-		{"the issuer slept past the expiry", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"issuer paused past the expiry", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Begin(0, token, "wash", 1)
 			return tb.Begin(ttl, token, "wash", 1)
 		}, ticket.VerdictExpired},
@@ -69,16 +69,16 @@
 			tb.Finish(vd.Number, "found", 5)
 			return tb.Begin(ttl, token, "wash", 1)
 		}, ticket.VerdictExpired},
-		{"the issuer was restarted", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"issuer restarted", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
 			return newTable("vm1", 2).Begin(0, token, "wash", 1)
 		}, ticket.VerdictVoid},
-		{"another VM", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"different VM", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
 			return newTable("vm2", 1).Begin(0, token, "wash", 1)
 		}, ticket.VerdictElsewhere},
-		{"cut short", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"truncated", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			return tb.Begin(0, token[:len(token)-1], "wash", 1)
 		}, ticket.VerdictForged},
-		{"signed by somebody else", func(tb *ticket.Table[string], _ string) ticket.Verdict[string] {
+		{"signed with another secret", func(tb *ticket.Table[string], _ string) ticket.Verdict[string] {
 			other := ticket.New[string](ticket.Config{Addr: "vm1", Incarnation: 1, Secret: []byte("guess"), TTL: ttl, Cap: 8})
 			return tb.Begin(0, other.Issue(0, "wash"), "wash", 1)
 		}, ticket.VerdictForged},
@@ -88,30 +88,30 @@
 		{"too long", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			return tb.Begin(0, token+strings.Repeat("A", 1000), "wash", 1)
 		}, ticket.VerdictForged},
-		{"its team has its half of the table", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"team's half of the table is full", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			for range 4 {
 				tb.Begin(0, tb.Issue(0, "wash"), "wash", 1)
 			}
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictFull},
-		{"another team has its half", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"another team's half is full", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			for range 9 {
 				tb.Begin(0, tb.Issue(0, "enrol"), "enrol", 1)
 			}
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictRun},
-		{"full, and then others expire", func(tb *ticket.Table[string], _ string) ticket.Verdict[string] {
+		{"full, then tickets expire", func(tb *ticket.Table[string], _ string) ticket.Verdict[string] {
 			for range 4 {
 				tb.Begin(0, tb.Issue(0, "wash"), "wash", 1)
 			}
 			return tb.Begin(ttl, tb.Issue(ttl, "wash"), "wash", 1)
 		}, ticket.VerdictRun},
-		{"its answer had to go", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"answer dropped", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Finish(tb.Begin(0, token, "wash", 1).Number, "found", 60)
 			tb.Finish(tb.Begin(0, tb.Issue(0, "wash"), "wash", 1).Number, "found", 60)
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictForgotten},
-		{"its answer was too large to keep", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
+		{"answer too large to keep", func(tb *ticket.Table[string], token string) ticket.Verdict[string] {
 			tb.Finish(tb.Begin(0, token, "wash", 1).Number, "found", 101)
 			return tb.Begin(0, token, "wash", 1)
 		}, ticket.VerdictForgotten},
@@ -134,19 +134,19 @@
 	}
 }
 
-// Tickets are used in another order than they were issued: each is forgotten at
-// its own expiry, and no sooner, or it could run again.
+// Tickets are used in another order than they were issued: each must be removed at its own expiry
+// and not earlier, or it could run again.
 func TestExpiryOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	tb := newTable("vm1", 1)
-	old := tb.Issue(0, "wash")
-	young := tb.Issue(30*time.Second, "wash")
-	tb.Begin(31*time.Second, young, "wash", 1)
-	tb.Begin(32*time.Second, old, "wash", 1)
-	is.Equal(tb.Begin(61*time.Second, old, "wash", 1).Kind, ticket.VerdictExpired)
+	first := tb.Issue(0, "wash")
+	second := tb.Issue(30*time.Second, "wash")
+	tb.Begin(31*time.Second, second, "wash", 1)
+	tb.Begin(32*time.Second, first, "wash", 1)
+	is.Equal(tb.Begin(61*time.Second, first, "wash", 1).Kind, ticket.VerdictExpired)
 	is.Equal(tb.Len(), 1)
-	is.Equal(tb.Begin(61*time.Second, young, "wash", 1).Kind, ticket.VerdictWait)
-	is.Equal(tb.Begin(91*time.Second, young, "wash", 1).Kind, ticket.VerdictExpired)
+	is.Equal(tb.Begin(61*time.Second, second, "wash", 1).Kind, ticket.VerdictWait)
+	is.Equal(tb.Begin(91*time.Second, second, "wash", 1).Kind, ticket.VerdictExpired)
 	is.Equal(tb.Len(), 0)
 }
 
--- a/core/ticket/token.go
+++ b/core/ticket/token.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Issuer names the process that issued a ticket.
+// Issuer identifies the process that issued a ticket.
 type Issuer struct {
 	Addr        string
 	Incarnation uint64
 }
 
-// token is the content of a ticket. Callers must treat it as opaque.
+// token is the content of a ticket. It is opaque to clients.
 type token struct {
 	Addr        string        `json:"a"`
 	Incarnation uint64        `json:"i"`
@@ -24,14 +24,14 @@
 	MAC         []byte        `json:"m,omitempty"`
 }
 
-// maxTokenLen bounds what is decoded.
+// maxTokenLen is the maximum length of a token that is decoded.
 const maxTokenLen = 512
 
 func (tk token) sign(secret []byte) []byte {
 	tk.MAC = nil
 	raw, err := json.Marshal(tk)
 	if err != nil {
-		// A struct of plain fields always encodes.
+		// A struct of plain fields can always be encoded.
 		panic(err)
 	}
 	mac := hmac.New(sha256.New, secret)
@@ -62,7 +62,7 @@
 	return tk, true
 }
 
-// IssuerOf reads who issued a ticket; only that process can verify it.
+// IssuerOf returns the issuer that a ticket names, without verifying it.
 func IssuerOf(text string) (Issuer, bool) {
 	tk, ok := decode(text)
 	return Issuer{Addr: tk.Addr, Incarnation: tk.Incarnation}, ok && tk.Addr != ""
