--- a/core/record/record.go
+++ b/core/record/record.go
@@ -1,13 +1,11 @@
-// Package record joins the fixed-size records of many shards into the greatest
-// of all.
+// Package record merges the fixed-size records of many shards and selects the greatest ones.
 //
 // # Usage
 //
 //	body := record.Greatest(parts, 20)
 //
-// A shard's records come in no order and are compared byte by byte. Records
-// that are equal all count. What is left of a part behind its last whole record
-// is no record.
+// The records of a shard are unordered and are compared byte by byte. Equal records are all kept.
+// An incomplete record at the end of a part is ignored.
 package record
 
 import (
@@ -18,7 +16,7 @@
 // Size is the length of a record, in bytes.
 const Size = 16
 
-// Greatest returns the limit greatest records of all parts, greatest first.
+// Greatest returns the greatest records of all parts, at most limit, in descending order.
 func Greatest(parts [][]byte, limit int) []byte {
 	if limit <= 0 {
 		return nil
@@ -33,9 +31,8 @@
 	return bytes.Join(kept, nil)
 }
 
-// insert puts a record into its place and drops what is beyond the limit. Most
-// records of a large gather are below the last one kept, so that one comparison
-// is all that they cost.
+// insert inserts a record in order and drops what exceeds the limit. Most records of a large
+// gather are below the last one kept and cost a single comparison.
 func insert(kept [][]byte, rec []byte, limit int) [][]byte {
 	if len(kept) == limit && bytes.Compare(rec, kept[limit-1]) <= 0 {
 		return kept
--- a/core/record/record_test.go
+++ b/core/record/record_test.go
@@ -20,13 +20,13 @@
 		limit int
 		want  []byte
 	}{
-		{"none", nil, 3, nil},
-		{"of two parts", [][]byte{rec(1), rec(2)}, 3, append(rec(2), rec(1)...)},
+		{"no parts", nil, 3, nil},
+		{"two parts", [][]byte{rec(1), rec(2)}, 3, append(rec(2), rec(1)...)},
 		{"limit", [][]byte{append(rec(1), rec(3)...), rec(2)}, 2, append(rec(3), rec(2)...)},
-		{"equal ones all count", [][]byte{rec(2), rec(2)}, 3, append(rec(2), rec(2)...)},
-		{"the rest is no record", [][]byte{append(rec(1), 9, 9, 9)}, 3, rec(1)},
+		{"equal records are all kept", [][]byte{rec(2), rec(2)}, 3, append(rec(2), rec(2)...)},
+		{"incomplete record is ignored", [][]byte{append(rec(1), 9, 9, 9)}, 3, rec(1)},
 		{"bytes above 127", [][]byte{rec(200), rec(100)}, 1, rec(200)},
-		{"no limit, no record", [][]byte{rec(1)}, 0, nil},
+		{"limit 0", [][]byte{rec(1)}, 0, nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -36,16 +36,15 @@
 	}
 }
 
-// However the records lie in the parts, the answer is what sorting all of them
-// gives.
-func TestGreatestIsSorted(t *testing.T) {
+// For any distribution of records over the parts, the result equals that of sorting all of them.
+func TestGreatestMatchesSort(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
-		one := rapid.SliceOfN(rapid.ByteRange(0, 2), record.Size, record.Size)
+		genRecord := rapid.SliceOfN(rapid.ByteRange(0, 2), record.Size, record.Size)
 		parts := make([][]byte, rapid.IntRange(0, 5).Draw(rt, "parts"))
 		var all [][]byte
 		for i := range parts {
-			for _, rc := range rapid.SliceOfN(one, 0, 8).Draw(rt, "records") {
+			for _, rc := range rapid.SliceOfN(genRecord, 0, 8).Draw(rt, "records") {
 				parts[i] = append(parts[i], rc...)
 				all = append(all, rc)
 			}
