--- a/core/sched/queue.go
+++ b/core/sched/queue.go
@@ -1,19 +1,19 @@
-// Package sched keeps things in the order of their times.
+// Package sched provides a priority queue of items, ordered by the time at which each is due.
 //
 // # Usage
 //
 //	var qu sched.Queue[view.ServerID]
 //	qu.Push(now+time.Second, id)
 //	for id, ok := qu.Pop(now); ok; id, ok = qu.Pop(now) {
-//		// id's time has come
+//		// id is due
 //	}
 //
-// Items that are due at the same time come out in the order in which they were
-// pushed. Otherwise a run would depend on how the heap lies, and a small change
-// elsewhere would give a session other actions.
+// Items that are due at the same time are returned in the order in which they were pushed.
+// Otherwise the order would depend on the layout of the heap, and a simulation run would change
+// with any small change elsewhere.
 //
-// It is a binary heap without container/heap's interface, so that a push
-// allocates nothing but the slice's growth. The zero value is empty and usable.
+// The queue is a binary heap that does not use container/heap, so that Push allocates only when
+// the slice grows. The zero value is an empty queue.
 package sched
 
 import (
@@ -21,7 +21,7 @@
 	"time"
 )
 
-// Queue holds items with the time at which each is due.
+// Queue holds items with the time at which each is due. It is not safe for concurrent use.
 type Queue[T any] struct {
 	items  []item[T]
 	pushes uint64
@@ -37,10 +37,10 @@
 	return it.at < other.at || it.at == other.at && it.no < other.no
 }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (qu *Queue[T]) Len() int { return len(qu.items) }
 
-// Next is the earliest time; false where the queue is empty.
+// Next returns the earliest time; false if the queue is empty.
 func (qu *Queue[T]) Next() (time.Duration, bool) {
 	if len(qu.items) == 0 {
 		return 0, false
@@ -48,8 +48,7 @@
 	return qu.items[0].at, true
 }
 
-// All gives the items that wait, in no particular order but the same one in
-// every run.
+// All iterates over the items in no particular order, which is the same in every run.
 func (qu *Queue[T]) All() iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for _, it := range qu.items {
@@ -75,7 +74,7 @@
 	}
 }
 
-// Pop takes the earliest item if its time has come.
+// Pop removes and returns the earliest item if it is due.
 func (qu *Queue[T]) Pop(now time.Duration) (T, bool) {
 	if at, ok := qu.Next(); !ok || at > now {
 		var none T
@@ -87,11 +86,11 @@
 	q[0] = q[last]
 	q[last] = item[T]{}
 	qu.items = q[:last]
-	qu.sink()
+	qu.siftDown()
 	return first, true
 }
 
-func (qu *Queue[T]) sink() {
+func (qu *Queue[T]) siftDown() {
 	q := qu.items
 	for i := 0; ; {
 		child := 2*i + 1
--- a/core/sched/queue_test.go
+++ b/core/sched/queue_test.go
@@ -12,7 +12,7 @@
 	"laburnumvane/core/sched"
 )
 
-// entry is an item with its number among all that were pushed.
+// entry is an item with its sequence number.
 type entry struct {
 	at time.Duration
 	no int
@@ -22,8 +22,8 @@
 	return cmp.Or(cmp.Compare(en.at, other.at), cmp.Compare(en.no, other.no))
 }
 
-// Items come out in the order of their times, those of one time in the order in
-// which they were pushed, and never before they are due.
+// Items are returned in the order of their times, those of the same time in the order of their
+// pushes, and never before they are due.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
