--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -77,7 +77,7 @@
 	bu.units.Add(scale)
 }
 
-// Spend takes one token and tells whether one was available.
+// Spend takes one token and reports whether one was available.
 func (bu *Budget) Spend() bool {
 	for {
 		have := bu.units.Load()
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -42,7 +42,7 @@
 	bu.Charge(4)
 	is.Equal(bu.Tokens(), -2)
 	bu.Earn(4)
-	is.Equal(bu.Spend(), false) //  the debt is paid, but no token is left
+	is.Equal(bu.Spend(), false) // the debt is paid, but no token is left
 	bu.Earn(2)
 	is.Equal(bu.Spend(), true)
 	bu.Refund()
@@ -82,5 +82,5 @@
 	}
 	is.Equal(bu.Tokens(), 1350)
 	bu.Earn(10)
-	is.Equal(bu.Tokens(), 1350) //  a small round adds nothing beyond its own maximum, and removes nothing
+	is.Equal(bu.Tokens(), 1350) // a small round adds nothing beyond its own maximum, and removes nothing
 }
--- a/core/cover/cover.go
+++ b/core/cover/cover.go
@@ -12,10 +12,10 @@
 //
 // # Why
 //
-// The parts from one data centre are sent as one merged answer, which takes a quarter of the
+// The parts from one data centre are sent as one joined answer, which takes a quarter of the
 // bytes of single ones, but only if there are enough of them to justify the additional hop. If
 // the data centre is drawn for each shard separately, two dozen remote parts are spread over six
-// data centres, four each, and hardly any are merged. Selecting the data centres with the most
+// data centres, four each, and hardly any are joined. Selecting the data centres with the most
 // shards needs only three of them.
 //
 // Selection is greedy: the largest group first, then the largest among the remaining shards.
--- a/core/cover/cover_test.go
+++ b/core/cover/cover_test.go
@@ -42,8 +42,8 @@
 // Traffic between a fleet's seven data centres is paid for. Each of 42 shards has its three
 // servers in three of the seven, so 24 parts are remote. Drawn one by one they are spread over
 // six data centres, and two in five end up in groups that are too small; selected together nearly
-// all are merged.
-func TestRemotePartsAreMerged(t *testing.T) {
+// all are joined.
+func TestRemotePartsAreJoined(t *testing.T) {
 	is := is.New(t)
 	const shards, dataCentres, replicas, minSize, requests = 42, 7, 3, 5, 200
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -53,7 +53,7 @@
 			dataCentresOf[shard] = append(dataCentresOf[shard], fmt.Sprint(k))
 		}
 	}
-	remote, mergedSingle, mergedPlanned, used := 0, 0, 0, map[string]int{}
+	remote, joinedSingle, joinedPlanned, used := 0, 0, 0, map[string]int{}
 	for range requests {
 		var pl cover.Planner
 		drawn := map[string]int{}
@@ -67,20 +67,20 @@
 		}
 		for _, n := range drawn {
 			if n >= minSize {
-				mergedSingle += n
+				joinedSingle += n
 			}
 		}
 		for _, dataCentre := range pl.Choose(minSize, rnd.Float64) {
-			mergedPlanned++
+			joinedPlanned++
 			used[dataCentre]++
 		}
 	}
 	// The parts that are sent singly fall from 39 to 9 of 100 remote parts.
-	is.True(float64(remote-mergedPlanned) < 0.3*float64(remote-mergedSingle))
+	is.True(float64(remote-joinedPlanned) < 0.3*float64(remote-joinedSingle))
 	// One data centre has 21 of the 24 shards and must not get all of them every time, so that
 	// the VMs here do not all use the same servers.
 	for _, n := range used {
-		is.True(float64(n) < 0.45*float64(mergedPlanned))
+		is.True(float64(n) < 0.45*float64(joinedPlanned))
 	}
 }
 
--- a/core/fanout/config.go
+++ b/core/fanout/config.go
@@ -52,7 +52,7 @@
 	// to a single server first.
 	Suspect bool
 	// TrialGap is how long after a crash the result of a trial takes to become known. Blocked
-	// tells whether the request is known to crash servers by now; nil means never.
+	// reports whether the request is known to crash servers by now; nil means never.
 	TrialGap time.Duration
 	Blocked  func() bool
 	// Draw returns a uniform random number in [0, 1), which selects the shard of a trial.
--- a/core/fanout/crash_test.go
+++ b/core/fanout/crash_test.go
@@ -86,11 +86,11 @@
 		maxServers int
 	}{
 		{10, 30 * ms, 10 + 2},
-		{10, 70 * ms, 10 + 1 + 2}, //  one hedge is sent before the first crash
+		{10, 70 * ms, 10 + 1 + 2}, // one hedge is sent before the first crash
 		{10, 120 * ms, 10 + 2 + 2},
 		{36, 30 * ms, 36 + 2},
 		{54, 70 * ms, 54 + 1 + 2},
-		{1, 30 * ms, 2}, //  as many as the route allows
+		{1, 30 * ms, 2}, // as many as the route allows
 	} {
 		t.Run(fmt.Sprintf("%d shards, %v", tc.shards, tc.crashAfter), func(t *testing.T) {
 			is := is.New(t)
@@ -224,7 +224,7 @@
 	is.Equal(sent, 1)
 	is.Equal(tried, 1)
 	sent, _ = countTrials(mc.Step(60*ms, served(1)))
-	is.Equal(sent, 8+1) //  the other shards, and a hedge for the late one
+	is.Equal(sent, 8+1) // the other shards, and a hedge for the late one
 }
 
 // All ten servers are late and none has answered, so the cause is not the individual servers. One
--- a/core/fanout/event.go
+++ b/core/fanout/event.go
@@ -29,7 +29,7 @@
 	Doubted
 )
 
-// MayHaveRun tells whether a request with this verdict has to be treated as run.
+// MayHaveRun reports whether a request with this verdict has to be treated as run.
 func (ve Verdict) MayHaveRun() bool {
 	return ve == Served || ve == Failed || ve == Lost
 }
--- a/core/fanout/joined.go
+++ b/core/fanout/joined.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// StepAll processes results that arrived merged into one. All of them are recorded before
-// anything is decided. If one of the shards already has another winner, all of them count as
-// Lost, since the records of that shard cannot be separated from the rest.
+// StepAll processes the results of a joined answer: one in which a VM in another data centre
+// combines the answers of several shards. All results are recorded before anything is decided. If
+// one of the served shards already has another winner, all served results count as Lost, since the
+// records of that shard cannot be separated from the rest.
 func (mc *Machine) StepAll(now time.Duration, evs []Event) []Action {
 	mc.actions = mc.actions[:0]
 	usable := true
@@ -30,7 +31,7 @@
 	}
 }
 
-// Release undoes Hold: the result of attempt k will arrive unmerged.
+// Release undoes Hold: the result of attempt k will arrive on its own.
 func (mc *Machine) Release(k int) {
 	at := &mc.attempts[k]
 	if sh := &mc.shards[at.shard]; sh.hedgeAt > 0 && !mc.answered {
--- a/core/fanout/joined_test.go
+++ b/core/fanout/joined_test.go
@@ -19,10 +19,10 @@
 	return n
 }
 
-// Three results arrive merged, after the target time and with one shard still open. Their records
-// cannot be separated, so an answer given after only some of them were processed would contain
-// records of a shard that it does not list.
-func TestMergedResultsAreProcessedTogether(t *testing.T) {
+// A joined answer with three results arrives after the target time, with one shard still open.
+// Their records cannot be separated, so an answer given after only some results were processed
+// would contain records of a shard that it does not list.
+func TestJoinedResultsAreProcessedTogether(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(4, 1))
 	mc.Start(0)
@@ -37,9 +37,9 @@
 	is.Equal(last.Answer.Missing, 1)
 }
 
-// No hedge is sent while an attempt's answer may arrive merged with others, since the two answers
-// could not be told apart. Once Release says that the result arrives on its own, a hedge is sent
-// as soon as the attempt is late.
+// No hedge is sent while an attempt's answer may arrive joined with others, since the records of
+// the two answers could not be separated. After Release, the result is known to arrive on its
+// own, and a hedge is sent as soon as the attempt is late.
 func TestHoldDelaysHedges(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
@@ -53,10 +53,10 @@
 	is.Equal(countSends(mc.Step(81*ms, fanout.Event{Kind: fanout.EvWake})), 1)
 }
 
-// The VM that merges answers is paused. Hedges are sent meanwhile, one of them is answered, and
-// then the merged answer arrives. It also contains records of that shard, which cannot be
+// The VM that joins answers is paused. Hedges are sent meanwhile, one of them is answered, and
+// then the joined answer arrives. It also contains records of that shard, which cannot be
 // separated, so all of it has to be discarded.
-func TestMergedResultsAfterAnotherWinner(t *testing.T) {
+func TestJoinedResultsAfterAnotherWinner(t *testing.T) {
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
 	mc.Start(0)
--- a/core/fanout/machine.go
+++ b/core/fanout/machine.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// cannotSucceed tells whether so many shards have failed that fewer than MinParts are left.
+// cannotSucceed reports whether so many shards have failed that fewer than MinParts are left.
 func (mc *Machine) cannotSucceed() bool { return mc.cfg.Shards-mc.failed < mc.cfg.MinParts }
 
 // discardAttempts drops the attempts of Start before the caller has received them.
@@ -299,7 +299,7 @@
 	return true
 }
 
-// needed tells whether the request fails if the current shard does not answer. A hedge is needed
+// needed reports whether the request fails if the current shard does not answer. A hedge is needed
 // if so many shards are late that fewer than MinParts would have answered at the target time.
 func (mc *Machine) needed(ca Cause) bool {
 	spare := mc.cfg.Shards - mc.cfg.MinParts - mc.failed
@@ -395,7 +395,7 @@
 	}
 }
 
-// failureOutcome tells whether a failed request may have run.
+// failureOutcome reports whether a failed request may have run.
 func (mc *Machine) failureOutcome() Outcome {
 	for k := range mc.attempts {
 		ve := mc.attempts[k].verdict
--- a/core/hedge/hedge_test.go
+++ b/core/hedge/hedge_test.go
@@ -105,7 +105,7 @@
 		tr.Observe(latency)
 	}
 	is.True(tr.Delay() > 10*time.Millisecond)
-	tr.GaveUp(time.Microsecond) //  shorter than the delay, so it must be ignored
+	tr.GaveUp(time.Microsecond) // shorter than the delay, so it must be ignored
 }
 
 func latencies() []time.Duration {
--- a/core/merge/merge_test.go
+++ b/core/merge/merge_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// The result has the first Limit members of all hits, and truncated tells exactly whether there
+// The result has the first Limit members of all hits, and truncated reports exactly whether there
 // were others, however few hits are kept in between and in whatever order the shards answer.
 func TestMergerKeepsFirst(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/core/poison/record.go
+++ b/core/poison/record.go
@@ -71,7 +71,7 @@
 	everShared bool
 }
 
-// shouldBlock tells whether the evidence is sufficient to block the request.
+// shouldBlock reports whether the evidence is sufficient to block the request.
 func (re *record) shouldBlock() bool {
 	return len(re.trials) >= blockTrialCrashes || re.repeatCrashes >= blockRepeatCrashes
 }
--- a/core/poison/sim_flight_test.go
+++ b/core/poison/sim_arrival_test.go
@@ -133,7 +133,7 @@
 		ar.reachedServer = true
 		ft.reachedAt[ar.fp] = append(ft.reachedAt[ar.fp], ft.now)
 	}
-	ft.flights[sv] = append(ft.flights[sv], at)
+	ft.attempts[sv] = append(ft.attempts[sv], at)
 	generation := sv.generation
 	if ar.crashes {
 		ft.schedule(timeToCrash, func() {
--- a/core/poison/sim_world_test.go
+++ b/core/poison/sim_fleet_test.go
@@ -54,9 +54,9 @@
 	events eventQueue
 	vms    []*simVM
 	// servers are listed by shard and replica; each restart of one is another process.
-	servers [][]*simServer
-	flights map[*simServer][]*simAttempt
-	lastKey int
+	servers     [][]*simServer
+	attempts    map[*simServer][]*simAttempt
+	lastRequest int
 
 	// crashedAt holds when servers crashed under each crashing request, and reachedAt when its
 	// arrivals first reached one.
@@ -95,7 +95,7 @@
 
 func newFleet(cfg fleetConfig, seed uint64) *fleet {
 	ft := &fleet{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 1)), flights: map[*simServer][]*simAttempt{}, counts: map[string]int{},
+		cfg: cfg, rnd: rand.New(rand.NewPCG(seed, 1)), attempts: map[*simServer][]*simAttempt{}, counts: map[string]int{},
 		crashedAt: map[poison.Fingerprint][]time.Duration{}, reachedAt: map[poison.Fingerprint][]time.Duration{},
 		servers: make([][]*simServer, cfg.shards),
 	}
@@ -143,8 +143,8 @@
 	gap := time.Second / time.Duration(ft.cfg.rate)
 	var next func()
 	next = func() {
-		ft.lastKey++
-		ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], fingerprint(ft.lastKey), false, 1)
+		ft.lastRequest++
+		ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], fingerprint(ft.lastRequest), false, 1)
 		if ft.now < until {
 			ft.schedule(time.Duration(ft.rnd.ExpFloat64()*float64(gap)), next)
 		}
@@ -152,21 +152,21 @@
 	ft.schedule(0, next)
 }
 
-// pollEvery is how often, on average, each of some callers repeats its request.
+// repeatInterval is the mean interval at which each of repeatingCallers repeats its request.
 const (
-	pollEvery = 1500 * ms
-	pollers   = 6
+	repeatInterval   = 1500 * ms
+	repeatingCallers = 6
 )
 
 // sendRepeated sends repeated harmless requests: they run on several VMs when servers crash, and
 // again at later crashes.
 func (ft *fleet) sendRepeated(until time.Duration) {
-	for n := range pollers {
+	for n := range repeatingCallers {
 		var next func()
 		next = func() {
 			ft.arrive(ft.vms[ft.rnd.IntN(len(ft.vms))], fingerprint(2_000_000+n), false, 1)
 			if ft.now < until {
-				ft.schedule(time.Duration(ft.rnd.ExpFloat64()*float64(pollEvery)), next)
+				ft.schedule(time.Duration(ft.rnd.ExpFloat64()*float64(repeatInterval)), next)
 			}
 		}
 		ft.schedule(0, next)
--- a/core/poison/sim_server_test.go
+++ b/core/poison/sim_server_test.go
@@ -28,8 +28,8 @@
 	sv.down = true
 	ft.counts["ended"]++
 	pr := sv.up.Process()
-	attempts := ft.flights[sv]
-	ft.flights[sv] = nil
+	attempts := ft.attempts[sv]
+	ft.attempts[sv] = nil
 	for _, at := range attempts {
 		if at.closed {
 			continue
--- a/core/poison/sim_test.go
+++ b/core/poison/sim_test.go
@@ -105,7 +105,7 @@
 					is.Equal(ft.counts["others refused"], 0)
 					ended += ft.counts["ended"]
 					served += ft.counts["others served"]
-					arrived += ft.lastKey
+					arrived += ft.lastRequest
 				}
 				t.Logf("%d servers crashed per run; %.3f of the other requests served", ended / *seeds, float64(served)/float64(arrived))
 			})
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Empty tells whether the table has no records.
+// Empty reports whether the table has no records.
 func (tb *Table) Empty() bool { return tb.count.Load() == 0 }
 
 // Len returns the number of records.
@@ -213,7 +213,7 @@
 	return append(tb.attributeAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
 }
 
-// Blocked tells whether a request is blocked.
+// Blocked reports whether a request is blocked.
 func (tb *Table) Blocked(now time.Duration, fp Fingerprint) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/core/poison/table_test.go
+++ b/core/poison/table_test.go
@@ -207,7 +207,7 @@
 	is.Equal(stateOf(tb, 2*second, fp), poison.Suspect)
 	is.Equal(stateOf(tb, 12*second, fp), poison.Clear)
 	is.Equal(stateOf(tb, 15*second, fp), poison.Clear)
-	is.True(tb.Empty()) //  no record is left that requests would have to look up
+	is.True(tb.Empty()) // no record is left that requests would have to look up
 	tb.Hint(20*second, poison.Record{Fingerprint: fp})
 	tb.Answered(21*second, fp)
 	tb.Hint(22*second, poison.Record{Fingerprint: fp})
--- a/core/poison/trial.go
+++ b/core/poison/trial.go
@@ -22,7 +22,7 @@
 	overlapped bool
 }
 
-// Place tells how a request ran on a server.
+// Place is how a request ran on a server.
 type Place uint8
 
 // Kinds of runs.
@@ -49,7 +49,7 @@
 	tr.overlapped = tr.overlapped || tr.open > 1
 }
 
-// EndTrial records the end of a trial and tells whether it was the only one on the server.
+// EndTrial records the end of a trial and reports whether it was the only one on the server.
 func (tb *Table) EndTrial(pr origin.Process) Place {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -67,7 +67,7 @@
 	return ExclusiveTrial
 }
 
-// OnTrial tells whether a request is being tried on a server.
+// OnTrial reports whether a request is being tried on a server.
 func (tb *Table) OnTrial(pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -91,19 +91,19 @@
 func (tb *Table) Ready(now time.Duration, ups []*origin.Upstream) (ready []*origin.Upstream) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	var waits []*origin.Upstream
+	var queued []*origin.Upstream
 	for _, up := range ups {
 		st, seen := tb.stats[up.Process()]
 		switch {
 		case !seen || st.report.currentPace(now) >= slowPace:
 		case st.report.queueWait(now) > 0:
-			waits = append(waits, up)
+			queued = append(queued, up)
 		default:
 			ready = append(ready, up)
 		}
 	}
 	if len(ready) == 0 {
-		return waits
+		return queued
 	}
 	return ready
 }
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -20,9 +20,10 @@
 	// is passed over only for a clear gain.
 	remoteCostRatio = 1.6
 	remoteCostMin   = 5 * time.Millisecond
-	// mergedCostRatio is the share of that extra cost for a server whose answer is sent merged
-	// with others from its data centre: it saves a request, headers and a body.
-	mergedCostRatio = 0.25
+	// joinedCostRatio is the share of that extra cost for a server whose answer is sent joined
+	// with others from its data centre: it takes a receipt instead of a request, headers and a
+	// body.
+	joinedCostRatio = 0.25
 	// A server with requests in flight counts as silent once it has not answered for silentRatio
 	// times the usual latency, and for at least silentMin.
 	silentRatio = 2.5
@@ -120,7 +121,7 @@
 	// a hedge would be sent anyway. A pause that ends earlier costs the request nothing, while
 	// avoiding it costs traffic between data centres.
 	Slack time.Duration
-	// Joined is the data centre whose answer would be sent merged with others; empty if there is
+	// Joined is the data centre whose answer would be sent joined with others; empty if there is
 	// none.
 	Joined string
 	// Told lets the load reports of servers influence the cost.
@@ -164,7 +165,7 @@
 	if up.DataCentre != tb.cfg.DataCentre && !tb.cfg.Off.Off(toggle.Nearness) {
 		remoteCost := max(remoteCostRatio*float64(usual), float64(remoteCostMin))
 		if up.DataCentre == ki.Joined {
-			remoteCost *= mergedCostRatio
+			remoteCost *= joinedCostRatio
 		}
 		cost += remoteCost
 	}
@@ -295,7 +296,7 @@
 	st.avoidUntil = max(st.avoidUntil, now+avoidTime)
 }
 
-// Sound tells whether a server counts as healthy: not slow, silent or avoided, and without recent
+// Sound reports whether a server counts as healthy: not slow, silent or avoided, and without recent
 // refusals or failures.
 func (tb *Table) Sound(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
@@ -309,7 +310,7 @@
 		weight*(st.failureRate+st.refusalRate) < healthyFailures && st.silence(now) == 0 && now >= st.avoidUntil
 }
 
-// Doubted tells whether a server is slow, or silent for longer than expected.
+// Doubted reports whether a server is slow, or silent for longer than expected.
 func (tb *Table) Doubted(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -331,7 +332,7 @@
 }
 
 // SoundPlaces returns the data centres, other than this VM's own, that have a healthy server
-// among ups; near tells whether this VM's own has one.
+// among ups; near reports whether this VM's own has one.
 func (tb *Table) SoundPlaces(now time.Duration, ups []*origin.Upstream) (near bool, places []string) {
 	for _, up := range ups {
 		switch {
--- a/core/steer/steer_test.go
+++ b/core/steer/steer_test.go
@@ -238,7 +238,7 @@
 	is.Equal(pick(after), "a")
 }
 
-// A merged answer waits for its slowest server, so only healthy servers are asked together.
+// A joined answer waits for its slowest server, so only healthy servers are asked together.
 func TestSound(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/core/ticket/table.go
+++ b/core/ticket/table.go
@@ -68,7 +68,7 @@
 	VerdictFull
 )
 
-// Verdict tells what to do with a request that carries a ticket.
+// Verdict is the decision on a request that carries a ticket.
 type Verdict[A any] struct {
 	Kind   VerdictKind
 	Number uint64
--- a/core/valve/valve.go
+++ b/core/valve/valve.go
@@ -88,7 +88,7 @@
 	return &Valve{cfg: cfg, share: 1, step: cfg.Step}
 }
 
-// Admit tells whether to admit a request. Level is 0 for the most urgent kind that shares the
+// Admit reports whether to admit a request. Level is 0 for the most urgent kind that shares the
 // servers; less urgent kinds are refused first. Draw is a uniform random number in [0, 1).
 func (va *Valve) Admit(level int, draw float64) bool {
 	va.mu.Lock()
