--- a/core/feed/absence.go
+++ b/core/feed/absence.go
@@ -2,64 +2,66 @@
 
 import "time"
 
-// sureAfter is how much later than a failed call the store must have been heard for
-// the failure to be forgotten: more than what the ways between VMs add up to.
-const sureAfter = 250 * time.Millisecond
+// recoveryMargin is how much later than a failed call a contact with the store must be for
+// the failure to be discarded. It is more than the network delays between VMs add up to.
+const recoveryMargin = 250 * time.Millisecond
 
-// Absence tells when the store was away, from the calls to it that failed and from
-// when it was heard, here or by the VM that passed its news on. It is not safe for
-// concurrent use.
+// Absence detects outages of the store, from failed calls to it and from the times at which
+// the store was last contacted, by this VM or by the VM whose data it replicates. It is not
+// safe for concurrent use.
 //
-// That news is late shows no absence: this VM's source may have been slow, and a
-// server whose entry was removed meanwhile has left. That a call failed shows none
-// either, if the store was heard soon after. Both together do.
+// Stale data alone does not prove an outage: this VM's source may have been slow, and a
+// server whose entry was removed meanwhile has really left. A failed call alone does not
+// prove one either, if the store was contacted soon after. Both together do.
 //
-// News of the same age comes from several VMs, and each way adds a little to the
-// time at which the store seems to have been heard: a few milliseconds after a failed
-// call say nothing of a return, only what is later than the last of them does. Taken
-// for one, they made a fleet of eight forget that calls had failed; when the store was
-// back after 6 s, all 38 servers counted as gone for up to 3.5 s.
+// Several VMs may pass on data of the same age, and each network delay shifts the computed
+// time of the last contact forward a little. A contact a few milliseconds after a failed
+// call therefore does not show that the store is back; only one that is recoveryMargin later
+// than the last failure does. Without that margin, a fleet of eight discarded its failed
+// calls, and when the store was back after 6 s, all 38 servers counted as gone for up to
+// 3.5 s.
 type Absence struct {
-	ever  bool
-	heard time.Duration
-	// first and last are when calls failed since the store was heard; 0 if none
-	// did.
-	first, last time.Duration
-	returned    time.Duration
+	contacted   bool
+	lastContact time.Duration
+	// firstFailure and lastFailure bound the failed calls since the last contact; 0 if no
+	// call failed.
+	firstFailure, lastFailure time.Duration
+	returned                  time.Duration
 }
 
-// Failed takes in that a call to the store failed.
+// Failed records a failed call to the store.
 func (ab *Absence) Failed(now time.Duration) {
-	if ab.first == 0 {
-		ab.first = now
+	if ab.firstFailure == 0 {
+		ab.firstFailure = now
 	}
-	ab.last = now
+	ab.lastFailure = now
 }
 
-// Heard takes in that the store was heard, be it through others. Times that are
-// older than what is known change nothing.
+// Heard records that the store was contacted at the given time, by this VM or by another one.
+// Times up to the last known contact are ignored.
 func (ab *Absence) Heard(at time.Duration) {
-	if ab.ever && at <= ab.heard {
+	if ab.contacted && at <= ab.lastContact {
 		return
 	}
-	back := ab.ever && ab.first > 0 && at > ab.first && at-ab.heard > StaleAfter
+	back := ab.contacted && ab.firstFailure > 0 && at > ab.firstFailure && at-ab.lastContact > StaleAfter
 	if back {
 		ab.returned = at
 	}
-	if back || at > ab.last+sureAfter {
-		ab.first, ab.last = 0, 0
+	if back || at > ab.lastFailure+recoveryMargin {
+		ab.firstFailure, ab.lastFailure = 0, 0
 	}
-	ab.ever, ab.heard = true, at
+	ab.contacted, ab.lastContact = true, at
 }
 
-// Told takes in when the store returned, as another VM knows; 0 if it does not.
+// Told records when the store recovered according to another VM; 0 if that VM knows of no
+// outage.
 func (ab *Absence) Told(returned time.Duration) { ab.returned = max(ab.returned, returned) }
 
-// Ever tells whether the store was heard at all.
-func (ab *Absence) Ever() bool { return ab.ever }
+// Ever reports whether the store was ever contacted.
+func (ab *Absence) Ever() bool { return ab.contacted }
 
-// Last is when the store was heard last.
-func (ab *Absence) Last() time.Duration { return ab.heard }
+// Last returns the time of the last contact with the store.
+func (ab *Absence) Last() time.Duration { return ab.lastContact }
 
-// Returned is when the store came back after an absence; 0 if none is known.
+// Returned returns when the store recovered from its last outage; 0 if no outage is known.
 func (ab *Absence) Returned() time.Duration { return ab.returned }
--- a/core/feed/boot.go
+++ b/core/feed/boot.go
@@ -6,148 +6,150 @@
 	"time"
 )
 
-// Times of a boot.
+// Delays and time-outs of a boot.
 const (
-	// firstTime and againTime are how long a VM that boots asks other VMs only,
-	// lest the whole fleet reads the store at once: when the fleet starts for
-	// the first time, nobody waits for it yet; later, clients do, and a VM that
-	// lives and knows answers within two round trips and the opening of a
-	// connection.
-	firstTime = 1200 * time.Millisecond
-	againTime = 40 * time.Millisecond
-	// seedMost and seedLeast bound the wait for one seed. One that lost its power
-	// with this VM never answers, and others that would are not asked meanwhile; one
-	// that gives a copy needs some 40 ms for it on a small VM's link.
-	seedMost  = 150 * time.Millisecond
-	seedLeast = 40 * time.Millisecond
-	// comingMost is how long the store is left alone at most while others that boot too
-	// will have a copy soon: a fleet that lost its power would else read it 195 times
-	// at once, which takes its link half a second. One VM in readersEvery does not wait,
-	// for the seeds may be slow to read it.
-	comingMost   = 600 * time.Millisecond
-	readersEvery = 8
-	// slowLink is the rate in Mbit/s below which a VM asks the store who the others are
-	// before it reads it whole: with a large configuration that is 450 kB, and 36 ms at
-	// 100 Mbit/s. listMost is how long it leaves the store alone then: a copy from another
-	// VM takes a third of it. readerMost bounds the wait for one of those that were named:
-	// with no power it never answers, and a copy comes within 40 ms.
-	slowLink   = 100.0
-	listMost   = 300 * time.Millisecond
-	readerMost = 60 * time.Millisecond
-	// seedPause is the wait between two rounds of that. bootRetry is the wait
-	// before the store is asked again; it doubles up to bootRetryMost.
+	// firstStartDelay and restartDelay are how long a booting VM asks only other VMs, so
+	// that the whole fleet does not read the store at once. When the fleet starts for the
+	// first time, no clients are waiting yet. Later they are, and a running VM that has a
+	// copy answers within two round trips plus the opening of a connection.
+	firstStartDelay = 1200 * time.Millisecond
+	restartDelay    = 40 * time.Millisecond
+	// seedWaitMax and seedWaitMin bound the wait for one seed. A seed that lost power
+	// together with this VM never answers, and no other peer is asked meanwhile; sending a
+	// copy takes about 40 ms on a small VM's link.
+	seedWaitMax = 150 * time.Millisecond
+	seedWaitMin = 40 * time.Millisecond
+	// storeDeferMax bounds how long reading the store is deferred while other booting VMs
+	// are about to have a copy. Without it, a fleet of 195 VMs that lost power would read
+	// the store 195 times at once, which occupies its link for half a second. One VM in
+	// vmsPerReader does not defer, because the seeds may be slow to read the store.
+	storeDeferMax = 600 * time.Millisecond
+	vmsPerReader  = 8
+	// slowLinkMbps is the link rate in Mbit/s below which a VM reads the list of VMs from
+	// the store before it reads the full copy: with a large configuration the copy is
+	// 450 kB, which takes 36 ms at 100 Mbit/s. listDeferMax is how long the VM then defers
+	// reading the full copy; getting a copy from another VM takes a third of that.
+	// readerWaitMax bounds the wait for one of the listed readers: a VM without power never
+	// answers, and a copy arrives within 40 ms.
+	slowLinkMbps  = 100.0
+	listDeferMax  = 300 * time.Millisecond
+	readerWaitMax = 60 * time.Millisecond
+	// seedPause is the wait between two calls to peers. storeRetryMin is the wait before
+	// the store is asked again; it doubles up to storeRetryMax.
 	seedPause     = 30 * time.Millisecond
-	bootRetry     = 200 * time.Millisecond
-	bootRetryMost = 1500 * time.Millisecond
+	storeRetryMin = 200 * time.Millisecond
+	storeRetryMax = 1500 * time.Millisecond
 )
 
-// BootConfig sets a boot.
+// BootConfig configures a Boot.
 type BootConfig struct {
-	// Self is this VM's inner address, Seeds those of some VMs, which may be
-	// gone.
+	// Self is this VM's inner address. Seeds are the inner addresses of some VMs, which
+	// may no longer exist.
 	Self  string
 	Seeds []string
 	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
-	// LinkMbps is the rate of this VM's link, in Mbit/s; 0 if it is not known.
+	// LinkMbps is the rate of this VM's link, in Mbit/s; 0 if unknown.
 	LinkMbps float64
 	Rand     *rand.Rand
-	// Now is when the boot begins.
+	// Now is the time at which the boot begins.
 	Now time.Duration
 }
 
-// Boot decides whom a VM asks that has no copy yet: the seeds first and those that they
-// name, and on and on, since while the store turns this VM away they are the only ones
-// it knows, and each of them may be booting itself. It is not safe for concurrent use.
+// Boot selects the source from which a VM without a copy gets its first one. It asks the
+// seeds, the VMs that they name, the VMs that those name, and so on: while the store refuses
+// this VM, they are the only VMs it knows of, and each of them may be booting too. It is not
+// safe for concurrent use.
 type Boot struct {
 	cfg BootConfig
-	// peers are the seeds and those that were named.
+	// peers are the seeds and the VMs named later.
 	peers []string
-	// storeAt and seedAt are when the store and a seed are asked next.
-	storeAt, seedAt time.Duration
-	wait            time.Duration
-	// coming is set once the store was left alone for those that boot too.
-	coming bool
-	// listed is set once the store was asked who the others are, named if it told.
-	listed, named bool
+	// storeAt and peerAt are when the store and a peer are asked next.
+	storeAt, peerAt time.Duration
+	storeRetry      time.Duration
+	// deferred is set once reading the store was deferred in favour of other booting VMs.
+	deferred bool
+	// listAsked is set once the list of VMs was requested from the store, haveReaders once
+	// it named VMs that read the store.
+	listAsked, haveReaders bool
 }
 
-// NewBoot makes a boot that begins now.
+// NewBoot returns a boot that begins at cfg.Now.
 func NewBoot(cfg BootConfig) *Boot {
-	bo := &Boot{cfg: cfg, peers: slices.Clone(cfg.Seeds), wait: bootRetry, seedAt: cfg.Now}
-	bo.storeAt = cfg.Now + bo.seedTime()
+	bo := &Boot{cfg: cfg, peers: slices.Clone(cfg.Seeds), storeRetry: storeRetryMin, peerAt: cfg.Now}
+	bo.storeAt = cfg.Now + bo.seedOnlyTime()
 	return bo
 }
 
-// seedTime is how long only the seeds are asked; the seeds themselves ask the
-// store at once.
-func (bo *Boot) seedTime() time.Duration {
+// seedOnlyTime is how long only the seeds are asked. The seeds themselves ask the store at
+// once.
+func (bo *Boot) seedOnlyTime() time.Duration {
 	switch {
 	case len(bo.cfg.Seeds) == 0, bo.isSeed():
 		return 0
 	case bo.cfg.FirstStart:
-		return firstTime
+		return firstStartDelay
 	}
-	return againTime
+	return restartDelay
 }
 
-// lists tells whether this VM asks the store who the others are before it reads it. At a
-// first start nobody has an entry yet, and a seed that answered names others itself.
-func (bo *Boot) lists() bool {
-	slow := bo.cfg.LinkMbps > 0 && bo.cfg.LinkMbps < slowLink
-	return slow && !bo.listed && !bo.coming && !bo.cfg.FirstStart && !bo.isSeed()
+// needsList reports whether this VM reads the list of VMs before it reads the full copy. At a
+// first start no VM has an entry yet, and a seed that has answered names other VMs itself.
+func (bo *Boot) needsList() bool {
+	slow := bo.cfg.LinkMbps > 0 && bo.cfg.LinkMbps < slowLinkMbps
+	return slow && !bo.listAsked && !bo.deferred && !bo.cfg.FirstStart && !bo.isSeed()
 }
 
 func (bo *Boot) isSeed() bool { return slices.Contains(bo.cfg.Seeds, bo.cfg.Self) }
 
-// Next says whom to ask. For a seed, Wait is how long its answer may take.
+// Next returns what to ask next. For a peer, Step.Wait is the time-out of the call.
 func (bo *Boot) Next(now time.Duration) Step {
-	if now >= bo.storeAt && bo.lists() {
-		bo.listed = true
-		return Step{From: FromList, Wait: listMost / 2}
+	if now >= bo.storeAt && bo.needsList() {
+		bo.listAsked = true
+		return Step{From: FromList, Wait: listDeferMax / 2}
 	}
 	if now >= bo.storeAt {
-		bo.storeAt = now + bo.wait
-		bo.wait = min(2*bo.wait, bootRetryMost)
+		bo.storeAt = now + bo.storeRetry
+		bo.storeRetry = min(2*bo.storeRetry, storeRetryMax)
 		return Step{From: FromStore}
 	}
-	if now < bo.seedAt {
-		return Step{From: FromNobody, Wait: min(bo.seedAt, bo.storeAt) - now}
+	if now < bo.peerAt {
+		return Step{From: FromNobody, Wait: min(bo.peerAt, bo.storeAt) - now}
 	}
-	addr, ok := bo.seed()
+	addr, ok := bo.pickPeer()
 	if !ok {
-		bo.seedAt = now + seedPause
+		bo.peerAt = now + seedPause
 		return bo.Next(now)
 	}
-	most := seedMost
-	if bo.named {
-		most = readerMost
+	most := seedWaitMax
+	if bo.haveReaders {
+		most = readerWaitMax
 	}
-	return Step{From: FromPeer, Addr: addr, Wait: min(max(bo.storeAt-now, seedLeast), most)}
+	return Step{From: FromPeer, Addr: addr, Wait: min(max(bo.storeAt-now, seedWaitMin), most)}
 }
 
-// Listed takes in who reads the store for the others of this data centre, see Readers,
-// and whether this VM is one of them. They are asked in place of the seeds, which have
-// not answered. Where nobody is named, this VM reads the store itself.
+// Listed records which VMs of this data centre read the store for the others, see Readers,
+// and whether this VM is one of them. Those VMs replace the seeds, which have not answered.
+// If the list is empty, or names this VM, this VM reads the store itself.
 func (bo *Boot) Listed(now time.Duration, readers []string, self bool) {
-	bo.storeAt, bo.seedAt = now, now
+	bo.storeAt, bo.peerAt = now, now
 	if self || len(readers) == 0 {
 		return
 	}
-	bo.named = true
+	bo.haveReaders = true
 	bo.peers = slices.Clone(readers)
-	bo.storeAt = now + listMost/2 + time.Duration(bo.cfg.Rand.Int64N(int64(listMost/2)))
+	bo.storeAt = now + listDeferMax/2 + time.Duration(bo.cfg.Rand.Int64N(int64(listDeferMax/2)))
 }
 
-// Failed tells that what was asked gave no copy. A peer that has none to give lives, and
-// names others that have one by now; one whose machine refused the connection is about
-// to start, like this VM.
+// Failed records that a step yielded no copy. A peer without a copy to give is alive and
+// names others that have one by now. A peer whose machine refused the connection is about to
+// start, like this VM.
 func (bo *Boot) Failed(now time.Duration, st Step, rp Report) {
 	switch st.From {
 	case FromPeer:
-		bo.seedAt = now + seedPause
+		bo.peerAt = now + seedPause
 		if rp.Empty || rp.Refused {
-			bo.leaveStore()
+			bo.deferStore()
 		}
 		for _, addr := range rp.Others {
 			bo.Name(now, addr)
@@ -157,33 +159,33 @@
 	}
 }
 
-// leaveStore puts the first call to the store off, once.
-func (bo *Boot) leaveStore() {
-	if bo.coming || bo.wait != bootRetry || bo.isSeed() {
+// deferStore defers the first call to the store; later calls of deferStore have no effect.
+func (bo *Boot) deferStore() {
+	if bo.deferred || bo.storeRetry != storeRetryMin || bo.isSeed() {
 		return
 	}
-	bo.coming = true
-	if bo.cfg.Rand.IntN(readersEvery) == 0 {
+	bo.deferred = true
+	if bo.cfg.Rand.IntN(vmsPerReader) == 0 {
 		return
 	}
-	half := int64(comingMost / 2)
-	bo.storeAt = max(bo.storeAt, bo.cfg.Now+comingMost/2+time.Duration(bo.cfg.Rand.Int64N(half)))
+	half := int64(storeDeferMax / 2)
+	bo.storeAt = max(bo.storeAt, bo.cfg.Now+storeDeferMax/2+time.Duration(bo.cfg.Rand.Int64N(half)))
 }
 
-// Tells says whether this VM should have the seeds know of its copy after a step: they
-// may have none, and are asked by all others.
+// Tells reports whether this VM should announce its copy to the seeds after a step: the seeds
+// may have none, and all other VMs ask them.
 func (bo *Boot) Tells(st Step) bool { return st.From == FromStore && !bo.isSeed() }
 
-// Name adds a VM that has a copy, which can be asked at once.
+// Name adds a VM that has a copy, and allows asking a peer at once.
 func (bo *Boot) Name(now time.Duration, addr string) {
-	bo.seedAt = now
+	bo.peerAt = now
 	if addr != bo.cfg.Self && !slices.Contains(bo.peers, addr) {
 		bo.peers = append(bo.peers, addr)
 	}
 }
 
-// seed draws one of the seeds, or of those that were named.
-func (bo *Boot) seed() (string, bool) {
+// pickPeer picks a random peer; ok is false if there is none or it is this VM itself.
+func (bo *Boot) pickPeer() (string, bool) {
 	if len(bo.peers) == 0 {
 		return "", false
 	}
--- a/core/feed/doc.go
+++ b/core/feed/doc.go
@@ -1,35 +1,33 @@
-// Package feed keeps a copy of what the platform's store holds for the fleet, and
-// decides from whom each VM hears of changes.
+// Package feed keeps a replica of the entries that the platform's store holds for the fleet,
+// and selects the source from which each VM replicates: the store itself or another VM.
 //
 // # Usage
 //
 //	re := feed.NewReplica(feed.DefaultHistory)
-//	re.Reset(items, asOf)
-//	re.Apply(events, asOf)
+//	re.Take(update)
 //	up, ok := re.Since(asOf)
 //
 //	gu := feed.NewGuide(feed.GuideConfig{Self: self, Rand: rnd})
 //	gu.SetPeers(peers)
-//	st := gu.Next(now)
+//	st := gu.Next(now, age)
 //	gu.Heard(now, st, feed.Report{Age: age})
 //
-// # Who asks the store
+// # Normal operation
 //
-// A watch by each VM costs the store something for each VM, and its rates grow
-// more slowly than the fleet. So one VM watches. The first of each data centre
-// asks the first of one that ranks before it, the others ask the first of their
-// own, and each answers as the store would: what came after a revision. Bytes
-// cross between data centres once for each of them. The rank is the same
-// rendezvous order on all VMs; it needs no agreement, since two that watch do no
-// harm.
+// If every VM watched the store, the load on the store would grow with the fleet, and its
+// rate limits grow more slowly than that. So one VM watches the store. The first-ranked VM
+// of each data centre follows the first-ranked VM of a data centre that ranks before it, and
+// the other VMs follow the first-ranked VM of their own data centre. Each VM answers as the
+// store would, with the changes after a given revision. Each change crosses between data
+// centres once per data centre. All VMs compute the same rendezvous order. No agreement is
+// needed, because two VMs that both watch do no harm.
 //
-// # When the one that watches is lost
+// # Failure of the watching VM
 //
-// Each answer says how old the news is: the time since the store itself was
-// heard. A VM whose source does not answer, or has old news, passes it over,
-// and with it everybody of a lower rank does. The next one in the order then
-// asks the store; one in another data centre is asked meanwhile, for the store
-// may turn away some VMs and serve others. The lower the rank, the longer a VM
-// waits before it asks the store itself: while the store is down, a whole fleet
-// that did so at once would spend its rates on nothing.
+// Each answer carries the age of the data: the time since the store confirmed it. A VM skips
+// a source that does not answer or whose data is stale, and so do all other VMs that rank
+// after that source. The next VM in the order then asks the store. Meanwhile a VM of another
+// data centre is asked, because the store may refuse some VMs and serve others. The lower a
+// VM ranks, the longer it waits before it asks the store itself: during an outage of the
+// store, a whole fleet that asked at once would use up its rate limits for nothing.
 package feed
--- a/core/feed/guide.go
+++ b/core/feed/guide.go
@@ -9,66 +9,67 @@
 	"laburnumvane/core/retry"
 )
 
-// Times of a guide.
+// Delays of a guide.
 const (
-	// passMute is how long a peer that did not answer is not asked again.
-	passMute = 3 * time.Second
-	// passOld is how long one with old news is not asked again, passFirst the same for
-	// the first VM of a data centre: most news comes through these.
-	passOld   = time.Second
-	passFirst = 400 * time.Millisecond
-	// passEmpty is the same for one that has no copy yet: it lives, and a boot
-	// takes some tenths of a second.
-	passEmpty = 300 * time.Millisecond
-	// StaleAfter is the age of news above which another source is sought. The
-	// one that watches hears the store once in a watch's wait, 1 s, and the
-	// rest is for a slow answer.
+	// skipUnresponsive is how long a peer that did not answer is not asked again.
+	skipUnresponsive = 3 * time.Second
+	// skipStale is how long a peer with stale data is not asked again. skipStaleFirst is
+	// the same for the first-ranked VM of a data centre, through which most data passes.
+	skipStale      = time.Second
+	skipStaleFirst = 400 * time.Millisecond
+	// skipEmpty is the same for a peer that has no copy yet: it is alive, and a boot takes
+	// some tenths of a second.
+	skipEmpty = 300 * time.Millisecond
+	// StaleAfter is the age of data above which another source is sought. The VM that
+	// watches the store contacts it at least once per watch, whose wait is 1 s; the rest
+	// allows for a slow answer.
 	StaleAfter = 1800 * time.Millisecond
-	// retryFirst and retryMost bound the wait before the store is asked again
-	// after it failed; it doubles in between.
-	retryFirst = 300 * time.Millisecond
-	retryMost  = 1500 * time.Millisecond
-	// retryRanks bounds how many times longer that wait is for a VM before which
-	// others rank: what all VMs of a data centre ask together grows with the logarithm
-	// of their number.
-	retryRanks = 40
-	// rankDelay is how much longer a VM waits for each one that ranks before it, before
-	// it asks the store in their place. For those beyond the first rankFew it is
-	// rankLate: a store that has turned away so many is most likely away for all.
-	rankDelay = 200 * time.Millisecond
-	rankLate  = time.Second
-	rankFew   = 4
-	// UrgentAfter is the age of the own news above which, after a VM that did
-	// not answer, no further one is asked first but the store: where several VMs
-	// lost their power together, each of them costs a time-out, and a server that
-	// leaves meanwhile must get nothing new after 3 s. VMs that answer with old
-	// news are another matter: there it is the store that is away.
+	// storeBackoffMin and storeBackoffMax bound the wait before the store is asked again
+	// after a failure; the wait doubles in between.
+	storeBackoffMin = 300 * time.Millisecond
+	storeBackoffMax = 1500 * time.Millisecond
+	// backoffScaleMax bounds the factor by which that wait is longer for a VM of a lower
+	// rank. With that factor, the calls of all VMs of a data centre together grow with the
+	// logarithm of their number.
+	backoffScaleMax = 40
+	// rankDelay is how much longer a VM waits per VM that ranks before it, until it asks
+	// the store in their place. Beyond the first rankDelayCount of these it waits
+	// rankDelayLate per VM: a store that has refused so many VMs is most likely down for
+	// all.
+	rankDelay      = 200 * time.Millisecond
+	rankDelayLate  = time.Second
+	rankDelayCount = 4
+	// UrgentAfter is the age of this VM's data above which, after a peer did not answer,
+	// the store is asked before any other peer. Where several VMs lost power together, each
+	// of them costs a time-out, and a server that leaves meanwhile must not get new requests
+	// after 3 s. Peers that answer with stale data don't count here: in that case it is the
+	// store that is down.
 	UrgentAfter = 1500 * time.Millisecond
-	// urgentPause is the wait from one such call to the next; it doubles while
-	// they fail. Peers are asked in between, for the store may turn this VM away.
+	// urgentPause is the wait between two such calls; it doubles while they fail. Peers are
+	// asked in between, because the store may refuse this VM.
 	urgentPause = 2 * time.Second
-	// idleWait is how long to wait where nobody is left to ask.
+	// idleWait is how long to wait when no source is left to ask.
 	idleWait = 100 * time.Millisecond
-	// jitter spreads retries, as a share.
+	// jitter is the largest share by which a wait is lengthened at random.
 	jitter = 0.5
 )
 
-// From says whom to ask next.
+// From is the kind of source to ask next.
 type From uint8
 
-// Whom to ask.
+// Kinds of source.
 const (
-	// FromStore asks the platform's store.
+	// FromStore is the platform's store.
 	FromStore From = iota + 1
-	// FromPeer asks another VM.
+	// FromPeer is another VM.
 	FromPeer
-	// FromNobody waits.
+	// FromNobody means to wait without asking.
 	FromNobody
-	// FromList asks the platform's store which VMs there are, and for nothing else.
+	// FromList is the platform's store, asked for the list of VMs only.
 	FromList
 )
 
-// String is the name in logs.
+// String returns the name that logs use.
 func (fr From) String() string {
 	switch fr {
 	case FromStore:
@@ -81,114 +82,116 @@
 	return "nobody"
 }
 
-// Step is what to do next.
+// Step is what a VM does next.
 type Step struct {
 	From From
-	// Addr is the peer's inner address.
+	// Addr is the peer's inner address, for FromPeer.
 	Addr string
-	// Wait is how long to wait for FromNobody, and for a seed's answer in a boot.
+	// Wait is how long to wait for FromNobody, and the time-out of a call during a boot.
 	Wait time.Duration
 }
 
-// Report is what came of a step.
+// Report is the outcome of a step.
 type Report struct {
 	// Failed is set if there was no answer, Refused if the peer's machine refused the
-	// connection: its process is not there, or not yet. Empty is set if the peer has no
-	// copy yet, or gives none now.
+	// connection: its process is not running, or not yet. Empty is set if the peer has no
+	// copy yet or declines to give one now.
 	Failed, Refused, Empty bool
-	// Age is how old a peer's news is.
+	// Age is the age of a peer's data.
 	Age time.Duration
-	// Own is set if this VM heard the store for it, Follows if the peer follows this VM.
+	// Own is set if the peer's data comes from this VM's own call to the store, Follows if
+	// the peer follows this VM.
 	Own, Follows bool
-	// Others are VMs that a peer without a copy to give names.
+	// Others are holders of a copy, named by a peer that gives none.
 	Others []string
 }
 
-// GuideConfig sets a guide.
+// GuideConfig configures a Guide.
 type GuideConfig struct {
 	Self rank.VM
 	Rand *rand.Rand
 }
 
-// Guide decides from whom one VM hears of changes. It is not safe for concurrent
-// use.
+// Guide selects the source from which one VM replicates: the store or another VM. It is not
+// safe for concurrent use.
 type Guide struct {
 	cfg GuideConfig
-	// near are the VMs of the own data centre by rank, this one among them;
-	// far those of others, the first of each data centre first; above the
-	// first ones of the data centres that rank before the own one.
-	near []rank.VM
-	// before is how many of them rank before this one.
-	before int
-	far    []rank.VM
-	above  []rank.VM
-	// firsts are the first VMs of all data centres, by address.
+	// local are the VMs of this data centre by rank, this VM included; remote those of the
+	// other data centres, the first-ranked VM of each one first; higherFirsts the
+	// first-ranked VMs of the data centres that rank before this one.
+	local []rank.VM
+	// before is how many of the local VMs rank before this one.
+	before       int
+	remote       []rank.VM
+	higherFirsts []rank.VM
+	// firsts are the first-ranked VMs of all data centres, by address.
 	firsts map[string]bool
-	pass   map[string]time.Duration
-	// lacking is set while nobody of a better rank had fresh news when asked last,
-	// lackSince is since when.
-	lacking   bool
-	lackSince time.Duration
-	retryAt   time.Duration
-	fails     int
-	// urgentAt is when the store may be asked again for want of news.
+	// skipUntil is until when a peer is not asked, by address.
+	skipUntil map[string]time.Duration
+	// lacking is set while no VM of a better rank had fresh data when last asked,
+	// lackingSince is since when.
+	lacking      bool
+	lackingSince time.Duration
+	retryAt      time.Duration
+	storeFails   int
+	// urgentAt is the earliest time of the next urgent call to the store, see UrgentAfter.
 	urgentAt time.Duration
-	// mute is set if the VM asked last did not answer.
-	mute bool
-	// hint is a VM that had news when it asked this one; empty if none had.
-	hint string
-	// nearAt and farAt are when a VM of this data centre, and of another one, may be
-	// asked for news in a search, and old how many had old news in a row.
-	nearAt, farAt time.Duration
-	old           int
+	// unresponsive is set if the VM asked last did not answer.
+	unresponsive bool
+	// suggested is a VM that had fresh data when it asked this one; empty if none had.
+	suggested string
+	// localAt and remoteAt are the earliest times at which a search may ask a VM of this
+	// data centre and one of another; staleInRow is how many peers in a row had stale data.
+	localAt, remoteAt time.Duration
+	staleInRow        int
 }
 
-// watchSalt sets the order of those that watch the store apart from others.
+// watchSalt makes the order of the VMs that watch the store independent of other orders.
 const watchSalt = "watch"
 
-// NewGuide makes a guide that knows no peers.
+// NewGuide returns a guide without peers.
 func NewGuide(cfg GuideConfig) *Guide {
-	gu := &Guide{cfg: cfg, pass: make(map[string]time.Duration)}
+	gu := &Guide{cfg: cfg, skipUntil: make(map[string]time.Duration)}
 	gu.SetPeers(nil)
 	return gu
 }
 
-// SetPeers takes the other VMs.
+// SetPeers replaces the list of VMs; it may include this VM.
 func (gu *Guide) SetPeers(peers []rank.VM) {
 	self := gu.cfg.Self
-	byPlace := map[string][]rank.VM{self.DataCentre: {self}}
+	byDC := map[string][]rank.VM{self.DataCentre: {self}}
 	for _, vm := range peers {
 		if vm.Addr != self.Addr {
-			byPlace[vm.DataCentre] = append(byPlace[vm.DataCentre], vm)
+			byDC[vm.DataCentre] = append(byDC[vm.DataCentre], vm)
 		}
 	}
-	gu.near = rank.Order(byPlace[self.DataCentre], watchSalt)
-	gu.before = slices.IndexFunc(gu.near, func(vm rank.VM) bool { return vm.Addr == self.Addr })
-	gu.far, gu.above = nil, nil
-	gu.firsts = map[string]bool{gu.near[0].Addr: true}
+	gu.local = rank.Order(byDC[self.DataCentre], watchSalt)
+	gu.before = slices.IndexFunc(gu.local, func(vm rank.VM) bool { return vm.Addr == self.Addr })
+	gu.remote, gu.higherFirsts = nil, nil
+	gu.firsts = map[string]bool{gu.local[0].Addr: true}
 	var rest []rank.VM
 	passedOwn := false
-	for _, place := range placeOrder(byPlace) {
-		if place == self.DataCentre {
+	for _, dc := range dataCentreOrder(byDC) {
+		if dc == self.DataCentre {
 			passedOwn = true
 			continue
 		}
-		vms := rank.Order(byPlace[place], watchSalt)
+		vms := rank.Order(byDC[dc], watchSalt)
 		if !passedOwn {
-			gu.above = append(gu.above, vms[0])
+			gu.higherFirsts = append(gu.higherFirsts, vms[0])
 		}
-		gu.far = append(gu.far, vms[0])
+		gu.remote = append(gu.remote, vms[0])
 		gu.firsts[vms[0].Addr] = true
 		rest = append(rest, vms[1:]...)
 	}
-	gu.far = append(rank.Order(gu.far, self.Addr), rank.Order(rest, self.Addr)...)
+	gu.remote = append(rank.Order(gu.remote, self.Addr), rank.Order(rest, self.Addr)...)
 }
 
-// placeOrder ranks the data centres.
-func placeOrder(byPlace map[string][]rank.VM) []string {
-	vms := make([]rank.VM, 0, len(byPlace))
-	for place := range byPlace {
-		vms = append(vms, rank.VM{Addr: place})
+// dataCentreOrder ranks the data centres.
+func dataCentreOrder(byDC map[string][]rank.VM) []string {
+	vms := make([]rank.VM, 0, len(byDC))
+	for dc := range byDC {
+		vms = append(vms, rank.VM{Addr: dc})
 	}
 	names := make([]string, len(vms))
 	for i, vm := range rank.Order(vms, watchSalt) {
@@ -197,148 +200,150 @@
 	return names
 }
 
-// Next says whom to ask; age is that of this VM's own news.
+// Next returns what to ask next; age is the age of this VM's own data.
 func (gu *Guide) Next(now, age time.Duration) Step {
 	if gu.urgent(now, age) {
 		return Step{From: FromStore}
 	}
-	if hint := gu.takeHint(); hint != "" && age > StaleAfter {
+	if hint := gu.takeSuggested(); hint != "" && age > StaleAfter {
 		return Step{From: FromPeer, Addr: hint}
 	}
-	first := gu.leader(now)
-	if first == "" {
-		gu.lack(now)
+	leader := gu.leader(now)
+	if leader == "" {
+		gu.noteLacking(now)
 	}
 	switch {
-	case gu.due(now, first):
+	case gu.storeDue(now, leader):
 		return Step{From: FromStore}
-	case first == "":
-		return gu.elsewhere(now)
-	case now < gu.nearAt:
-		return Step{From: FromNobody, Wait: min(gu.nearAt-now, idleWait)}
+	case leader == "":
+		return gu.searchStep(now)
+	case now < gu.localAt:
+		return Step{From: FromNobody, Wait: min(gu.localAt-now, idleWait)}
 	}
-	return Step{From: FromPeer, Addr: first}
+	return Step{From: FromPeer, Addr: leader}
 }
 
-// urgent tells whether the store is asked before any other VM, see UrgentAfter.
+// urgent reports whether to ask the store before any other VM, see UrgentAfter.
 func (gu *Guide) urgent(now, age time.Duration) bool {
-	if !gu.mute || age <= UrgentAfter || now < gu.retryAt || now < gu.urgentAt {
+	if !gu.unresponsive || age <= UrgentAfter || now < gu.retryAt || now < gu.urgentAt {
 		return false
 	}
-	gu.urgentAt = now + gu.spread(urgentPause<<min(gu.fails, 3))
+	gu.urgentAt = now + gu.jittered(urgentPause<<min(gu.storeFails, 3))
 	return true
 }
 
-// due tells whether it is this VM's turn to ask the store. The first VM of a data centre
-// leaves it to those of the data centres that rank before, while one of them answers.
-func (gu *Guide) due(now time.Duration, first string) bool {
-	if !gu.lacking || now < gu.lackSince+gu.turn() || now < gu.retryAt {
+// storeDue reports whether this VM should ask the store now. leader is its preferred peer,
+// empty if there is none. The first-ranked VM of a data centre leaves the store to the data
+// centres that rank before, while one of these answers.
+func (gu *Guide) storeDue(now time.Duration, leader string) bool {
+	if !gu.lacking || now < gu.lackingSince+gu.turnDelay() || now < gu.retryAt {
 		return false
 	}
-	return first == "" || gu.before > 0
+	return leader == "" || gu.before > 0
 }
 
-// turn is how long this VM waits for those that rank before it.
-func (gu *Guide) turn() time.Duration {
-	late := max(0, gu.before-rankFew)
-	return time.Duration(gu.before-late)*rankDelay + time.Duration(late)*rankLate
+// turnDelay is how long this VM waits for those that rank before it.
+func (gu *Guide) turnDelay() time.Duration {
+	late := max(0, gu.before-rankDelayCount)
+	return time.Duration(gu.before-late)*rankDelay + time.Duration(late)*rankDelayLate
 }
 
-// lack notes since when there is no news from where it should come.
-func (gu *Guide) lack(now time.Duration) {
+// noteLacking records since when no preferred source has had fresh data.
+func (gu *Guide) noteLacking(now time.Duration) {
 	if !gu.lacking {
-		gu.lacking, gu.lackSince = true, now
+		gu.lacking, gu.lackingSince = true, now
 	}
 }
 
-// leader is the first VM that ranks before this one and is not passed over: one of its
-// data centre or, for the first there, the first of a data centre that ranks before it.
-// With these only one VM of the region watches the store.
+// leader returns the first VM that ranks before this one and is not skipped: one of this data
+// centre or, for the first-ranked VM of a data centre, the first-ranked VM of a data centre
+// that ranks before. So only one VM of the region watches the store.
 func (gu *Guide) leader(now time.Duration) string {
-	vms := gu.near[:gu.before]
+	vms := gu.local[:gu.before]
 	if gu.before == 0 {
-		vms = gu.above
+		vms = gu.higherFirsts
 	}
-	vm, _ := gu.unpassed(now, vms)
+	vm, _ := gu.firstAvailable(now, vms)
 	return vm.Addr
 }
 
-func (gu *Guide) passed(now time.Duration, addr string) bool {
-	until, ok := gu.pass[addr]
+func (gu *Guide) skipped(now time.Duration, addr string) bool {
+	until, ok := gu.skipUntil[addr]
 	if !ok {
 		return false
 	}
 	if now >= until {
-		delete(gu.pass, addr)
+		delete(gu.skipUntil, addr)
 		return false
 	}
 	return true
 }
 
-// Heard takes in what came of a step.
+// Heard records the outcome of a step.
 func (gu *Guide) Heard(now time.Duration, st Step, rp Report) {
 	if st.From == FromNobody {
 		return
 	}
 	if rp.Failed || rp.Age > StaleAfter || rp.Own || rp.Follows {
-		gu.lack(now)
+		gu.noteLacking(now)
 	} else {
-		gu.lacking, gu.hint = false, ""
+		gu.lacking, gu.suggested = false, ""
 	}
 	if st.From == FromStore {
-		gu.heardStore(now, rp)
+		gu.noteStoreOutcome(now, rp)
 		return
 	}
-	gu.mute = rp.Failed
-	gu.heardPeer(now, st.Addr, rp)
+	gu.unresponsive = rp.Failed
+	gu.notePeerOutcome(now, st.Addr, rp)
 }
 
-func (gu *Guide) heardStore(now time.Duration, rp Report) {
+func (gu *Guide) noteStoreOutcome(now time.Duration, rp Report) {
 	if !rp.Failed {
-		gu.fails, gu.retryAt = 0, 0
+		gu.storeFails, gu.retryAt = 0, 0
 		return
 	}
-	gu.fails++
-	bo := retry.Backoff{First: retryFirst, Most: retryMost, Jitter: jitter}
-	// All VMs of a data centre together ask little more often than a few would.
-	times := min(1+gu.before, retryRanks)
-	gu.retryAt = now + time.Duration(times)*bo.Wait(gu.fails, gu.cfg.Rand.Float64())
+	gu.storeFails++
+	bo := retry.Backoff{First: storeBackoffMin, Most: storeBackoffMax, Jitter: jitter}
+	// Bounds the sum: all VMs of a data centre ask little more often than a few would.
+	scale := min(1+gu.before, backoffScaleMax)
+	gu.retryAt = now + time.Duration(scale)*bo.Wait(gu.storeFails, gu.cfg.Rand.Float64())
 }
 
-func (gu *Guide) heardPeer(now time.Duration, addr string, rp Report) {
+func (gu *Guide) notePeerOutcome(now time.Duration, addr string, rp Report) {
 	switch {
 	case rp.Failed:
-		gu.pass[addr] = now + gu.spread(passMute)
+		gu.skipUntil[addr] = now + gu.jittered(skipUnresponsive)
 	case rp.Empty:
-		gu.pass[addr] = now + gu.spread(passEmpty)
+		gu.skipUntil[addr] = now + gu.jittered(skipEmpty)
 	case rp.Age > StaleAfter:
-		gu.passOver(now, addr)
-		gu.foundOld(now)
+		gu.skipStalePeer(now, addr)
+		gu.noteStale(now)
 	case rp.Own, rp.Follows:
-		// It knows what this VM told it. Two that follow each other hear nothing until
-		// the news of both is old.
-		gu.passOver(now, addr)
+		// The peer's data comes from this VM. Two VMs that follow each other get nothing
+		// new until the data of both is stale.
+		gu.skipStalePeer(now, addr)
 		if rp.Own {
-			// All hear the store through this VM: it goes on asking, whose turn it may be.
-			gu.lackSince = now - gu.turn()
+			// All VMs get their data through this one, so it asks the store without waiting for
+			// its turn.
+			gu.lackingSince = now - gu.turnDelay()
 		}
-	case gu.old > 0:
-		// The store is back for another VM. This one may be who should watch it, and
-		// until then all would ask each other for news that nobody gets.
+	case gu.staleInRow > 0:
+		// The store serves another VM again. This VM may be the one that should watch it,
+		// and until it does, all VMs would ask each other for data that none receives.
 		gu.retryAt = min(gu.retryAt, now)
-		gu.old = 0
+		gu.staleInRow = 0
 	}
 }
 
-// passOver leaves a VM without news alone for a while.
-func (gu *Guide) passOver(now time.Duration, addr string) {
-	wait := passOld
+// skipStalePeer skips a VM without fresh data for a while.
+func (gu *Guide) skipStalePeer(now time.Duration, addr string) {
+	wait := skipStale
 	if gu.firsts[addr] {
-		wait = passFirst
+		wait = skipStaleFirst
 	}
-	gu.pass[addr] = now + gu.spread(wait)
+	gu.skipUntil[addr] = now + gu.jittered(wait)
 }
 
-func (gu *Guide) spread(wait time.Duration) time.Duration {
+func (gu *Guide) jittered(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (1 + jitter*gu.cfg.Rand.Float64()))
 }
--- a/core/feed/guide_test.go
+++ b/core/feed/guide_test.go
@@ -12,210 +12,213 @@
 	"laburnumvane/core/rank"
 )
 
-// fleet is a number of VMs in data centres, each with a guide, and a store that
-// serves some of them. Time is virtual; a step takes as long as its call does.
+// fleet simulates VMs in several data centres, each with a guide, and a store that serves some
+// of them. Time is virtual; a step takes as long as its call.
 type fleet struct {
 	vms []*member
 	now time.Duration
-	// turnedAway, dead and dark are by address; what is dark says nothing.
-	turnedAway map[string]bool
-	dead       map[string]bool
-	dark       map[string]bool
-	// boots is until when a VM has no copy yet, by address.
-	boots      map[string]time.Duration
+	// refused, dead and unpowered are by address: the store refuses the VM, calls to the VM
+	// fail at once, calls to the VM time out.
+	refused   map[string]bool
+	dead      map[string]bool
+	unpowered map[string]bool
+	// bootedAt is when a VM gets its first copy, by address.
+	bootedAt   map[string]time.Duration
 	storeCalls int
 	peerCalls  int
-	// farCalls are those to a VM of another data centre.
-	farCalls int
+	// remoteCalls are the peer calls to a VM of another data centre.
+	remoteCalls int
 }
 
 type member struct {
-	vm    rank.VM
-	guide *feed.Guide
-	heard time.Duration
-	next  time.Duration
-	// origin is who heard the store for the news that it has.
+	vm     rank.VM
+	guide  *feed.Guide
+	dataAt time.Duration
+	next   time.Duration
+	// origin is the VM whose call to the store yielded the data that this one has.
 	origin string
-	// source is whom it follows; empty if it asks the store.
+	// source is the VM that this one follows; empty if it asks the store.
 	source string
 }
 
 const (
 	watchTime = time.Second
-	// pollTime stands for a call that is answered as soon as the store was heard
+	// pollTime stands for a call that is answered as soon as the peer contacts the store
 	// again.
 	pollTime  = 50 * time.Millisecond
 	shortTime = 5 * time.Millisecond
-	// peerWait is how long a VM lets another one wait for news.
+	// peerWait is how long a peer holds a call that waits for changes.
 	peerWait = 800 * time.Millisecond
-	// darkTime and darkHurry are what a call to a dark VM costs.
-	darkTime  = 1200 * time.Millisecond
-	darkHurry = 500 * time.Millisecond
-	// places is the number of data centres.
-	places = 3
+	// unpoweredTime and unpoweredHurry are the time-outs of a call to a VM without power,
+	// the second one for a caller whose data is older than a second.
+	unpoweredTime  = 1200 * time.Millisecond
+	unpoweredHurry = 500 * time.Millisecond
+	// dataCentres is the number of data centres.
+	dataCentres = 3
 )
 
-func newFleet(each int) *fleet {
-	fl := &fleet{turnedAway: map[string]bool{}, dead: map[string]bool{}, dark: map[string]bool{}, now: time.Second}
+func newFleet(vmsPerDC int) *fleet {
+	fl := &fleet{refused: map[string]bool{}, dead: map[string]bool{}, unpowered: map[string]bool{}, now: time.Second}
 	var vms []rank.VM
-	for p := range places {
-		for i := range each {
+	for p := range dataCentres {
+		for i := range vmsPerDC {
 			vms = append(vms, rank.VM{Addr: fmt.Sprintf("10.%d.0.%d:7000", p, i), DataCentre: fmt.Sprintf("dc%d", p)})
 		}
 	}
 	for i, vm := range vms {
 		gu := feed.NewGuide(feed.GuideConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
 		gu.SetPeers(vms)
-		fl.vms = append(fl.vms, &member{vm: vm, guide: gu, heard: fl.now, next: fl.now})
+		fl.vms = append(fl.vms, &member{vm: vm, guide: gu, dataAt: fl.now, next: fl.now})
 	}
 	return fl
 }
 
 func (fl *fleet) find(addr string) *member {
-	for _, me := range fl.vms {
-		if me.vm.Addr == addr {
-			return me
+	for _, mb := range fl.vms {
+		if mb.vm.Addr == addr {
+			return mb
 		}
 	}
 	return nil
 }
 
-// turnAwayAll has the store serve nobody.
-func (fl *fleet) turnAwayAll() {
-	for _, me := range fl.vms {
-		fl.turnedAway[me.vm.Addr] = true
+// refuseAll makes the store refuse all VMs.
+func (fl *fleet) refuseAll() {
+	for _, mb := range fl.vms {
+		fl.refused[mb.vm.Addr] = true
 	}
 }
 
-// run plays for some time.
+// run simulates the given span.
 func (fl *fleet) run(span time.Duration) {
 	for end := fl.now + span; fl.now < end; fl.now += shortTime {
-		for _, me := range fl.vms {
-			if me.next <= fl.now && fl.boots[me.vm.Addr] <= fl.now && !fl.dead[me.vm.Addr] && !fl.dark[me.vm.Addr] {
-				fl.step(me)
+		for _, mb := range fl.vms {
+			if mb.next <= fl.now && fl.bootedAt[mb.vm.Addr] <= fl.now && !fl.dead[mb.vm.Addr] && !fl.unpowered[mb.vm.Addr] {
+				fl.step(mb)
 			}
 		}
 	}
 }
 
-func (fl *fleet) step(me *member) {
-	st := me.guide.Next(fl.now, fl.now-me.heard)
+func (fl *fleet) step(mb *member) {
+	st := mb.guide.Next(fl.now, fl.now-mb.dataAt)
 	rp := feed.Report{}
 	took := shortTime
 	switch st.From {
 	case feed.FromStore:
 		fl.storeCalls++
-		me.source = ""
-		if fl.turnedAway[me.vm.Addr] {
+		mb.source = ""
+		if fl.refused[mb.vm.Addr] {
 			rp.Failed = true
 		} else {
-			me.heard, me.origin = fl.now, me.vm.Addr
+			mb.dataAt, mb.origin = fl.now, mb.vm.Addr
 			took = watchTime
 		}
 	case feed.FromPeer:
 		fl.peerCalls++
 		peer := fl.find(st.Addr)
-		if peer.vm.DataCentre != me.vm.DataCentre {
-			fl.farCalls++
+		if peer.vm.DataCentre != mb.vm.DataCentre {
+			fl.remoteCalls++
 		}
 		if fl.dead[st.Addr] {
 			rp.Failed = true
 			break
 		}
-		if fl.dark[st.Addr] {
+		if fl.unpowered[st.Addr] {
 			rp.Failed = true
-			took = darkTime
-			if fl.now-me.heard > time.Second {
-				took = darkHurry
+			took = unpoweredTime
+			if fl.now-mb.dataAt > time.Second {
+				took = unpoweredHurry
 			}
 			break
 		}
-		if fl.boots[st.Addr] > fl.now {
+		if fl.bootedAt[st.Addr] > fl.now {
 			rp.Empty = true
 			break
 		}
-		peer.guide.Hint(me.vm.Addr, fl.now-me.heard)
-		rp.Age = fl.now - peer.heard
-		rp.Own, rp.Follows = peer.origin == me.vm.Addr, peer.source == me.vm.Addr
-		me.source = st.Addr
+		peer.guide.Hint(mb.vm.Addr, fl.now-mb.dataAt)
+		rp.Age = fl.now - peer.dataAt
+		rp.Own, rp.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
+		mb.source = st.Addr
 		if rp.Age <= feed.StaleAfter && !rp.Own && !rp.Follows {
-			// It answers when it hears the store again, or after its wait.
+			// The peer answers when it contacts the store again, or after its wait.
 			took = peerWait
 			if peer.next < fl.now+peerWait {
 				took = max(pollTime, peer.next-fl.now)
 			}
 		}
-		if peer.heard > me.heard {
-			me.heard, me.origin = peer.heard, peer.origin
+		if peer.dataAt > mb.dataAt {
+			mb.dataAt, mb.origin = peer.dataAt, peer.origin
 		}
 	case feed.FromNobody:
 		took = st.Wait
 	}
-	me.guide.Heard(fl.now, st, rp)
-	me.next = fl.now + took
+	mb.guide.Heard(fl.now, st, rp)
+	mb.next = fl.now + took
 }
 
-// oldest is the age of the news that a living VM has at worst.
+// oldest is the greatest age of the data of any VM that is not dead.
 func (fl *fleet) oldest() time.Duration {
 	var worst time.Duration
-	for _, me := range fl.vms {
-		if !fl.dead[me.vm.Addr] {
-			worst = max(worst, fl.now-me.heard)
+	for _, mb := range fl.vms {
+		if !fl.dead[mb.vm.Addr] {
+			worst = max(worst, fl.now-mb.dataAt)
 		}
 	}
 	return worst
 }
 
-// youngest is the age of the newest news that any VM has.
+// youngest is the least age of the data of any VM.
 func (fl *fleet) youngest() time.Duration {
 	best := time.Hour
-	for _, me := range fl.vms {
-		best = min(best, fl.now-me.heard)
+	for _, mb := range fl.vms {
+		best = min(best, fl.now-mb.dataAt)
 	}
 	return best
 }
 
-// leader is the VM that asks the store on a calm day.
+// leader is the VM that asks the store in normal operation.
 func (fl *fleet) leader() string {
-	for _, me := range fl.vms {
-		if me.guide.Next(fl.now, fl.now-me.heard).From == feed.FromStore {
-			return me.vm.Addr
+	for _, mb := range fl.vms {
+		if mb.guide.Next(fl.now, fl.now-mb.dataAt).From == feed.FromStore {
+			return mb.vm.Addr
 		}
 	}
 	return ""
 }
 
-// On a calm day one VM asks the store, however many there are.
-func TestOneWatches(t *testing.T) {
-	for _, each := range []int{3, 30, 100} {
+// In normal operation one VM asks the store, however many VMs there are.
+func TestOneVMWatchesTheStore(t *testing.T) {
+	for _, vmsPerDC := range []int{3, 30, 100} {
 		is := is.New(t)
-		fl := newFleet(each)
+		fl := newFleet(vmsPerDC)
 		fl.run(20 * time.Second)
 		is.True(fl.storeCalls <= 21)
 		is.True(fl.oldest() <= 4*time.Second)
 	}
 }
 
-// The fleet boots, and the VMs come by their first copy one after the other
-// within half a second. Whoever has one asks the others, which have none yet. Taken
-// for dead, they were not asked again for 3 s, and a dozen VMs watched the store
-// meanwhile, each with five calls a second while entries came in.
+// Guards against treating a booting VM as dead. The fleet boots, and the VMs get their first
+// copy one after the other within half a second. A VM that has one asks the others, which have
+// none yet. When these counted as dead, they were not asked again for 3 s, and a dozen VMs
+// watched the store meanwhile, each with five calls a second while entries were written.
 func TestBootingPeersAreAskedAgain(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(8)
-	fl.boots = make(map[string]time.Duration)
-	for i, me := range fl.vms {
-		fl.boots[me.vm.Addr] = fl.now + time.Duration(i*7%len(fl.vms))*20*time.Millisecond
-		me.heard = fl.boots[me.vm.Addr]
+	fl.bootedAt = make(map[string]time.Duration)
+	for i, mb := range fl.vms {
+		fl.bootedAt[mb.vm.Addr] = fl.now + time.Duration(i*7%len(fl.vms))*20*time.Millisecond
+		mb.dataAt = fl.bootedAt[mb.vm.Addr]
 	}
 	fl.run(4 * time.Second)
 	is.True(fl.storeCalls <= 12)
 	is.True(fl.oldest() <= 2*time.Second)
 }
 
-// The VM that watches dies, again and again. A change made meanwhile must be in
-// force everywhere within seconds, so somebody else has to watch by then.
-func TestWatcherDies(t *testing.T) {
+// Guards against a long gap after the death of the watching VM, which dies several times in a
+// row here. A change made meanwhile must be in force on all VMs within seconds, so another VM
+// has to watch by then.
+func TestWatchingVMDies(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(5)
 	fl.run(5 * time.Second)
@@ -225,196 +228,200 @@
 		fl.dead[leader] = true
 		died := fl.now
 		fl.run(2500 * time.Millisecond)
-		for _, me := range fl.vms {
-			is.True(fl.dead[me.vm.Addr] || me.heard > died)
+		for _, mb := range fl.vms {
+			is.True(fl.dead[mb.vm.Addr] || mb.dataAt > died)
 		}
 	}
 }
 
-// All VMs but two of the last ones in the order lose their power at once and say
-// nothing. A server that leaves then must get nothing new after 3 s from the two
-// that are left, so they must not wait for one dark VM after the other.
-func TestManyLosePower(t *testing.T) {
+// Guards against waiting for one unpowered VM after another. All VMs but two of the last ones
+// in the order lose power at once and don't answer. A server that leaves then must get no new
+// requests after 3 s from the two that remain.
+func TestManyVMsLosePower(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(8)
 	fl.run(5 * time.Second)
-	var own []rank.VM
-	for _, me := range fl.vms {
-		if me.vm.DataCentre == "dc1" {
-			own = append(own, me.vm)
+	var local []rank.VM
+	for _, mb := range fl.vms {
+		if mb.vm.DataCentre == "dc1" {
+			local = append(local, mb.vm)
 		}
 	}
-	last := rank.Order(own, "watch")[len(own)-2:]
-	for _, me := range fl.vms {
-		fl.dark[me.vm.Addr] = me.vm != last[0] && me.vm != last[1]
+	last := rank.Order(local, "watch")[len(local)-2:]
+	for _, mb := range fl.vms {
+		fl.unpowered[mb.vm.Addr] = mb.vm != last[0] && mb.vm != last[1]
 	}
 	lost := fl.now
 	fl.run(2500 * time.Millisecond)
 	for _, vm := range last {
-		is.True(fl.find(vm.Addr).heard > lost)
+		is.True(fl.find(vm.Addr).dataAt > lost)
 	}
 }
 
-// The store turns away a third of the VMs, among them those that watch, and
-// serves the others. Those turned away must hear through the others.
-func TestTurnedAway(t *testing.T) {
+// The store refuses a third of the VMs, the watching ones among them, and serves the rest. The
+// refused VMs must get fresh data through the others.
+func TestStoreRefusesSomeVMs(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(6)
 	fl.run(5 * time.Second)
-	for i, me := range fl.vms {
-		if i%3 == 0 || me.guide.Next(fl.now, fl.now-me.heard).From == feed.FromStore {
-			fl.turnedAway[me.vm.Addr] = true
+	for i, mb := range fl.vms {
+		if i%3 == 0 || mb.guide.Next(fl.now, fl.now-mb.dataAt).From == feed.FromStore {
+			fl.refused[mb.vm.Addr] = true
 		}
 	}
-	turned := fl.now
+	refusedAt := fl.now
 	fl.run(3 * time.Second)
-	for _, me := range fl.vms {
-		is.True(me.heard > turned)
+	for _, mb := range fl.vms {
+		is.True(mb.dataAt > refusedAt)
 	}
 }
 
-// The store is away for all. A fleet that asked it all at once would spend its
-// rates, and those are paid for; when it is back, all must hear of it soon.
-func TestStoreAway(t *testing.T) {
+// Guards against load on a store that refuses all VMs: a fleet that asked it all at once would
+// use up its rate limits, which are paid for. When the store is back, all VMs must have fresh
+// data soon.
+func TestStoreOutage(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(26)
 	fl.run(5 * time.Second)
-	fl.turnAwayAll()
+	fl.refuseAll()
 	fl.storeCalls = 0
-	const away = 10 * time.Second
-	fl.run(away)
-	t.Logf("%d calls of %d VMs in %v", fl.storeCalls, len(fl.vms), away)
+	const outage = 10 * time.Second
+	fl.run(outage)
+	t.Logf("%d calls of %d VMs in %v", fl.storeCalls, len(fl.vms), outage)
 	is.True(fl.storeCalls < 12*len(fl.vms))
-	clear(fl.turnedAway)
-	back := fl.now
+	clear(fl.refused)
+	recoveredAt := fl.now
 	fl.run(3 * time.Second)
-	for _, me := range fl.vms {
-		is.True(me.heard > back)
+	for _, mb := range fl.vms {
+		is.True(mb.dataAt > recoveredAt)
 	}
 }
 
-// The store serves one VM of each data centre only, none of the first three. All
-// others must hear through it, however many they are.
-func TestOneInEachPlaceIsServed(t *testing.T) {
-	for _, each := range []int{6, 26, 60} {
+// The store serves only one VM of each data centre, none of the first three in the order. All
+// others must get fresh data through it, however many they are.
+func TestStoreServesOneVMPerDataCentre(t *testing.T) {
+	for _, vmsPerDC := range []int{6, 26, 60} {
 		is := is.New(t)
-		fl := newFleet(each)
+		fl := newFleet(vmsPerDC)
 		fl.run(5 * time.Second)
-		for p := range places {
-			var own []rank.VM
-			for _, me := range fl.vms {
-				if me.vm.DataCentre == fmt.Sprintf("dc%d", p) {
-					own = append(own, me.vm)
+		for p := range dataCentres {
+			var local []rank.VM
+			for _, mb := range fl.vms {
+				if mb.vm.DataCentre == fmt.Sprintf("dc%d", p) {
+					local = append(local, mb.vm)
 				}
 			}
-			for i, vm := range rank.Order(own, "watch") {
-				fl.turnedAway[vm.Addr] = i != 3
+			for i, vm := range rank.Order(local, "watch") {
+				fl.refused[vm.Addr] = i != 3
 			}
 		}
-		turned := fl.now
+		refusedAt := fl.now
 		fl.run(3 * time.Second)
-		t.Logf("%d VMs: the oldest news is %v old", len(fl.vms), fl.oldest())
-		for _, me := range fl.vms {
-			is.True(me.heard > turned)
+		t.Logf("%d VMs: oldest data is %v old", len(fl.vms), fl.oldest())
+		for _, mb := range fl.vms {
+			is.True(mb.dataAt > refusedAt)
 		}
 	}
 }
 
-// The store serves two VMs in all, both late in the order of one data centre. The
-// others must hear through them within the time for a change to be in force.
-func TestFewAreServed(t *testing.T) {
-	for _, each := range []int{6, 26} {
+// The store serves only two VMs, both late in the order of one data centre. The others must
+// get fresh data through them within the time for a change to be in force.
+func TestStoreServesTwoVMs(t *testing.T) {
+	for _, vmsPerDC := range []int{6, 26} {
 		is := is.New(t)
-		fl := newFleet(each)
+		fl := newFleet(vmsPerDC)
 		fl.run(5 * time.Second)
-		var own []rank.VM
-		for _, me := range fl.vms {
-			fl.turnedAway[me.vm.Addr] = true
-			if me.vm.DataCentre == "dc1" {
-				own = append(own, me.vm)
+		var local []rank.VM
+		for _, mb := range fl.vms {
+			fl.refused[mb.vm.Addr] = true
+			if mb.vm.DataCentre == "dc1" {
+				local = append(local, mb.vm)
 			}
 		}
-		for _, vm := range rank.Order(own, "watch")[3:5] {
-			fl.turnedAway[vm.Addr] = false
+		for _, vm := range rank.Order(local, "watch")[3:5] {
+			fl.refused[vm.Addr] = false
 		}
-		turned := fl.now
+		refusedAt := fl.now
 		fl.run(4 * time.Second)
-		t.Logf("%d VMs: the oldest news is %v old", len(fl.vms), fl.oldest())
-		for _, me := range fl.vms {
-			is.True(me.heard > turned)
+		t.Logf("%d VMs: oldest data is %v old", len(fl.vms), fl.oldest())
+		for _, mb := range fl.vms {
+			is.True(mb.dataAt > refusedAt)
 		}
 	}
 }
 
-// The store is away for all, for ten seconds. Nobody has news, so that whoever is asked
-// sends the asker on to the next. What a VM asks of the store and of others must follow
-// from the time that passes, not from how many others there are: with each asking all,
-// 78 VMs made 58 calls a second each, and all of them called the store.
-func TestStoreAwayCostsBoundedCalls(t *testing.T) {
-	const away = 10 * time.Second
-	for _, each := range []int{3, 26, 65} {
+// Guards against calls that grow with the size of the fleet during an outage of the store,
+// here of ten seconds. No VM has fresh data, so each VM that is asked makes the caller ask the
+// next one. The calls of a VM to the store and to other VMs must depend on the elapsed time
+// only: when each VM asked all others, 78 VMs made 58 calls a second each, and all of them
+// called the store.
+func TestCallsAreBoundedInAStoreOutage(t *testing.T) {
+	const outage = 10 * time.Second
+	for _, vmsPerDC := range []int{3, 26, 65} {
 		is := is.New(t)
-		fl := newFleet(each)
+		fl := newFleet(vmsPerDC)
 		fl.run(5 * time.Second)
-		fl.turnAwayAll()
-		fl.storeCalls, fl.peerCalls, fl.farCalls = 0, 0, 0
-		fl.run(away)
-		perVM := float64(fl.peerCalls) / float64(len(fl.vms)) / away.Seconds()
-		farPerVM := float64(fl.farCalls) / float64(len(fl.vms)) / away.Seconds()
-		perPlace := float64(fl.storeCalls) / places / away.Seconds()
-		t.Logf("%d VMs: %.1f calls a second of each to others, %.1f of them far, %.1f of each data centre to the store", len(fl.vms), perVM, farPerVM, perPlace)
+		fl.refuseAll()
+		fl.storeCalls, fl.peerCalls, fl.remoteCalls = 0, 0, 0
+		fl.run(outage)
+		perVM := float64(fl.peerCalls) / float64(len(fl.vms)) / outage.Seconds()
+		remotePerVM := float64(fl.remoteCalls) / float64(len(fl.vms)) / outage.Seconds()
+		perDC := float64(fl.storeCalls) / dataCentres / outage.Seconds()
+		t.Logf("%d VMs: per second: %.1f calls to peers by each VM, %.1f of them to other data centres, %.1f calls to the store by each data centre", len(fl.vms), perVM, remotePerVM, perDC)
 		is.True(perVM <= 14)
-		is.True(farPerVM <= 4)
-		is.True(perPlace <= 5)
-		clear(fl.turnedAway)
-		back := fl.now
+		is.True(remotePerVM <= 4)
+		is.True(perDC <= 5)
+		clear(fl.refused)
+		recoveredAt := fl.now
 		fl.run(3 * time.Second)
-		for _, me := range fl.vms {
-			is.True(me.heard > back)
+		for _, mb := range fl.vms {
+			is.True(mb.dataAt > recoveredAt)
 		}
 	}
 }
 
-// The store is back after some seconds, and servers write their entries again within two.
-// Whoever tried last hears it first; the VM that watches on other days still waits to try
-// again, and all ask each other for what none of them follows any more. What changes in
-// the second second after the return must reach all VMs as on any other day.
-func TestNewsFlowsSoonAfterTheReturn(t *testing.T) {
+// Guards against slow replication right after an outage. The store is back after some seconds,
+// and servers write their entries again within two. The VM that tried last reaches the store
+// first; the VM that normally watches is still in its retry wait, and the VMs ask each other
+// for data that none of them receives. A change in the second second after the recovery must
+// reach all VMs as fast as in normal operation.
+func TestReplicationResumesSoonAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	var worst time.Duration
 	for phase := range 30 {
 		fl := newFleet(9)
 		fl.run(5 * time.Second)
-		fl.turnAwayAll()
+		fl.refuseAll()
 		fl.run(4*time.Second + time.Duration(phase)*73*time.Millisecond)
-		clear(fl.turnedAway)
+		clear(fl.refused)
 		fl.run(1500 * time.Millisecond)
 		for range 10 {
 			fl.run(100 * time.Millisecond)
 			worst = max(worst, fl.oldest())
 		}
 	}
-	t.Logf("the oldest news was %v old", worst)
+	t.Logf("oldest data was %v old", worst)
 	is.True(worst <= 1500*time.Millisecond)
 }
 
-// The store turns away the VM that watches it on other days, for ten seconds. Another one
-// is served, and the first one has its news from that. Taken for news of its own, it had
-// both follow each other, and nobody asked the store until the news of all was old: a
-// server that left meanwhile got requests after 3 s.
-func TestNobodyFollowsItsOwnNews(t *testing.T) {
+// Guards against two VMs that follow each other. The store refuses the VM that normally
+// watches it, for ten seconds. Another VM is served, and the first one gets its data from
+// there. When the first one's data counted as its own, both followed each other, and no VM
+// asked the store until the data of all was stale: a server that left meanwhile still got
+// requests after 3 s.
+func TestNoVMFollowsItsOwnData(t *testing.T) {
 	is := is.New(t)
-	for _, each := range []int{3, 9} {
-		fl := newFleet(each)
+	for _, vmsPerDC := range []int{3, 9} {
+		fl := newFleet(vmsPerDC)
 		fl.run(5 * time.Second)
-		fl.turnedAway[fl.leader()] = true
+		fl.refused[fl.leader()] = true
 		fl.run(3 * time.Second)
-		var unasked time.Duration
+		var withoutContact time.Duration
 		for range 200 {
 			fl.run(50 * time.Millisecond)
-			unasked = max(unasked, fl.youngest())
+			withoutContact = max(withoutContact, fl.youngest())
 		}
-		t.Logf("%d VMs: for %v nobody heard the store", len(fl.vms), unasked)
-		is.True(unasked <= watchTime+100*time.Millisecond)
+		t.Logf("%d VMs: no VM contacted the store for %v", len(fl.vms), withoutContact)
+		is.True(withoutContact <= watchTime+100*time.Millisecond)
 	}
 }
--- a/core/feed/readers.go
+++ b/core/feed/readers.go
@@ -7,42 +7,43 @@
 	"laburnumvane/core/rank"
 )
 
-// Member is a VM as its entry in the store says.
+// Member is a VM as listed in the store.
 type Member struct {
 	rank.VM
 	// Capacity is in cores.
 	Capacity float64
 }
 
-// readSalt sets the order of those that read the store apart from others.
+// readSalt makes the order of the VMs that read the store independent of other orders.
 const readSalt = "read"
 
-// Readers are the VMs that read the store whole when the fleet of a data centre boots:
-// the largest of them, one in eight, and own if this VM is one of them. All VMs of the
-// data centre work out the same, so that they know whom to ask.
+// Readers returns the VMs that read the full copy from the store when the fleet of a data
+// centre boots: the largest VMs, one in eight. own reports whether this VM is one of them, and
+// readers lists the others. All VMs of the data centre compute the same set, so they know whom
+// to ask.
 //
-// Where all lost their power and the seeds are the last to come back, nobody would know
-// anybody, and 195 VMs would read 450 kB each from the store at once, which takes its
-// link 0.7 s. The list of VMs is a tenth of that.
+// If all VMs lost power and the seeds come back last, no VM would know another one, and 195
+// VMs would read 450 kB each from the store at once, which occupies its link for 0.7 s. The
+// list of VMs is a tenth of that size.
 func Readers(self rank.VM, members []Member) (readers []string, own bool) {
-	var near []Member
-	for _, me := range members {
-		if me.DataCentre == self.DataCentre {
-			near = append(near, me)
+	var local []Member
+	for _, mb := range members {
+		if mb.DataCentre == self.DataCentre {
+			local = append(local, mb)
 		}
 	}
-	slices.SortFunc(near, func(a, b Member) int {
+	slices.SortFunc(local, func(a, b Member) int {
 		return cmp.Or(
 			cmp.Compare(b.Capacity, a.Capacity),
 			cmp.Compare(rank.Hash(readSalt, b.Addr), rank.Hash(readSalt, a.Addr)),
 		)
 	})
-	for _, me := range near[:(len(near)+readersEvery-1)/readersEvery] {
-		if me.Addr == self.Addr {
+	for _, mb := range local[:(len(local)+vmsPerReader-1)/vmsPerReader] {
+		if mb.Addr == self.Addr {
 			own = true
 			continue
 		}
-		readers = append(readers, me.Addr)
+		readers = append(readers, mb.Addr)
 	}
 	return readers, own
 }
--- a/core/feed/replica.go
+++ b/core/feed/replica.go
@@ -1,70 +1,71 @@
 package feed
 
 // DefaultHistory is how many events a replica keeps for others; a VM that is
-// further behind takes a whole copy.
+// further behind gets a full copy.
 const DefaultHistory = 1024
 
-// Item is one entry of the store.
+// Item is an entry of the store.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision uint64
-	// Lease is what the entry goes with; 0 if it stays, or that is not known.
+	// Lease is the lease that the entry is bound to; 0 if there is none or it is unknown.
 	Lease uint64
 }
 
-// Event is an entry that was written or, without value, removed.
+// Event is an entry that was written or, without a value, removed.
 type Event struct {
 	Item
 	Removed bool
 }
 
-// Update is what changed after some revision.
+// Update is the set of changes after some revision, or a full copy.
 type Update struct {
-	// Whole is set if Events are all entries, and what is not among them is
-	// gone.
+	// Whole is set if Events is a full copy: entries that are not among them no longer
+	// exist.
 	Whole  bool
 	Events []Event
 	// AsOf is the store's revision up to which the update reaches.
 	AsOf uint64
 }
 
-// Replica is a copy of the store's entries. It is not safe for concurrent use.
+// Replica is a copy of the store's entries together with its recent history. It is not safe
+// for concurrent use.
 type Replica struct {
 	items map[string]Item
 	asOf  uint64
-	// log holds the latest events, oldest first, and since is the revision
-	// after which it is complete.
-	log     []Event
-	since   uint64
-	history int
-	known   bool
+	// log holds the latest events, oldest first. It is complete after the revision
+	// logSince.
+	log      []Event
+	logSince uint64
+	history  int
+	known    bool
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica that keeps up to history events.
 func NewReplica(history int) *Replica {
 	return &Replica{items: make(map[string]Item), history: history}
 }
 
-// Known tells whether there ever was a whole copy.
+// Known reports whether a full copy was ever taken in.
 func (re *Replica) Known() bool { return re.known }
 
-// AsOf is the revision up to which the replica is complete.
+// AsOf returns the revision up to which the replica is complete.
 func (re *Replica) AsOf() uint64 { return re.asOf }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (re *Replica) Len() int { return len(re.items) }
 
-// Take applies an update and returns what it changed. An update that ends before
-// what is known changes nothing: to take it would bring back what was removed.
+// Take applies an update and returns the resulting changes. An update that ends before the
+// replica's revision is ignored, since it would restore removed entries.
 func (re *Replica) Take(up Update) []Event {
 	if up.Whole {
-		return re.reset(up)
+		return re.applyFull(up)
 	}
-	return re.apply(up)
+	return re.applyChanges(up)
 }
 
-func (re *Replica) apply(up Update) []Event {
+func (re *Replica) applyChanges(up Update) []Event {
 	if !re.known || up.AsOf < re.asOf {
 		return nil
 	}
@@ -80,8 +81,8 @@
 }
 
 func (re *Replica) put(ev Event) bool {
-	was, ok := re.items[ev.Key]
-	if ok && was.Revision >= ev.Revision {
+	old, ok := re.items[ev.Key]
+	if ok && old.Revision >= ev.Revision {
 		return false
 	}
 	if ev.Removed {
@@ -89,7 +90,7 @@
 	} else {
 		re.items[ev.Key] = ev.Item
 	}
-	// A removal of what is not there is kept for others too: they may have it.
+	// The removal of an absent entry is logged too: other VMs may still have the entry.
 	re.log = append(re.log, ev)
 	return ok || !ev.Removed
 }
@@ -100,53 +101,52 @@
 		return
 	}
 	for _, ev := range re.log[:over] {
-		re.since = max(re.since, ev.Revision)
+		re.logSince = max(re.logSince, ev.Revision)
 	}
 	re.log = append(re.log[:0], re.log[over:]...)
 }
 
-// reset takes a whole copy. Its pages may have been read one after another, so
-// that entries are newer than the copy's own revision; the events that follow
-// bring the rest.
-func (re *Replica) reset(up Update) []Event {
+// applyFull applies a full copy. Its pages may have been read one after another, so some
+// entries may be newer than the copy's own revision; later events complete it.
+func (re *Replica) applyFull(up Update) []Event {
 	if re.known && up.AsOf < re.asOf {
 		return nil
 	}
 	var changed []Event
-	there := make(map[string]struct{}, len(up.Events))
+	present := make(map[string]struct{}, len(up.Events))
 	for _, ev := range up.Events {
-		there[ev.Key] = struct{}{}
-		was, ok := re.items[ev.Key]
-		if ok && was.Revision >= ev.Revision {
+		present[ev.Key] = struct{}{}
+		old, ok := re.items[ev.Key]
+		if ok && old.Revision >= ev.Revision {
 			continue
 		}
 		re.items[ev.Key] = ev.Item
 		changed = append(changed, ev)
 	}
 	for key, it := range re.items {
-		// An entry that is newer than the copy was written while it was read.
-		if _, ok := there[key]; ok || it.Revision > up.AsOf {
+		// An entry that is newer than the copy was written while the copy was read.
+		if _, ok := present[key]; ok || it.Revision > up.AsOf {
 			continue
 		}
 		delete(re.items, key)
 		changed = append(changed, Event{Item: Item{Key: key, Revision: up.AsOf}, Removed: true})
 	}
-	// Which events led here is not known: others that are behind take a copy.
+	// The events that led to this copy are unknown: VMs that are behind get a full copy.
 	re.log = nil
-	re.since = up.AsOf
+	re.logSince = up.AsOf
 	re.asOf = up.AsOf
 	re.known = true
 	return changed
 }
 
-// Since is what changed after a revision; ok is false if there is nothing to
-// tell: no copy is here, or the one who asks knows as much.
+// Since returns the changes after a revision. ok is false if there are none: this replica is
+// empty, or the given revision is not older than its own.
 func (re *Replica) Since(after uint64) (Update, bool) {
 	if !re.known || after >= re.asOf {
 		return Update{}, false
 	}
-	if after < re.since || after == 0 {
-		return re.whole(), true
+	if after < re.logSince || after == 0 {
+		return re.fullCopy(), true
 	}
 	up := Update{AsOf: re.asOf}
 	for _, ev := range re.log {
@@ -157,7 +157,7 @@
 	return up, true
 }
 
-func (re *Replica) whole() Update {
+func (re *Replica) fullCopy() Update {
 	up := Update{Whole: true, AsOf: re.asOf, Events: make([]Event, 0, len(re.items))}
 	for _, it := range re.items {
 		up.Events = append(up.Events, Event{Item: it})
--- a/core/feed/replica_test.go
+++ b/core/feed/replica_test.go
@@ -46,9 +46,8 @@
 	is.Equal(re.Len(), 2)
 }
 
-// News comes from two sources, and the slower one is behind. If its update were
-// applied, a server that has left would be back, and a configuration would
-// revert.
+// Guards against applying an update from a source that is behind another one: a server that
+// has left would be restored, and a configuration would be reverted.
 func TestOlderUpdateChangesNothing(t *testing.T) {
 	is := is.New(t)
 	re := feed.NewReplica(feed.DefaultHistory)
@@ -60,10 +59,10 @@
 	is.Equal(re.Len(), 0)
 }
 
-// The history is lost and everything is read again, page by page, while entries
-// change. What is gone must go, and what was written between two pages must not
-// be taken for gone.
-func TestWholeAfterLostHistory(t *testing.T) {
+// Guards against wrong removals when the history is lost and a full copy is read page by page
+// while entries change. Entries that no longer exist must be removed, and an entry written
+// between two pages must stay.
+func TestFullCopyAfterLostHistory(t *testing.T) {
 	is := is.New(t)
 	re := feed.NewReplica(feed.DefaultHistory)
 	re.Take(whole(5, put("a", 2), put("b", 3), put("c", 4)))
@@ -95,8 +94,8 @@
 	is.Equal(len(up.Events), 2)
 }
 
-// A chain of VMs hears from one another, each at its own pace and some of them
-// from the store itself. In the end all hold what the store holds.
+// A chain of VMs replicates from one another, each at its own pace and some of them from the
+// store itself. In the end all must hold the same entries as the store.
 func TestChainConverges(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
@@ -107,7 +106,7 @@
 		for i := range chain {
 			chain[i] = feed.NewReplica(3)
 		}
-		hear := func(i int) {
+		replicate := func(i int) {
 			from := store
 			if i > 0 && rnd.IntN(4) > 0 {
 				from = chain[i-1]
@@ -128,7 +127,7 @@
 				}
 				store.Take(since(revision, ev))
 			}
-			hear(rnd.IntN(len(chain)))
+			replicate(rnd.IntN(len(chain)))
 		}
 		for i := range chain {
 			for range 3 {
--- a/core/feed/search.go
+++ b/core/feed/search.go
@@ -7,62 +7,62 @@
 	"laburnumvane/core/retry"
 )
 
-// Times of a search for news, where those that it should come from have none.
+// Delays of a search for fresh data, when the preferred sources have none.
 const (
-	// searchFirst is the wait from one VM with old news to the next, which doubles up
-	// to searchNear within the data centre and to searchFar beyond, where bytes are
-	// paid for; it is over once somebody has news. Where the store serves some VMs,
-	// news spreads from them within a second or two even so; where it serves none,
-	// asking all others as often as it went was 58 calls a second of each of 78 VMs.
-	searchFirst = 5 * time.Millisecond
-	searchNear  = 80 * time.Millisecond
-	searchFar   = 400 * time.Millisecond
+	// searchWaitMin is the wait before the next VM is asked after one had stale data. It doubles up to
+	// searchWaitLocal within the data centre and to searchWaitRemote beyond it, where
+	// traffic is paid for. The search ends once a VM has fresh data. If the store serves
+	// some VMs, fresh data still spreads from them within a second or two. If it serves
+	// none, a search without these waits made each of 78 VMs send 58 calls a second.
+	searchWaitMin    = 5 * time.Millisecond
+	searchWaitLocal  = 80 * time.Millisecond
+	searchWaitRemote = 400 * time.Millisecond
 )
 
-// Hint takes in that a VM which asked this one has news of that age. Its news may come
-// from the store, which turns this VM away.
+// Hint records that a VM which asked this one has data of the given age. If that is fresh, the
+// VM becomes a candidate source: the store may serve it while it refuses this VM.
 func (gu *Guide) Hint(addr string, age time.Duration) {
 	if age <= StaleAfter {
-		gu.hint = addr
+		gu.suggested = addr
 	}
 }
 
-// takeHint is a VM that was hinted at, once.
-func (gu *Guide) takeHint() string {
-	hint := gu.hint
-	gu.hint = ""
+// takeSuggested returns the suggested VM and clears it.
+func (gu *Guide) takeSuggested() string {
+	hint := gu.suggested
+	gu.suggested = ""
 	return hint
 }
 
-// elsewhere asks another data centre, or a VM of the own one that ranks behind.
-func (gu *Guide) elsewhere(now time.Duration) Step {
-	if now >= gu.farAt {
-		if vm, ok := gu.unpassed(now, gu.far); ok {
+// searchStep asks a VM of another data centre, or one of this data centre with a lower rank.
+func (gu *Guide) searchStep(now time.Duration) Step {
+	if now >= gu.remoteAt {
+		if vm, ok := gu.firstAvailable(now, gu.remote); ok {
 			return Step{From: FromPeer, Addr: vm.Addr}
 		}
 	}
-	if now >= gu.nearAt {
-		if vm, ok := gu.unpassed(now, gu.near); ok {
+	if now >= gu.localAt {
+		if vm, ok := gu.firstAvailable(now, gu.local); ok {
 			return Step{From: FromPeer, Addr: vm.Addr}
 		}
 	}
 	return Step{From: FromNobody, Wait: gu.searchWait(now)}
 }
 
-// unpassed is the first of them that may be asked.
-func (gu *Guide) unpassed(now time.Duration, vms []rank.VM) (rank.VM, bool) {
+// firstAvailable returns the first VM that is not this one and not skipped.
+func (gu *Guide) firstAvailable(now time.Duration, vms []rank.VM) (rank.VM, bool) {
 	for _, vm := range vms {
-		if vm.Addr != gu.cfg.Self.Addr && !gu.passed(now, vm.Addr) {
+		if vm.Addr != gu.cfg.Self.Addr && !gu.skipped(now, vm.Addr) {
 			return vm, true
 		}
 	}
 	return rank.VM{}, false
 }
 
-// searchWait is the time until a search goes on.
+// searchWait is the time until the search may continue.
 func (gu *Guide) searchWait(now time.Duration) time.Duration {
 	wait := idleWait
-	for _, at := range [2]time.Duration{gu.nearAt, gu.farAt} {
+	for _, at := range [2]time.Duration{gu.localAt, gu.remoteAt} {
 		if at > now {
 			wait = min(wait, at-now)
 		}
@@ -70,12 +70,12 @@
 	return wait
 }
 
-// foundOld bounds how soon the next VM is asked after one had old news.
-func (gu *Guide) foundOld(now time.Duration) {
-	gu.old++
+// noteStale delays the next call after a VM had stale data.
+func (gu *Guide) noteStale(now time.Duration) {
+	gu.staleInRow++
 	draw := gu.cfg.Rand.Float64()
-	near := retry.Backoff{First: searchFirst, Most: searchNear, Jitter: jitter}
-	far := retry.Backoff{First: searchFirst, Most: searchFar, Jitter: jitter}
-	gu.nearAt = now + near.Wait(gu.old, draw)
-	gu.farAt = now + far.Wait(gu.old, draw)
+	near := retry.Backoff{First: searchWaitMin, Most: searchWaitLocal, Jitter: jitter}
+	far := retry.Backoff{First: searchWaitMin, Most: searchWaitRemote, Jitter: jitter}
+	gu.localAt = now + near.Wait(gu.staleInRow, draw)
+	gu.remoteAt = now + far.Wait(gu.staleInRow, draw)
 }
