--- a/core/press/press.go
+++ b/core/press/press.go
@@ -1,10 +1,10 @@
-// Package press compresses what VMs send each other and what is kept in the
-// store: configurations repeat themselves, and links and values are small.
+// Package press compresses the data that VMs send each other and the values kept in the store:
+// configurations are repetitive, link rates are low, and values are limited in size.
 //
 // # Usage
 //
 //	packed := press.Deflate(raw, press.Fast)
-//	raw, err := press.Inflate(packed, mostBytes)
+//	raw, err := press.Inflate(packed, maxBytes)
 package press
 
 import (
@@ -16,35 +16,35 @@
 	"github.com/go-faster/errors"
 )
 
-// Level is how much time is spent on a smaller result.
+// Level is the trade-off between speed and the size of the result.
 type Level int
 
 const (
-	// Fast is for what is sent once.
+	// Fast is for data that is sent once.
 	Fast Level = flate.BestSpeed
-	// Small is for what is kept and read often.
+	// Small is for data that is stored and read often.
 	Small Level = flate.BestCompression
 )
 
-// Kind says why compressed bytes were not taken.
+// Kind is the reason why compressed data was rejected.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindBroken: the bytes are no deflate stream.
+	// KindBroken means that the data is not a complete deflate stream.
 	KindBroken Kind = "broken"
-	// KindTooLong: the result would be longer than the caller takes.
+	// KindTooLong means that the result would be longer than the caller's limit.
 	KindTooLong Kind = "tooLong"
 )
 
-// Error is a failed operation.
+// Error describes a failed operation.
 type Error struct {
 	Op   string
 	Kind Kind
 	Err  error
 }
 
-// Error gives operation and kind on one line.
+// Error returns operation, kind and cause on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %v", e.Op, e.Kind, e.Err)
 }
@@ -52,7 +52,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// Deflate compresses raw. It panics on a level that is not one of this package.
+// Deflate compresses raw. It panics if lv is not a level of this package.
 func Deflate(raw []byte, lv Level) []byte {
 	var out bytes.Buffer
 	wr, err := flate.NewWriter(&out, int(lv))
@@ -63,15 +63,15 @@
 		err = wr.Close()
 	}
 	if err != nil {
-		// Only the level can be wrong: a buffer takes every byte.
+		// Only the level can be invalid: writing to a buffer never fails.
 		panic(err)
 	}
 	return out.Bytes()
 }
 
-// Inflate undoes Deflate. More than most bytes are refused as KindTooLong, never
-// cut short: a few kilobytes can grow to fill the memory, and a value that lost
-// its end might still be read as a shorter one.
+// Inflate decompresses the result of Deflate. A result of more than most bytes is rejected with
+// KindTooLong and never truncated: a few kilobytes can grow to fill the memory, and a truncated
+// value might still parse as a shorter one.
 func Inflate(packed []byte, most int) ([]byte, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), int64(most)+1))
 	if err != nil {
--- a/core/press/press_test.go
+++ b/core/press/press_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// A VM takes a value that another one sent compressed. If it grows beyond what is
-// taken, it must be refused whole: cut short, it would be taken for a shorter one.
-func TestInflateRefuses(t *testing.T) {
+// Guards against truncation of a value that another VM sent compressed: if it exceeds the limit
+// it must be rejected as a whole, because its beginning might parse as a shorter value.
+func TestInflateRejects(t *testing.T) {
 	whole := press.Deflate(bytes.Repeat([]byte(" "), 100), press.Fast)
 	tests := []struct {
 		name   string
@@ -33,9 +33,9 @@
 		kind   press.Kind
 	}{
 		{"one byte too long", whole, 99, press.KindTooLong},
-		{"cut off", whole[:len(whole)-2], 100, press.KindBroken},
-		{"no deflate stream", []byte("plain"), 100, press.KindBroken},
-		{"nothing", nil, 100, press.KindBroken},
+		{"truncated", whole[:len(whole)-2], 100, press.KindBroken},
+		{"not a deflate stream", []byte("plain"), 100, press.KindBroken},
+		{"empty", nil, 100, press.KindBroken},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
