--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -1,4 +1,4 @@
-// Package queue orders what waits for the same place.
+// Package queue is a priority queue for requests that wait for the same resource.
 //
 // # Usage
 //
@@ -7,16 +7,15 @@
 //	ca, ok := li.Pop()
 //	li.Remove(ca)
 //
-// Of those with the best priority the newest goes first. While more comes than
-// can be served, those that have waited longest are the ones whose callers get
-// least out of an answer: first come, first served would make all of them late,
-// and the newest first answers as many in time as there is room for. Whoever
-// waits bounds the wait of the others by taking itself out.
+// Among values of the best priority, the newest goes first. Under overload, the callers that have
+// waited longest gain least from an answer: first in, first out would make all answers late,
+// while last in, first out answers as many callers in time as capacity allows. A caller limits
+// its wait by removing its value from the queue.
 package queue
 
-// Line is what waits. It is not safe for concurrent use.
+// Line is the queue of waiting values. The zero value is empty. It is not safe for concurrent use.
 type Line[T comparable] struct {
-	// OldestFirst turns the order of those with one priority round.
+	// OldestFirst makes the oldest value of a priority go first.
 	OldestFirst bool
 
 	items []item[T]
@@ -27,16 +26,16 @@
 	value    T
 }
 
-// Push adds one; priority 0 goes before 1.
+// Push adds a value; a lower priority number goes first.
 func (li *Line[T]) Push(priority int, value T) {
 	li.items = append(li.items, item[T]{priority: priority, value: value})
 }
 
-// Pop takes the one that goes first.
+// Pop removes and returns the value that goes first; ok is false if the queue is empty.
 func (li *Line[T]) Pop() (T, bool) {
-	var none T
+	var zero T
 	if len(li.items) == 0 {
-		return none, false
+		return zero, false
 	}
 	best := len(li.items) - 1
 	for i := best - 1; i >= 0; i-- {
@@ -46,22 +45,22 @@
 		}
 	}
 	value := li.items[best].value
-	li.cut(best)
+	li.removeAt(best)
 	return value, true
 }
 
-// Remove takes one out, wherever it stands, and tells whether it was there.
+// Remove removes a value and reports whether it was in the queue.
 func (li *Line[T]) Remove(value T) bool {
 	for i := range li.items {
 		if li.items[i].value == value {
-			li.cut(i)
+			li.removeAt(i)
 			return true
 		}
 	}
 	return false
 }
 
-// Drain takes all.
+// Drain removes and returns all values, oldest first.
 func (li *Line[T]) Drain() []T {
 	values := make([]T, len(li.items))
 	for i := range li.items {
@@ -71,10 +70,10 @@
 	return values
 }
 
-// Len is how many wait.
+// Len returns the number of waiting values.
 func (li *Line[T]) Len() int { return len(li.items) }
 
-func (li *Line[T]) cut(i int) {
+func (li *Line[T]) removeAt(i int) {
 	copy(li.items[i:], li.items[i+1:])
 	li.items[len(li.items)-1] = item[T]{}
 	li.items = li.items[:len(li.items)-1]
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -19,7 +19,7 @@
 		pushes []push
 		want   []string
 	}{
-		{"none", nil, nil},
+		{"empty", nil, nil},
 		{"newest first", []push{{1, "a"}, {1, "b"}, {1, "c"}}, []string{"c", "b", "a"}},
 		{"priority before age", []push{{1, "a"}, {2, "b"}, {1, "c"}, {2, "d"}}, []string{"c", "a", "d", "b"}},
 	}
