--- a/core/spread/call.go
+++ b/core/spread/call.go
@@ -17,7 +17,7 @@
 	callPull
 )
 
-// call is a question that waits for its answer.
+// call is a request that waits for its answer.
 type call struct {
 	id       Call
 	kind     callKind
@@ -27,38 +27,38 @@
 	deadline time.Duration
 }
 
-func (ma *Machine) newCall(ca call, patience time.Duration) Call {
-	ma.last++
-	ca.id = ma.last
-	ca.deadline = ma.now + patience
+func (ma *Machine) newCall(ca call, timeout time.Duration) Call {
+	ma.lastCall++
+	ca.id = ma.lastCall
+	ca.deadline = ma.now + timeout
 	ma.calls = append(ma.calls, ca)
 	return ca.id
 }
 
-// endCall takes a call off the list; ok is false for one that was given up.
+// endCall removes and returns a pending call; ok is false if it has expired or was abandoned.
 func (ma *Machine) endCall(id Call) (call, bool) {
-	at := slices.IndexFunc(ma.calls, func(ca call) bool { return ca.id == id })
-	if at < 0 {
+	i := slices.IndexFunc(ma.calls, func(ca call) bool { return ca.id == id })
+	if i < 0 {
 		return call{}, false
 	}
-	ca := ma.calls[at]
-	ma.calls = slices.Delete(ma.calls, at, at+1)
+	ca := ma.calls[i]
+	ma.calls = slices.Delete(ma.calls, i, i+1)
 	return ca, true
 }
 
-// expire gives up calls that were not answered in time. A connection that went
-// silent for good looks just like a slow answer: only the time tells.
+// expire abandons the calls that were not answered in time. A dead connection looks like a slow
+// answer; only a time-out can detect it.
 func (ma *Machine) expire() {
-	var late []call
+	var expired []call
 	ma.calls = slices.DeleteFunc(ma.calls, func(ca call) bool {
-		over := ca.deadline <= ma.now
-		if over {
-			late = append(late, ca)
+		due := ca.deadline <= ma.now
+		if due {
+			expired = append(expired, ca)
 		}
-		return over
+		return due
 	})
-	for _, ca := range late {
-		ma.act(Abandon{Call: ca.id})
+	for _, ca := range expired {
+		ma.emit(Abandon{Call: ca.id})
 		ma.failed(ca)
 	}
 }
@@ -76,7 +76,7 @@
 	}
 }
 
-// waiting tells whether a call of a kind is under way.
-func (ma *Machine) waiting(kinds ...callKind) bool {
+// inFlight reports whether a call of one of the kinds is pending.
+func (ma *Machine) inFlight(kinds ...callKind) bool {
 	return slices.ContainsFunc(ma.calls, func(ca call) bool { return slices.Contains(kinds, ca.kind) })
 }
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -7,69 +7,69 @@
 	"laburnumvane/core/rank"
 )
 
-// Config sets a Machine. Zero values of the pace take the defaults.
+// Config configures a Machine. Zero values in Pace take the defaults.
 type Config struct {
 	Self rank.VM
 	Rand *rand.Rand
-	// Readable tells whether this build can read an update's document.
+	// Readable returns an error if this build cannot read an update's document.
 	Readable func(Update) error
 	Pace     Pace
 }
 
-// Pace are the times and rates of a Machine.
+// Pace holds the intervals, time-outs and rates of a Machine.
 type Pace struct {
 	// WatchWait is how long the service is asked to hold a watch.
 	WatchWait time.Duration
-	// ServicePatience is waited beyond that, and for any other call: a service
-	// that is slow by 10 s still counts as up.
-	ServicePatience time.Duration
-	// ServiceEvery is the mean time between a watching VM's calls beyond a
-	// burst of ServiceBurst.
+	// ServiceTimeout is the time-out of a call to the service, for a watch counted from the
+	// end of its wait. With it, a service that is 10 s slow still counts as up.
+	ServiceTimeout time.Duration
+	// ServiceEvery is the mean time between the calls of a watching VM after a burst of
+	// ServiceBurst calls.
 	ServiceEvery time.Duration
 	ServiceBurst int
-	// MaxBackoff bounds the pause after failed calls to the service.
+	// MaxBackoff bounds the mean wait after failed calls to the service.
 	MaxBackoff time.Duration
-	// ReadBack is the mean time after which a watching VM reads everything
-	// again, should a watch have missed something.
-	ReadBack time.Duration
-	// ReadBackRate stretches ReadBack so that reading everything again takes
-	// no more than so many bytes a second.
-	ReadBackRate float64
-	// ConfirmBehind is how long the service must go on holding a lower
-	// revision before it is believed.
+	// FullReadEvery is the mean time between two full reads by a watching VM, which catch
+	// what a watch has missed.
+	FullReadEvery time.Duration
+	// FullReadRate lengthens FullReadEvery so that the full reads of a VM transfer at most
+	// this many bytes a second.
+	FullReadRate float64
+	// ConfirmBehind is how long the service must hold a lower revision than the fleet before
+	// this counts as confirmed.
 	ConfirmBehind time.Duration
-	// FallbackRate bounds, for the whole fleet, the reads a second by VMs that
-	// hold nothing and are not ranked.
+	// FallbackRate bounds, for the whole fleet, the reads a second by VMs that hold no update
+	// and don't watch.
 	FallbackRate float64
-	// FallbackUnlisted is the mean time between such reads of a VM that never
-	// got a list of VMs.
+	// FallbackUnlisted is the mean time between such reads by a VM that never received a
+	// list of VMs.
 	FallbackUnlisted time.Duration
-	// CompareEvery is the mean time between a VM's comparisons.
+	// CompareEvery is the mean time between a VM's digest comparisons.
 	CompareEvery time.Duration
-	// CompareGrace is waited before a difference is pulled, as most are pushes
-	// still on their way.
+	// CompareGrace is the mean wait before a difference is pulled: most differences are
+	// pushes still in flight.
 	CompareGrace time.Duration
-	// RootGrace is the mean time for which a watching VM waits for a tree that
-	// another VM began before it begins one.
+	// RootGrace is the mean time for which a watching VM waits for the push of another VM
+	// before it starts the push tree of its data centre itself.
 	RootGrace time.Duration
-	// PeerTimeout bounds pushes and comparisons.
+	// PeerTimeout is the time-out of pushes and comparisons.
 	PeerTimeout time.Duration
-	// PullTimeout bounds a pull, whose answer may be large.
+	// PullTimeout is the time-out of a pull, whose answer may be large.
 	PullTimeout time.Duration
-	// BootPeers are compared with at once at the start.
+	// BootPeers is how many peers a VM compares with at once when it starts.
 	BootPeers int
 }
 
-// Defaults is the pace that the measurements were made with.
-func Defaults() Pace {
+// DefaultPace returns the values with which the package was measured.
+func DefaultPace() Pace {
 	return Pace{
 		WatchWait:        8 * time.Second,
-		ServicePatience:  12 * time.Second,
+		ServiceTimeout:   12 * time.Second,
 		ServiceEvery:     time.Second,
 		ServiceBurst:     4,
 		MaxBackoff:       30 * time.Second,
-		ReadBack:         5 * time.Minute,
-		ReadBackRate:     1 << 10,
+		FullReadEvery:    5 * time.Minute,
+		FullReadRate:     1 << 10,
 		ConfirmBehind:    5 * time.Second,
 		FallbackRate:     100,
 		FallbackUnlisted: time.Minute,
@@ -82,29 +82,29 @@
 	}
 }
 
-// filled takes the defaults where nothing is set.
-func (pa Pace) filled() Pace {
-	df := Defaults()
-	fill(&pa.WatchWait, df.WatchWait)
-	fill(&pa.ServicePatience, df.ServicePatience)
-	fill(&pa.ServiceEvery, df.ServiceEvery)
-	fill(&pa.ServiceBurst, df.ServiceBurst)
-	fill(&pa.MaxBackoff, df.MaxBackoff)
-	fill(&pa.ReadBack, df.ReadBack)
-	fill(&pa.ReadBackRate, df.ReadBackRate)
-	fill(&pa.ConfirmBehind, df.ConfirmBehind)
-	fill(&pa.FallbackRate, df.FallbackRate)
-	fill(&pa.FallbackUnlisted, df.FallbackUnlisted)
-	fill(&pa.CompareEvery, df.CompareEvery)
-	fill(&pa.CompareGrace, df.CompareGrace)
-	fill(&pa.RootGrace, df.RootGrace)
-	fill(&pa.PeerTimeout, df.PeerTimeout)
-	fill(&pa.PullTimeout, df.PullTimeout)
-	fill(&pa.BootPeers, df.BootPeers)
+// withDefaults replaces zero values by the defaults.
+func (pa Pace) withDefaults() Pace {
+	df := DefaultPace()
+	setDefault(&pa.WatchWait, df.WatchWait)
+	setDefault(&pa.ServiceTimeout, df.ServiceTimeout)
+	setDefault(&pa.ServiceEvery, df.ServiceEvery)
+	setDefault(&pa.ServiceBurst, df.ServiceBurst)
+	setDefault(&pa.MaxBackoff, df.MaxBackoff)
+	setDefault(&pa.FullReadEvery, df.FullReadEvery)
+	setDefault(&pa.FullReadRate, df.FullReadRate)
+	setDefault(&pa.ConfirmBehind, df.ConfirmBehind)
+	setDefault(&pa.FallbackRate, df.FallbackRate)
+	setDefault(&pa.FallbackUnlisted, df.FallbackUnlisted)
+	setDefault(&pa.CompareEvery, df.CompareEvery)
+	setDefault(&pa.CompareGrace, df.CompareGrace)
+	setDefault(&pa.RootGrace, df.RootGrace)
+	setDefault(&pa.PeerTimeout, df.PeerTimeout)
+	setDefault(&pa.PullTimeout, df.PullTimeout)
+	setDefault(&pa.BootPeers, df.BootPeers)
 	return pa
 }
 
-func fill[V comparable](field *V, def V) {
+func setDefault[V comparable](field *V, def V) {
 	var zero V
 	if *field == zero {
 		*field = def
--- a/core/spread/doc.go
+++ b/core/spread/doc.go
@@ -1,5 +1,5 @@
-// Package spread brings every team's accepted configuration to every VM and
-// never lets a revision go down. One machine runs on each VM.
+// Package spread distributes each team's accepted configuration to all VMs and never lets a
+// revision in force decrease. One Machine runs on each VM.
 //
 // # Usage
 //
@@ -14,14 +14,14 @@
 //	}
 //	// and Step with Tick at ma.Next()
 //
-// Two ranked VMs of each data centre watch the key-value service. What they
-// learn, and what a VM itself had accepted, travels down a tree of the data
-// centre, drawn anew for each change. Trees lose messages; digests, compared
-// with a random peer every second, find what was lost, and a pull repairs it.
-// Ranked VMs also compare with those of other data centres, so that one that is
-// cut off from the service but not from its peers keeps up.
+// Two VMs of each data centre, selected by rank, watch the key-value service. The updates that
+// they receive, and those accepted through a VM itself, are pushed down a tree of the data
+// centre, which differs per change. Pushes may be lost. To detect this, each VM compares digests
+// with a random peer every second and repairs a difference by a pull. Watching VMs also compare
+// with VMs of other data centres, so that a VM that is cut off from the service but not from its
+// peers stays up to date.
 //
-// The calls to the service are bounded by construction: ranked VMs make one a
-// second at most, others make none unless they hold nothing at all, and then at
-// a pace that falls with the size of the fleet.
+// The rate of calls to the service is bounded by construction: a watching VM makes at most one
+// call a second, and the other VMs make none unless they hold no update at all; then their call
+// rate falls with the size of the fleet.
 package spread
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -6,19 +6,19 @@
 	"laburnumvane/core/rank"
 )
 
-// Event is what a Machine is stepped with.
+// Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Call matches an answer with its question.
+// Call identifies a call, so that its answer can be matched with it.
 type Call uint64
 
-// Tick tells that Next has come.
+// Tick reports that the time returned by Next has come.
 type Tick struct{}
 
-// Members brings the list of VMs.
+// Members replaces the list of VMs.
 type Members struct{ VMs []rank.VM }
 
-// Ranged answers a Range with all that the service holds, at its revision.
+// Ranged answers a Range with all values that the service holds, as of its revision.
 type Ranged struct {
 	Call     Call
 	Revision uint64
@@ -26,13 +26,13 @@
 	Broken   []Broken
 }
 
-// Broken is a team's value that cannot be read.
+// Broken is a team's value in the service that cannot be decoded.
 type Broken struct {
 	Team string
 	Err  error
 }
 
-// Watched answers a Watch.
+// Watched answers a Watch. Compacted is set if the service no longer has the events asked for.
 type Watched struct {
 	Call      Call
 	Revision  uint64
@@ -41,38 +41,38 @@
 	Compacted bool
 }
 
-// Failed tells that a call got no answer.
+// Failed reports that a call got no answer.
 type Failed struct{ Call Call }
 
-// Pushed brings what another VM sent without being asked.
+// Pushed delivers updates that another VM pushed.
 type Pushed struct {
 	From    rank.VM
 	Updates []Update
 }
 
-// Acked answers a Push.
+// Acked acknowledges a Push.
 type Acked struct{ Call Call }
 
-// Beat brings a peer's digest, from a Compare of theirs or on a heartbeat.
+// Beat delivers a peer's digest, which came with a Compare of that peer or on a heartbeat.
 type Beat struct {
 	From   rank.VM
 	Digest Digest
 }
 
-// Compared answers a Compare.
+// Compared answers a Compare with the peer's digest.
 type Compared struct {
 	Call   Call
 	Digest Digest
 }
 
-// Pulled answers a Pull. More is set if the peer had to cut its answer.
+// Pulled answers a Pull. More is set if the peer had to truncate its answer.
 type Pulled struct {
 	Call    Call
 	Updates []Update
 	More    bool
 }
 
-// Accepted brings a change that this VM has just carried to the service.
+// Accepted delivers a change that this VM has just written to the service.
 type Accepted struct{ Update Update }
 
 func (Tick) isEvent()     {}
@@ -87,10 +87,10 @@
 func (Pulled) isEvent()   {}
 func (Accepted) isEvent() {}
 
-// Action is what a Machine asks for.
+// Action is an output of Machine.Step, for the caller to carry out.
 type Action interface{ isAction() }
 
-// Range reads all teams' values from the service.
+// Range reads the values of all teams from the service.
 type Range struct{ Call Call }
 
 // Watch waits for changes after a revision of the service.
@@ -100,39 +100,39 @@
 	Wait time.Duration
 }
 
-// Abandon ends a call whose answer is no longer waited for.
+// Abandon cancels a call whose answer is no longer needed.
 type Abandon struct{ Call Call }
 
-// Push hands an update to another VM.
+// Push sends an update to another VM.
 type Push struct {
 	Call   Call
 	To     rank.VM
 	Update Update
 }
 
-// Compare tells a peer this VM's digest and asks for theirs.
+// Compare sends this VM's digest to a peer and asks for the peer's digest.
 type Compare struct {
 	Call   Call
 	To     rank.VM
 	Digest Digest
 }
 
-// Pull asks a peer for all that is newer than what this VM holds.
+// Pull asks a peer for all updates that are newer than what this VM holds.
 type Pull struct {
 	Call Call
 	To   rank.VM
 	Held []Revision
 }
 
-// Apply puts an update in force. For one team, revisions only rise.
+// Apply puts an update in force. The revisions of a team only increase.
 type Apply struct{ Update Update }
 
-// Restore gives the service back a change that it has lost, by compare-and-swap
-// and only if it still holds a lower revision.
+// Restore writes a change that the service has lost back to it, by compare-and-swap and only if
+// the service still holds a lower revision.
 type Restore struct{ Update Update }
 
-// Alarm tells operators of a state that needs them; it holds until an Alarm
-// with the same kind and team and Raised false.
+// Alarm reports a state that needs an operator. It holds until an Alarm with the same kind and
+// team and with Raised false.
 type Alarm struct {
 	Kind   AlarmKind
 	Team   string
@@ -140,23 +140,23 @@
 	Raised bool
 }
 
-// AlarmKind names what an alarm is about.
+// AlarmKind is the kind of an alarm.
 type AlarmKind string
 
 // Kinds of alarms.
 const (
-	// AlarmUnreadable: a document that this build cannot read; the one before
-	// stays in force.
+	// AlarmUnreadable means that this build cannot read a document; the previous one stays in
+	// force.
 	AlarmUnreadable AlarmKind = "unreadable"
-	// AlarmBroken: a value in the service that is no configuration.
+	// AlarmBroken means that a value in the service is not a configuration.
 	AlarmBroken AlarmKind = "broken"
-	// AlarmServiceBehind: the service holds a lower revision than the fleet.
+	// AlarmServiceBehind means that the service holds a lower revision than the fleet.
 	AlarmServiceBehind AlarmKind = "serviceBehind"
-	// AlarmServiceDown: the service has not answered for some calls in a row.
+	// AlarmServiceDown means that several calls to the service in a row failed.
 	AlarmServiceDown AlarmKind = "serviceDown"
-	// AlarmServicePast: the service's own revision went down.
+	// AlarmServicePast means that the service's own revision decreased.
 	AlarmServicePast AlarmKind = "servicePast"
-	// AlarmSameRevision: two changes of one team share a revision.
+	// AlarmSameRevision means that two changes of one team have the same revision.
 	AlarmSameRevision AlarmKind = "sameRevision"
 )
 
--- a/core/spread/example_test.go
+++ b/core/spread/example_test.go
@@ -9,7 +9,7 @@
 	"laburnumvane/core/spread"
 )
 
-// Example has a VM learn a change from a peer, and then hear of an older one.
+// Example shows a VM that receives a change from a peer and then an older one.
 func Example() {
 	ma := spread.New(spread.Config{
 		Self:     rank.VM{Addr: "10.0.0.1:7703", DataCentre: "east"},
--- a/core/spread/gossip.go
+++ b/core/spread/gossip.go
@@ -7,46 +7,45 @@
 	"laburnumvane/core/rank"
 )
 
-// gossip is what the machine does with peers.
+// gossip is the state of comparisons with peers and pulls from them.
 type gossip struct {
-	compareAt time.Duration
-	relayAt   time.Duration
-	// relayTurn goes round the other data centres.
-	relayTurn int
-	// pullAt is when a difference with pullFrom is repaired; never if there
-	// is none.
-	pullAt   time.Duration
-	pullFrom rank.VM
-	theirs   Digest
-	pulling  bool
-	// boot counts the answers of peers that are still to come before this VM
-	// turns to the service.
-	boot int
+	localCompareAt  time.Duration
+	remoteCompareAt time.Duration
+	// remoteTurn selects the next other data centre, round robin.
+	remoteTurn int
+	// pullAt is when a difference with pullFrom is repaired; never if there is none.
+	pullAt     time.Duration
+	pullFrom   rank.VM
+	peerDigest Digest
+	pulling    bool
+	// bootCompares counts the pending boot comparisons. This VM calls the service only after
+	// they have ended.
+	bootCompares int
 }
 
 func (gs *gossip) next() time.Duration {
-	return min(gs.compareAt, gs.relayAt, gs.pullAt)
+	return min(gs.localCompareAt, gs.remoteCompareAt, gs.pullAt)
 }
 
-// booting tells whether peers may still have what this VM lacks.
+// booting reports whether peers may still deliver updates that this VM lacks.
 func (gs *gossip) booting() bool {
-	return gs.boot > 0 || gs.pulling
+	return gs.bootCompares > 0 || gs.pulling
 }
 
-// askPeers makes the comparisons and pulls whose time has come.
+// askPeers makes the comparisons and pulls that are due.
 func (ma *Machine) askPeers() {
 	gs := &ma.gossip
-	if !ma.listed {
-		gs.compareAt, gs.relayAt = never, never
+	if !ma.hasMembers {
+		gs.localCompareAt, gs.remoteCompareAt = never, never
 		return
 	}
-	if gs.compareAt <= ma.now {
-		gs.compareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
-		ma.compareNear()
+	if gs.localCompareAt <= ma.now {
+		gs.localCompareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
+		ma.compareLocal()
 	}
-	if gs.relayAt <= ma.now {
-		gs.relayAt = ma.now + ma.jittered(ma.pace.CompareEvery)
-		ma.compareFar()
+	if gs.remoteCompareAt <= ma.now {
+		gs.remoteCompareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
+		ma.compareRemote()
 	}
 	if gs.pullAt <= ma.now {
 		gs.pullAt = never
@@ -54,35 +53,34 @@
 	}
 }
 
-// startBoot compares with several peers at once. The highest of what they hold
-// wins, as always.
+// startBoot compares with several peers at once. Of the updates that they hold, the highest
+// revision wins, as always.
 func (ma *Machine) startBoot() {
 	gs := &ma.gossip
-	gs.compareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
-	gs.relayAt = ma.now + ma.jittered(ma.pace.CompareEvery)
+	gs.localCompareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
+	gs.remoteCompareAt = ma.now + ma.jittered(ma.pace.CompareEvery)
 	peers := ma.bootPeers()
-	gs.boot = len(peers)
+	gs.bootCompares = len(peers)
 	for _, vm := range peers {
 		ma.compare(vm)
 	}
 }
 
-// bootPeers draws peers of this data centre, and from others where it has too
-// few.
+// bootPeers picks random peers of this data centre, and of others if this one has too few.
 func (ma *Machine) bootPeers() []rank.VM {
 	self := ma.cfg.Self
-	near := ma.shuffled(ma.table.Members(self.DataCentre))
-	var far []rank.VM
+	local := ma.shuffled(ma.table.Members(self.DataCentre))
+	var remote []rank.VM
 	for _, dc := range ma.table.DataCentres() {
 		if dc != self.DataCentre {
-			far = append(far, ma.table.Members(dc)...)
+			remote = append(remote, ma.table.Members(dc)...)
 		}
 	}
-	peers := slices.Concat(near, ma.shuffled(far))
+	peers := slices.Concat(local, ma.shuffled(remote))
 	return peers[:min(len(peers), ma.pace.BootPeers)]
 }
 
-// shuffled draws an order of VMs, this one left out.
+// shuffled returns the VMs without this one, in random order.
 func (ma *Machine) shuffled(vms []rank.VM) []rank.VM {
 	out := make([]rank.VM, 0, len(vms))
 	for _, vm := range vms {
@@ -94,38 +92,37 @@
 	return out
 }
 
-// compareNear compares with a random VM of the data centre: whoever lacks
-// something meets a VM that has it within a few rounds, however many VMs there
-// are.
-func (ma *Machine) compareNear() {
-	if vm, ok := ma.drawn(ma.table.Members(ma.cfg.Self.DataCentre)); ok {
+// compareLocal compares with a random VM of the data centre. A VM that lacks an update meets one
+// that has it within a few rounds, however many VMs there are.
+func (ma *Machine) compareLocal() {
+	if vm, ok := ma.randomPeer(ma.table.Members(ma.cfg.Self.DataCentre)); ok {
 		ma.compare(vm)
 	}
 }
 
-// compareFar compares with a VM of the next other data centre, if this VM is
-// ranked. Any VM there will do: it need not know of its own rank.
-func (ma *Machine) compareFar() {
-	if !ma.ranked() {
+// compareRemote compares with a random VM of the next other data centre, if this VM watches the
+// service. The other VM need not be a watching one.
+func (ma *Machine) compareRemote() {
+	if !ma.isWatcher() {
 		return
 	}
 	others := ma.table.DataCentres()
 	for range others {
 		gs := &ma.gossip
-		gs.relayTurn++
-		dc := others[gs.relayTurn%len(others)]
+		gs.remoteTurn++
+		dc := others[gs.remoteTurn%len(others)]
 		if dc == ma.cfg.Self.DataCentre {
 			continue
 		}
-		if vm, ok := ma.drawn(ma.table.Members(dc)); ok {
+		if vm, ok := ma.randomPeer(ma.table.Members(dc)); ok {
 			ma.compare(vm)
 		}
 		return
 	}
 }
 
-// drawn draws a VM that is not this one.
-func (ma *Machine) drawn(vms []rank.VM) (rank.VM, bool) {
+// randomPeer picks a random VM other than this one; ok is false if there is none.
+func (ma *Machine) randomPeer(vms []rank.VM) (rank.VM, bool) {
 	if len(vms) == 0 || len(vms) == 1 && vms[0].Addr == ma.cfg.Self.Addr {
 		return rank.VM{}, false
 	}
@@ -139,42 +136,42 @@
 
 func (ma *Machine) compare(to rank.VM) {
 	id := ma.newCall(call{kind: callCompare, to: to}, ma.pace.PeerTimeout)
-	ma.act(Compare{Call: id, To: to, Digest: ma.digest})
+	ma.emit(Compare{Call: id, To: to, Digest: ma.digest})
 }
 
-func (ma *Machine) takeCompared(ev Compared) {
+func (ma *Machine) handleCompared(ev Compared) {
 	ca, ok := ma.endCall(ev.Call)
 	if !ok {
 		return
 	}
-	ma.endBoot()
-	ma.differ(ca.to, ev.Digest)
+	ma.endBootCompare()
+	ma.planPull(ca.to, ev.Digest)
 }
 
 func (ma *Machine) compareFailed(call) {
-	ma.endBoot()
+	ma.endBootCompare()
 }
 
-func (ma *Machine) endBoot() {
-	ma.gossip.boot = max(0, ma.gossip.boot-1)
+func (ma *Machine) endBootCompare() {
+	ma.gossip.bootCompares = max(0, ma.gossip.bootCompares-1)
 }
 
-// takeBeat takes a peer's digest that came unasked.
-func (ma *Machine) takeBeat(ev Beat) {
-	ma.differ(ev.From, ev.Digest)
+// handleBeat handles a peer's digest that this VM did not ask for.
+func (ma *Machine) handleBeat(ev Beat) {
+	ma.planPull(ev.From, ev.Digest)
 }
 
-// differ plans a pull from a peer that seems to have more. The one with the
-// lower sum pulls; with equal sums both do.
-func (ma *Machine) differ(from rank.VM, theirs Digest) {
+// planPull schedules a pull from a peer that seems to be ahead. The VM with the lower sum pulls;
+// with equal sums both do.
+func (ma *Machine) planPull(from rank.VM, digest Digest) {
 	gs := &ma.gossip
-	if theirs.Hash == ma.digest.Hash || theirs.Sum < ma.digest.Sum || gs.pulling {
+	if digest.Hash == ma.digest.Hash || digest.Sum < ma.digest.Sum || gs.pulling {
 		return
 	}
-	if gs.pullAt != never && theirs.Sum <= gs.theirs.Sum {
+	if gs.pullAt != never && digest.Sum <= gs.peerDigest.Sum {
 		return
 	}
-	gs.pullFrom, gs.theirs = from, theirs
+	gs.pullFrom, gs.peerDigest = from, digest
 	if len(ma.held) == 0 {
 		gs.pullAt = ma.now
 		return
@@ -182,21 +179,21 @@
 	gs.pullAt = min(gs.pullAt, ma.now+ma.jittered(ma.pace.CompareGrace))
 }
 
-// pull repairs the difference, unless a push has done so meanwhile.
+// pull requests the missing updates, unless a push has delivered them meanwhile.
 func (ma *Machine) pull() {
 	gs := &ma.gossip
-	if gs.theirs.Hash == ma.digest.Hash || gs.theirs.Sum < ma.digest.Sum {
+	if gs.peerDigest.Hash == ma.digest.Hash || gs.peerDigest.Sum < ma.digest.Sum {
 		return
 	}
 	gs.pulling = true
 	id := ma.newCall(call{kind: callPull, to: gs.pullFrom}, ma.pace.PullTimeout)
-	ma.act(Pull{Call: id, To: gs.pullFrom, Held: ma.Held()})
+	ma.emit(Pull{Call: id, To: gs.pullFrom, Held: ma.Held()})
 }
 
-func (ma *Machine) takePulled(ev Pulled) {
+func (ma *Machine) handlePulled(ev Pulled) {
 	ca, awaited := ma.endCall(ev.Call)
-	near := !awaited || ca.to.DataCentre == ma.cfg.Self.DataCentre
-	ma.learnAll(ev.Updates, originOf(near, originPull, originFar))
+	local := !awaited || ca.to.DataCentre == ma.cfg.Self.DataCentre
+	ma.mergeAll(ev.Updates, originOf(local, originPull, originRemote))
 	if !awaited {
 		return
 	}
--- a/core/spread/machine.go
+++ b/core/spread/machine.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// recentLimit bounds the ids of changes that a VM can still name.
-	recentLimit = 1024
-	// answerBytes bounds the documents in one answer to a pull, which is
-	// reached only by a VM that boots.
-	answerBytes = 256 << 10
-	// bulk is a number of updates beyond which they are not news but a first
-	// load, which peers get by comparing.
-	bulk = 64
-	// maxCalls bounds the calls that wait for an answer. Pushes beyond it are
-	// not sent; digests repair.
+	// maxRecent bounds the ids of past changes that Find can look up.
+	maxRecent = 1024
+	// maxAnswerBytes bounds the documents in one answer to a pull. Only the answer to a VM
+	// that boots reaches it.
+	maxAnswerBytes = 256 << 10
+	// maxForwarded is the largest number of updates in one message that are forwarded. More
+	// are an initial load, which peers get by comparing.
+	maxForwarded = 64
+	// maxCalls bounds the pending calls. Pushes beyond it are not sent; the comparison of
+	// digests repairs that.
 	maxCalls = 1024
 	never    = time.Duration(1<<63 - 1)
 )
 
-// Machine is the distribution on one VM. It is not safe for concurrent use.
+// Machine distributes updates on one VM. It is not safe for concurrent use.
 type Machine struct {
-	cfg    Config
-	pace   Pace
-	now    time.Duration
-	acts   []Action
-	table  *rank.Table
-	listed bool
+	cfg        Config
+	pace       Pace
+	now        time.Duration
+	actions    []Action
+	table      *rank.Table
+	hasMembers bool
 
-	held  map[string]Update
-	force map[string]Revision
-	// forwarded is what this VM has pushed to its children.
+	held    map[string]Update
+	inForce map[string]Revision
+	// forwarded holds the last update of each team that this VM pushed to its children.
 	forwarded map[string]Revision
 	alarms    map[alarmKey]string
 	digest    Digest
@@ -42,11 +42,11 @@
 
 	deferred []deferred
 	calls    []call
-	last     Call
+	lastCall Call
 
 	service service
 	gossip  gossip
-	begun   bool
+	started bool
 }
 
 type alarmKey struct {
@@ -54,37 +54,37 @@
 	team string
 }
 
-// New makes a machine that holds nothing and knows no other VM.
+// New returns a machine without updates and without other VMs.
 func New(cfg Config) *Machine {
 	return &Machine{
 		cfg:       cfg,
-		pace:      cfg.Pace.filled(),
+		pace:      cfg.Pace.withDefaults(),
 		table:     rank.New(rank.Config{Self: cfg.Self}),
 		held:      make(map[string]Update),
-		force:     make(map[string]Revision),
+		inForce:   make(map[string]Revision),
 		forwarded: make(map[string]Revision),
 		alarms:    make(map[alarmKey]string),
 	}
 }
 
-// Step takes an event and tells what to do, in order.
+// Step handles an event and returns the actions to carry out, in order.
 func (ma *Machine) Step(now time.Duration, ev Event) []Action {
-	ma.acts = nil
+	ma.actions = nil
 	ma.now = max(ma.now, now)
-	if !ma.begun {
-		ma.begin()
+	if !ma.started {
+		ma.start()
 	}
-	ma.take(ev)
+	ma.handle(ev)
 	ma.expire()
 	ma.pushDeferred()
 	ma.askPeers()
 	ma.askService()
-	return ma.acts
+	return ma.actions
 }
 
-// Next is when the machine wants its next Tick.
+// Next returns when the machine needs its next Tick.
 func (ma *Machine) Next() time.Duration {
-	at := min(ma.service.wake, ma.gossip.next())
+	at := min(ma.service.wakeAt, ma.gossip.next())
 	for _, df := range ma.deferred {
 		at = min(at, df.at)
 	}
@@ -94,21 +94,21 @@
 	return at
 }
 
-func (ma *Machine) begin() {
-	ma.begun = true
-	ma.service = service{tokens: float64(ma.pace.ServiceBurst), filled: ma.now}
+func (ma *Machine) start() {
+	ma.started = true
+	ma.service = service{tokens: float64(ma.pace.ServiceBurst), filledAt: ma.now}
 	ma.service.fallbackAt = ma.now + ma.jittered(ma.fallbackEvery())
-	ma.gossip = gossip{compareAt: never, relayAt: never, pullAt: never}
+	ma.gossip = gossip{localCompareAt: never, remoteCompareAt: never, pullAt: never}
 }
 
-func (ma *Machine) take(ev Event) {
+func (ma *Machine) handle(ev Event) {
 	switch ev := ev.(type) {
 	case Members:
-		ma.takeMembers(ev)
+		ma.handleMembers(ev)
 	case Ranged:
-		ma.takeRanged(ev)
+		ma.handleRanged(ev)
 	case Watched:
-		ma.takeWatched(ev)
+		ma.handleWatched(ev)
 	case Failed:
 		if ca, ok := ma.endCall(ev.Call); ok {
 			ma.failed(ca)
@@ -118,80 +118,79 @@
 		if ev.From.DataCentre == ma.cfg.Self.DataCentre {
 			ma.forwardHeld(ev.Updates)
 		}
-		ma.learnAll(ev.Updates, originOf(ev.From.DataCentre == ma.cfg.Self.DataCentre, originPush, originFar))
+		ma.mergeAll(ev.Updates, originOf(ev.From.DataCentre == ma.cfg.Self.DataCentre, originPush, originRemote))
 	case Acked:
 		ma.endCall(ev.Call)
 	case Beat:
-		ma.takeBeat(ev)
+		ma.handleBeat(ev)
 	case Compared:
-		ma.takeCompared(ev)
+		ma.handleCompared(ev)
 	case Pulled:
-		ma.takePulled(ev)
+		ma.handlePulled(ev)
 	case Accepted:
-		ma.learnAll([]Update{ev.Update}, originSelf)
+		ma.mergeAll([]Update{ev.Update}, originSelf)
 	}
 }
 
-func (ma *Machine) takeMembers(ev Members) {
+func (ma *Machine) handleMembers(ev Members) {
 	ma.table = rank.New(rank.Config{Self: ma.cfg.Self, VMs: ev.VMs})
-	if !ma.listed {
-		ma.listed = true
+	if !ma.hasMembers {
+		ma.hasMembers = true
 		ma.service.fallbackAt = ma.now + ma.jittered(ma.fallbackEvery())
 		ma.startBoot()
 	}
 }
 
-// origin is how an update came to this VM, which tells who else must get it.
+// origin is how an update reached this VM. It determines which VMs still need the update.
 type origin uint8
 
 const (
-	// originPush: down the tree of the data centre.
+	// originPush is a push down the tree of the data centre.
 	originPush origin = iota
-	// originPull: a repair within the data centre; the others have it.
+	// originPull is a repair within the data centre; the other VMs have the update.
 	originPull
-	// originFar: from another data centre.
-	originFar
-	// originService: from the key-value service.
+	// originRemote is another data centre.
+	originRemote
+	// originService is the key-value service.
 	originService
-	// originSelf: accepted through this VM.
+	// originSelf is a change accepted through this VM.
 	originSelf
 )
 
-func originOf(near bool, nearOrigin, farOrigin origin) origin {
-	if near {
-		return nearOrigin
+func originOf(local bool, localOrigin, remoteOrigin origin) origin {
+	if local {
+		return localOrigin
 	}
-	return farOrigin
+	return remoteOrigin
 }
 
-func (ma *Machine) learnAll(ups []Update, from origin) {
-	var news []Update
+func (ma *Machine) mergeAll(ups []Update, from origin) {
+	var merged []Update
 	for _, up := range ups {
-		if ma.learn(up) {
-			news = append(news, up)
+		if ma.merge(up) {
+			merged = append(merged, up)
 		}
 	}
-	if len(news) > bulk {
+	if len(merged) > maxForwarded {
 		return
 	}
-	for _, up := range news {
+	for _, up := range merged {
 		ma.forward(up, from)
 	}
 }
 
-// learn takes an update in unless this VM has it or a newer one. This one rule
-// is what keeps revisions from going down, wherever the update comes from: a
-// service that answers from the past, a push that was overtaken, a peer that
-// slept for an hour.
-func (ma *Machine) learn(up Update) bool {
+// merge takes over an update unless this VM has it or a newer one. This rule alone keeps revisions
+// from decreasing, whatever the source of the update: a service that returns past values, a push
+// that was overtaken, or a peer that was paused for an hour.
+func (ma *Machine) merge(up Update) bool {
 	old := ma.held[up.Team]
 	if !up.Name().newer(old.Name()) {
 		return false
 	}
 	if old.Revision == up.Revision {
-		ma.alarm(AlarmSameRevision, up.Team, "changes "+old.ChangeID+" and "+up.ChangeID+" share a revision; the latter is in force")
+		ma.raiseAlarm(AlarmSameRevision, up.Team, "changes "+old.ChangeID+" and "+up.ChangeID+" share a revision; the latter is in force")
 	} else {
-		ma.settled(AlarmSameRevision, up.Team)
+		ma.clearAlarm(AlarmSameRevision, up.Team)
 	}
 	if old.Revision > 0 {
 		ma.digest = ma.digest.without(old.Name())
@@ -199,78 +198,78 @@
 	ma.digest = ma.digest.with(up.Name())
 	ma.held[up.Team] = up
 	ma.recent = append(ma.recent, up.Name())
-	if len(ma.recent) > 2*recentLimit {
-		ma.recent = slices.Clone(ma.recent[recentLimit:])
+	if len(ma.recent) > 2*maxRecent {
+		ma.recent = slices.Clone(ma.recent[maxRecent:])
 	}
-	ma.enforce(up)
+	ma.activate(up)
 	return true
 }
 
-// enforce puts an update in force if this build can read it. One that it cannot
-// read is held and passed on all the same: newer VMs can.
-func (ma *Machine) enforce(up Update) {
+// activate puts an update in force if this build can read it. An update that it cannot read is
+// nevertheless held and passed on, because VMs with a newer build can read it.
+func (ma *Machine) activate(up Update) {
 	if err := ma.cfg.Readable(up); err != nil {
-		ma.alarm(AlarmUnreadable, up.Team, "change "+up.ChangeID+" cannot be read, the one before stays in force: "+err.Error())
+		ma.raiseAlarm(AlarmUnreadable, up.Team, "change "+up.ChangeID+" cannot be read, the one before stays in force: "+err.Error())
 		return
 	}
-	ma.settled(AlarmUnreadable, up.Team)
-	ma.force[up.Team] = up.Name()
-	ma.act(Apply{Update: up})
+	ma.clearAlarm(AlarmUnreadable, up.Team)
+	ma.inForce[up.Team] = up.Name()
+	ma.emit(Apply{Update: up})
 }
 
-// alarm raises an alarm unless it stands already with the same text.
-func (ma *Machine) alarm(kind AlarmKind, team, text string) {
+// raiseAlarm raises an alarm unless it is already raised with the same text.
+func (ma *Machine) raiseAlarm(kind AlarmKind, team, text string) {
 	key := alarmKey{kind: kind, team: team}
 	if ma.alarms[key] == text {
 		return
 	}
 	ma.alarms[key] = text
-	ma.act(Alarm{Kind: kind, Team: team, Text: text, Raised: true})
+	ma.emit(Alarm{Kind: kind, Team: team, Text: text, Raised: true})
 }
 
-func (ma *Machine) settled(kind AlarmKind, team string) {
+func (ma *Machine) clearAlarm(kind AlarmKind, team string) {
 	key := alarmKey{kind: kind, team: team}
 	if _, ok := ma.alarms[key]; !ok {
 		return
 	}
 	delete(ma.alarms, key)
-	ma.act(Alarm{Kind: kind, Team: team})
+	ma.emit(Alarm{Kind: kind, Team: team})
 }
 
-// settleAll ends the alarms of some kinds for all teams.
-func (ma *Machine) settleAll(kinds ...AlarmKind) {
-	var over []alarmKey
+// clearAlarms clears the alarms of some kinds for all teams.
+func (ma *Machine) clearAlarms(kinds ...AlarmKind) {
+	var keys []alarmKey
 	for key := range ma.alarms {
 		if slices.Contains(kinds, key.kind) {
-			over = append(over, key)
+			keys = append(keys, key)
 		}
 	}
-	slices.SortFunc(over, func(a, b alarmKey) int {
+	slices.SortFunc(keys, func(a, b alarmKey) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.team, b.team))
 	})
-	for _, key := range over {
-		ma.settled(key.kind, key.team)
+	for _, key := range keys {
+		ma.clearAlarm(key.kind, key.team)
 	}
 }
 
-func (ma *Machine) act(ac Action) {
-	ma.acts = append(ma.acts, ac)
+func (ma *Machine) emit(ac Action) {
+	ma.actions = append(ma.actions, ac)
 }
 
-// jittered draws a time around d, from half of it to one and a half: VMs that
-// began together must not stay together.
+// jittered returns a random time between half of d and one and a half of it, so that VMs that
+// started together don't act in step.
 func (ma *Machine) jittered(d time.Duration) time.Duration {
 	return d/2 + time.Duration(ma.cfg.Rand.Int64N(int64(d)+1))
 }
 
-// Digest sums up what this VM holds.
+// Digest returns the digest of what this VM holds.
 func (ma *Machine) Digest() Digest { return ma.digest }
 
-// Table is the ranking in use.
+// Table returns the ranking in use.
 func (ma *Machine) Table() *rank.Table { return ma.table }
 
-// Held lists what this VM holds, by team; of some it may be unable to read the
-// newest.
+// Held returns the newest revision that this VM holds of each team, sorted by team. It may be
+// unable to read some of them.
 func (ma *Machine) Held() []Revision {
 	out := make([]Revision, 0, len(ma.held))
 	for _, up := range ma.held {
@@ -280,13 +279,13 @@
 	return out
 }
 
-// InForce is the revision of a team that this VM works by.
+// InForce returns the revision of a team that is in force on this VM; ok is false if none is.
 func (ma *Machine) InForce(team string) (Revision, bool) {
-	rv, ok := ma.force[team]
+	rv, ok := ma.inForce[team]
 	return rv, ok
 }
 
-// Find names the change with an id, among the last that this VM learnt.
+// Find returns the change with the given id, among the last ones that this VM received.
 func (ma *Machine) Find(id string) (Revision, bool) {
 	for _, rv := range slices.Backward(ma.recent) {
 		if rv.ChangeID == id {
@@ -296,8 +295,8 @@
 	return Revision{}, false
 }
 
-// Answer lists what a peer lacks that holds no more than held; more tells that
-// the answer was cut.
+// Answer returns the updates that a peer lacks, given what it holds. more is set if the answer was
+// truncated.
 func (ma *Machine) Answer(held []Revision) (ups []Update, more bool) {
 	theirs := make(map[string]Revision, len(held))
 	for _, rv := range held {
@@ -309,7 +308,7 @@
 			continue
 		}
 		up := ma.held[rv.Team]
-		if size += len(up.Document); size > answerBytes && len(ups) > 0 {
+		if size += len(up.Document); size > maxAnswerBytes && len(ups) > 0 {
 			return ups, true
 		}
 		ups = append(ups, up)
--- a/core/spread/property_test.go
+++ b/core/spread/property_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// chaos is a fleet to which anything happens at any time.
+// chaos is a fleet with random faults and changes.
 type chaos struct {
 	t       *rapid.T
 	fl      *fleet
@@ -20,29 +20,29 @@
 	return ch.fl.vms[rapid.IntRange(0, len(ch.fl.vms)-1).Draw(ch.t, "vm")]
 }
 
-// happening is one thing that chaos brings about.
-type happening struct {
-	name string
-	do   func(ch *chaos)
+// chaosEvent is one fault, repair or change.
+type chaosEvent struct {
+	name  string
+	apply func(ch *chaos)
 }
 
-func happenings() []happening {
-	return []happening{
+func chaosEvents() []chaosEvent {
+	return []chaosEvent{
 		{"change", (*chaos).change},
-		{"quiet", (*chaos).quiet},
-		{"down", func(ch *chaos) { ch.fl.sv.down = true }},
-		{"up", func(ch *chaos) { ch.fl.sv.down = false }},
-		{"past", func(ch *chaos) { ch.fl.sv.past = ch.fl.sv.copy() }},
-		{"present", func(ch *chaos) { ch.fl.sv.past = nil }},
-		{"silent", func(ch *chaos) { ch.fl.sv.silent = true }},
-		{"heard", func(ch *chaos) { ch.fl.sv.silent = false }},
-		{"slow", func(ch *chaos) { ch.fl.sv.slow = 10 * time.Second }},
-		{"quick", func(ch *chaos) { ch.fl.sv.slow = 0 }},
-		{"compact", func(ch *chaos) { ch.fl.sv.compact() }},
-		{"backup", func(ch *chaos) { ch.backup = ch.fl.sv.copy() }},
+		{"changeInServiceOnly", (*chaos).changeInServiceOnly},
+		{"down", func(ch *chaos) { ch.fl.service.down = true }},
+		{"up", func(ch *chaos) { ch.fl.service.down = false }},
+		{"stale", func(ch *chaos) { ch.fl.service.stale = ch.fl.service.copy() }},
+		{"current", func(ch *chaos) { ch.fl.service.stale = nil }},
+		{"watchesHang", func(ch *chaos) { ch.fl.service.watchesHang = true }},
+		{"watchesAnswer", func(ch *chaos) { ch.fl.service.watchesHang = false }},
+		{"slow", func(ch *chaos) { ch.fl.service.slow = 10 * time.Second }},
+		{"fast", func(ch *chaos) { ch.fl.service.slow = 0 }},
+		{"compact", func(ch *chaos) { ch.fl.service.compact() }},
+		{"backup", func(ch *chaos) { ch.backup = ch.fl.service.copy() }},
 		{"restore", (*chaos).restore},
 		{"cut", (*chaos).cut},
-		{"heal", func(ch *chaos) { ch.fl.cut = uncut }},
+		{"heal", func(ch *chaos) { ch.fl.cut = noCut }},
 		{"pause", func(ch *chaos) { ch.vm().paused = true }},
 		{"resume", func(ch *chaos) { ch.vm().resume() }},
 		{"boot", func(ch *chaos) { ch.vm().boot() }},
@@ -51,29 +51,29 @@
 }
 
 func (ch *chaos) step() {
-	all := happenings()
+	all := chaosEvents()
 	ha := all[rapid.IntRange(0, len(all)-1).Draw(ch.t, "what")]
 	ch.t.Log(ha.name)
-	ha.do(ch)
+	ha.apply(ch)
 }
 
 func (ch *chaos) change() {
 	ch.changes++
 	v := ch.vm()
-	if !ch.fl.sv.down && !v.paused && !ch.fl.cut(v.self.DataCentre, "service") {
+	if !ch.fl.service.down && !v.paused && !ch.fl.cut(v.self.DataCentre, "service") {
 		ch.fl.change(v, "wash", fmt.Sprint("c", ch.changes), 10)
 	}
 }
 
-func (ch *chaos) quiet() {
+func (ch *chaos) changeInServiceOnly() {
 	ch.changes++
-	revision := max(ch.fl.sv.held["wash"].Revision, ch.highest()) + 1
-	ch.fl.sv.put(Update{Team: "wash", Revision: revision, ChangeID: fmt.Sprint("q", ch.changes)})
+	revision := max(ch.fl.service.held["wash"].Revision, ch.highest()) + 1
+	ch.fl.service.put(Update{Team: "wash", Revision: revision, ChangeID: fmt.Sprint("q", ch.changes)})
 }
 
 func (ch *chaos) restore() {
 	if ch.backup != nil {
-		ch.fl.sv.back(ch.backup)
+		ch.fl.service.restoreBackup(ch.backup)
 	}
 }
 
@@ -85,17 +85,17 @@
 func (ch *chaos) highest() uint64 {
 	highest := uint64(0)
 	for _, v := range ch.fl.vms {
-		highest = max(highest, v.force["wash"].Revision)
+		highest = max(highest, v.inForce["wash"].Revision)
 	}
 	return highest
 }
 
-// heal ends all faults and gives the fleet time.
+// heal ends all faults and runs the fleet until it has converged.
 func (ch *chaos) heal() {
 	fl := ch.fl
-	fl.cut = uncut
+	fl.cut = noCut
 	fl.link.Loss, fl.link.Jitter = 0, time.Millisecond
-	fl.sv.down, fl.sv.past, fl.sv.silent, fl.sv.slow = false, nil, false, 0
+	fl.service.down, fl.service.stale, fl.service.watchesHang, fl.service.slow = false, nil, false, 0
 	for _, v := range fl.vms {
 		v.resume()
 	}
@@ -103,10 +103,10 @@
 }
 
 func TestRevisionsOnlyRise(t *testing.T) {
-	// Changes, outages, partitions, pauses, restarts, backups and lost and
-	// overtaken messages in any order: the revision in force never goes down on
-	// any VM, and once all is well every VM has the highest that any VM had,
-	// and so has the service.
+	// Changes, outages, partitions, pauses, restarts, backups, and lost and overtaken messages
+	// happen in any order. The revision in force must never decrease on any VM, and after all
+	// faults have ended, every VM and the service must have the highest revision that any VM
+	// had.
 	rapid.Check(t, func(t *rapid.T) {
 		fl := newFleet(rapid.Uint64().Draw(t, "seed"), 2, rapid.IntRange(1, 3).Draw(t, "each"))
 		fl.link.Jitter = time.Duration(rapid.IntRange(1, 3000).Draw(t, "jitterMs")) * time.Millisecond
@@ -116,17 +116,17 @@
 			ch.step()
 			fl.run(time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond)
 		}
-		highest := max(ch.highest(), fl.sv.held["wash"].Revision)
+		highest := max(ch.highest(), fl.service.held["wash"].Revision)
 		ch.heal()
-		if fell := fl.fell(); fell != "" {
+		if fell := fl.regression(); fell != "" {
 			t.Fatal(fell)
 		}
 		for _, v := range fl.vms {
-			if got := v.force["wash"].Revision; got < highest {
+			if got := v.inForce["wash"].Revision; got < highest {
 				t.Fatalf("%s has %d, want %d", v.self.Addr, got, highest)
 			}
 		}
-		if got := fl.sv.held["wash"].Revision; got < highest {
+		if got := fl.service.held["wash"].Revision; got < highest {
 			t.Fatalf("the service has %d, want %d", got, highest)
 		}
 	})
--- a/core/spread/push.go
+++ b/core/spread/push.go
@@ -10,19 +10,19 @@
 // maxPushTries is how often a push is sent to the same VM.
 const maxPushTries = 2
 
-// forward hands an update on, as its origin asks for.
+// forward passes an update on to the VMs that still need it, which depends on its origin.
 func (ma *Machine) forward(up Update, from origin) {
 	self := ma.cfg.Self
 	switch from {
 	case originPull:
 	case originPush:
 		ma.forwardOnce(up)
-	case originFar:
+	case originRemote:
 		ma.pushRoot(up, self.DataCentre)
 	case originService:
-		// Nearly always the VM that carried the change has begun a tree here
-		// itself. Only where it has not, as it died or cannot reach this data
-		// centre, does it fall to those who watch.
+		// Nearly always, the VM that wrote the change to the service has already started the
+		// push tree of this data centre. The watching VMs start it only if that VM has not, since
+		// it died or cannot reach this data centre.
 		ma.deferred = append(ma.deferred, deferred{update: up, at: ma.now + ma.jittered(ma.pace.RootGrace)})
 	case originSelf:
 		for _, dc := range ma.table.DataCentres() {
@@ -31,13 +31,13 @@
 	}
 }
 
-// deferred is an update that waits to be handed to the root of its tree.
+// deferred is an update that waits to be pushed to the root of its tree.
 type deferred struct {
 	update Update
 	at     time.Duration
 }
 
-// dropDeferred drops what a push has brought meanwhile: its tree has begun.
+// dropDeferred drops updates that arrived by a push meanwhile: their trees have started.
 func (ma *Machine) dropDeferred(ups []Update) {
 	if len(ma.deferred) == 0 {
 		return
@@ -47,7 +47,7 @@
 	}
 }
 
-// pushDeferred begins the trees of the updates whose time has come.
+// pushDeferred starts the trees of the deferred updates that are due.
 func (ma *Machine) pushDeferred() {
 	var due []deferred
 	ma.deferred = slices.DeleteFunc(ma.deferred, func(df deferred) bool {
@@ -62,8 +62,8 @@
 	}
 }
 
-// pushRoot hands an update to the root of its tree in a data centre. Several VMs
-// may do so; a root that has the update already does nothing.
+// pushRoot pushes an update to the root of its tree in a data centre. Several VMs may do so: a
+// root ignores an update that it has already forwarded.
 func (ma *Machine) pushRoot(up Update, dataCentre string) {
 	root, ok := ma.table.Root(dataCentre, up.ChangeID)
 	switch {
@@ -75,7 +75,7 @@
 	}
 }
 
-// forwardOnce pushes an update to this VM's own children, once.
+// forwardOnce pushes an update to this VM's own children, unless it did so before.
 func (ma *Machine) forwardOnce(up Update) {
 	if ma.forwarded[up.Team] == up.Name() {
 		return
@@ -84,8 +84,8 @@
 	ma.pushChildren(up, ma.cfg.Self.Addr)
 }
 
-// forwardHeld pushes on what a watch or a pull had brought before the push came:
-// without it, the subtree of a VM that watches would wait for a repair.
+// forwardHeld forwards pushed updates that this VM already had from a watch or a pull. Otherwise
+// the subtree of a watching VM would have to wait for a repair.
 func (ma *Machine) forwardHeld(ups []Update) {
 	for _, up := range ups {
 		if ma.held[up.Team].Name() == up.Name() {
@@ -94,8 +94,8 @@
 	}
 }
 
-func (ma *Machine) pushChildren(up Update, of string) {
-	for _, vm := range ma.table.Children(ma.cfg.Self.DataCentre, up.ChangeID, of) {
+func (ma *Machine) pushChildren(up Update, parent string) {
+	for _, vm := range ma.table.Children(ma.cfg.Self.DataCentre, up.ChangeID, parent) {
 		if vm.Addr != ma.cfg.Self.Addr {
 			ma.push(call{kind: callPush, to: vm, update: up})
 		}
@@ -108,15 +108,15 @@
 	}
 	ca.tries++
 	id := ma.newCall(ca, ma.pace.PeerTimeout)
-	ma.act(Push{Call: id, To: ca.to, Update: ca.update})
+	ma.emit(Push{Call: id, To: ca.to, Update: ca.update})
 }
 
-// pushFailed tries once more, and then goes round the VM that does not answer:
-// within the data centre it takes over its children, and elsewhere it turns to
-// the next of the tree's order.
+// pushFailed retries a push once and then bypasses the VM that does not answer: within the data
+// centre this VM pushes to that VM's children, and in another data centre to the next candidate
+// for the root.
 func (ma *Machine) pushFailed(ca call) {
 	if held := ma.held[ca.update.Team]; held.Name().newer(ca.update.Name()) {
-		// Replaced meanwhile; the newer one travels by itself.
+		// Replaced meanwhile; the newer update is pushed on its own.
 		return
 	}
 	if ca.tries < maxPushTries {
@@ -127,20 +127,20 @@
 		ma.pushChildren(ca.update, ca.to.Addr)
 		return
 	}
-	if next, ok := ma.after(ca.to, ca.update.ChangeID); ok {
+	if next, ok := ma.nextRoot(ca.to, ca.update.ChangeID); ok {
 		ma.push(call{kind: callPush, to: next, update: ca.update})
 	}
 }
 
-// maxRoots bounds the VMs of another data centre that are tried as a root; a
-// whole data centre that is cut off must not be tried VM by VM.
+// maxRoots bounds the VMs of another data centre that are tried as a root, so that a data centre
+// that is cut off is not tried VM by VM.
 const maxRoots = 3
 
-func (ma *Machine) after(vm rank.VM, changeID string) (rank.VM, bool) {
+func (ma *Machine) nextRoot(vm rank.VM, changeID string) (rank.VM, bool) {
 	order := rank.Order(ma.table.Members(vm.DataCentre), changeID)
-	at := slices.Index(order, vm) + 1
-	if at <= 0 || at >= min(maxRoots, len(order)) {
+	i := slices.Index(order, vm) + 1
+	if i <= 0 || i >= min(maxRoots, len(order)) {
 		return rank.VM{}, false
 	}
-	return order[at], true
+	return order[i], true
 }
--- a/core/spread/service.go
+++ b/core/spread/service.go
@@ -5,133 +5,133 @@
 	"time"
 )
 
-// service is what the machine knows of the key-value service.
+// service is the state of the key-value service as this machine knows it.
 type service struct {
-	// wake is when the machine has to look again whether to call.
-	wake time.Duration
-	// notBefore is the end of the pause after a failure.
+	// wakeAt is when the machine next checks whether to call the service.
+	wakeAt time.Duration
+	// notBefore is the end of the wait after a failed call.
 	notBefore time.Duration
 	failures  int
-	// known is set while from is a revision to watch from.
-	known bool
-	from  uint64
-	// highest is the service's highest revision seen.
+	// canWatch is set while watchFrom is a revision to watch from.
+	canWatch  bool
+	watchFrom uint64
+	// highest is the highest revision of the service that was seen.
 	highest    uint64
-	readBack   time.Duration
+	fullReadAt time.Duration
 	fallbackAt time.Duration
-	// tokens bound the rate of calls, whatever the service answers.
-	tokens float64
-	filled time.Duration
-	// behind lists teams of which the service holds less than this VM.
+	// tokens limit the rate of calls, whatever the service answers.
+	tokens   float64
+	filledAt time.Duration
+	// behind lists the teams for which the service holds a lower revision than this VM.
 	behind map[string]lag
 }
 
-// lag is a lower revision in the service, and since when it is seen.
+// lag is a lower revision in the service, and since when it was seen.
 type lag struct {
 	revision uint64
 	since    time.Duration
 }
 
 const (
-	maxShift = 10
-	// downFailures in a row mean that the service is down.
+	maxBackoffShift = 10
+	// downFailures is how many failures in a row mean that the service is down.
 	downFailures = 4
-	// tokenSlack keeps a wake-up from coming a rounding error too early.
+	// tokenSlack keeps a rounding error from making the machine wake before a token is there.
 	tokenSlack = time.Millisecond
 )
 
-// askService makes the next call to the service, if it falls to this VM.
+// askService makes the next call to the service, if this VM is due to make one.
 func (ma *Machine) askService() {
 	sv := &ma.service
 	ma.dropWatch()
-	if ma.waiting(callRange, callWatch) {
-		sv.wake = never
+	if ma.inFlight(callRange, callWatch) {
+		sv.wakeAt = never
 		return
 	}
-	sv.wake = ma.serviceTurn()
-	if sv.wake > ma.now {
+	sv.wakeAt = ma.nextServiceCall()
+	if sv.wakeAt > ma.now {
 		return
 	}
 	if wait := ma.takeToken(); wait > 0 {
-		sv.wake = ma.now + wait
+		sv.wakeAt = ma.now + wait
 		return
 	}
-	sv.wake = never
+	sv.wakeAt = never
 	ma.callService()
 }
 
 func (ma *Machine) callService() {
 	sv := &ma.service
-	if !ma.ranked() || !sv.known || ma.now >= sv.readBack {
-		ma.act(Range{Call: ma.newCall(call{kind: callRange}, ma.pace.ServicePatience)})
+	if !ma.isWatcher() || !sv.canWatch || ma.now >= sv.fullReadAt {
+		ma.emit(Range{Call: ma.newCall(call{kind: callRange}, ma.pace.ServiceTimeout)})
 		return
 	}
-	id := ma.newCall(call{kind: callWatch}, ma.pace.WatchWait+ma.pace.ServicePatience)
-	ma.act(Watch{Call: id, From: sv.from, Wait: ma.pace.WatchWait})
+	id := ma.newCall(call{kind: callWatch}, ma.pace.WatchWait+ma.pace.ServiceTimeout)
+	ma.emit(Watch{Call: id, From: sv.watchFrom, Wait: ma.pace.WatchWait})
 }
 
-// ranked tells whether this VM watches. Before it has a list of VMs it cannot
-// know, and a fleet of VMs that all think so would be a storm.
-func (ma *Machine) ranked() bool {
-	return ma.listed && ma.table.Watches()
+// isWatcher reports whether this VM watches the service. Without a list of VMs it cannot know,
+// and does not watch: all VMs of a fleet without a list would overload the service.
+func (ma *Machine) isWatcher() bool {
+	return ma.hasMembers && ma.table.Watches()
 }
 
-// dropWatch ends the watch of a VM that is no longer ranked.
+// dropWatch ends the watch of a VM that no longer watches.
 func (ma *Machine) dropWatch() {
-	if ma.ranked() {
+	if ma.isWatcher() {
 		return
 	}
 	for _, ca := range ma.calls {
 		if ca.kind == callWatch {
 			ma.endCall(ca.id)
-			ma.act(Abandon{Call: ca.id})
-			ma.service.known = false
+			ma.emit(Abandon{Call: ca.id})
+			ma.service.canWatch = false
 			return
 		}
 	}
 }
 
-// serviceTurn is when this VM may next call the service.
-func (ma *Machine) serviceTurn() time.Duration {
+// nextServiceCall returns when this VM may next call the service.
+func (ma *Machine) nextServiceCall() time.Duration {
 	sv := &ma.service
 	switch {
-	case ma.ranked() && ma.gossip.booting():
-		// Peers first: what they hold costs the service nothing.
+	case ma.isWatcher() && ma.gossip.booting():
+		// Peers first: asking them does not load the service.
 		return never
-	case ma.ranked():
+	case ma.isWatcher():
 		return sv.notBefore
 	case len(ma.held) == 0:
 		return max(sv.notBefore, sv.fallbackAt)
 	default:
-		ma.leaveService()
+		ma.resetService()
 		return never
 	}
 }
 
-// leaveService forgets how the service stood. It no longer falls to this VM to
-// ask, and an alarm that nothing can end would stand for ever.
-func (ma *Machine) leaveService() {
+// resetService forgets the state of the service and clears its alarms. This VM no longer calls
+// the service, so nothing else would ever clear them.
+func (ma *Machine) resetService() {
 	sv := &ma.service
-	sv.known, sv.failures, sv.behind = false, 0, nil
-	ma.settleAll(AlarmServiceDown, AlarmServicePast, AlarmServiceBehind, AlarmBroken)
+	sv.canWatch, sv.failures, sv.behind = false, 0, nil
+	ma.clearAlarms(AlarmServiceDown, AlarmServicePast, AlarmServiceBehind, AlarmBroken)
 }
 
-// fallbackEvery is the mean time between reads of a VM that holds nothing and is
-// not ranked: the whole fleet's reads together stay within FallbackRate.
+// fallbackEvery is the mean time between reads by a VM that holds no update and does not watch.
+// The reads of the whole fleet together stay within FallbackRate.
 func (ma *Machine) fallbackEvery() time.Duration {
-	if !ma.listed {
+	if !ma.hasMembers {
 		return ma.pace.FallbackUnlisted
 	}
 	every := time.Duration(float64(ma.table.Size()) / ma.pace.FallbackRate * float64(time.Second))
 	return max(every, ma.pace.ServiceEvery)
 }
 
-// takeToken takes one call off the allowance, or tells how long to wait.
+// takeToken takes a token for a call, or returns how long to wait for one.
 func (ma *Machine) takeToken() time.Duration {
 	sv := &ma.service
-	sv.tokens += float64(ma.now-sv.filled) / float64(ma.pace.ServiceEvery)
+	sv.tokens += float64(ma.now-sv.filledAt) / float64(ma.pace.ServiceEvery)
 	sv.tokens = min(sv.tokens, float64(ma.pace.ServiceBurst))
-	sv.filled = ma.now
+	sv.filledAt = ma.now
 	if sv.tokens < 1 {
 		return time.Duration((1-sv.tokens)*float64(ma.pace.ServiceEvery)) + tokenSlack
 	}
@@ -139,78 +139,78 @@
 	return 0
 }
 
-// serviceFailed stretches the pause. Its jitter keeps the watching VMs of all
-// data centres from coming back together.
+// serviceFailed lengthens the wait before the next call. Jitter keeps the watching VMs of all
+// data centres from calling again at the same time.
 func (ma *Machine) serviceFailed() {
 	sv := &ma.service
-	pause := min(ma.pace.ServiceEvery<<min(sv.failures, maxShift), ma.pace.MaxBackoff)
+	wait := min(ma.pace.ServiceEvery<<min(sv.failures, maxBackoffShift), ma.pace.MaxBackoff)
 	sv.failures++
-	sv.notBefore = ma.now + ma.jittered(pause)
+	sv.notBefore = ma.now + ma.jittered(wait)
 	sv.fallbackAt = ma.now + ma.jittered(ma.fallbackEvery())
 	if sv.failures >= downFailures {
-		ma.alarm(AlarmServiceDown, "", "the service does not answer; configuration goes on as it is, and nothing can be changed")
+		ma.raiseAlarm(AlarmServiceDown, "", "the service does not answer; configuration goes on as it is, and nothing can be changed")
 	}
 }
 
 func (ma *Machine) serviceAnswered(revision uint64) {
 	sv := &ma.service
-	ma.settled(AlarmServiceDown, "")
+	ma.clearAlarm(AlarmServiceDown, "")
 	sv.failures = 0
 	sv.fallbackAt = ma.now + ma.jittered(ma.fallbackEvery())
 	if revision < sv.highest {
-		ma.alarm(AlarmServicePast, "", fmt.Sprintf("the service is at revision %d after it was at %d", revision, sv.highest))
+		ma.raiseAlarm(AlarmServicePast, "", fmt.Sprintf("the service is at revision %d after it was at %d", revision, sv.highest))
 		return
 	}
 	sv.highest = revision
-	ma.settled(AlarmServicePast, "")
+	ma.clearAlarm(AlarmServicePast, "")
 }
 
-func (ma *Machine) takeRanged(ev Ranged) {
+func (ma *Machine) handleRanged(ev Ranged) {
 	_, awaited := ma.endCall(ev.Call)
-	ma.learnAll(ev.Updates, originService)
-	ma.takeBroken(ev.Broken)
+	ma.mergeAll(ev.Updates, originService)
+	ma.handleBroken(ev.Broken)
 	if !awaited {
-		// Given up; its revision says nothing about where to watch from now.
+		// The call had expired; its revision is no basis for the next watch.
 		return
 	}
 	sv := &ma.service
 	ma.serviceAnswered(ev.Revision)
-	sv.known, sv.from = true, ev.Revision
-	sv.readBack = ma.now + ma.jittered(ma.readBackEvery(ev.Updates))
-	ma.compareService(ev)
+	sv.canWatch, sv.watchFrom = true, ev.Revision
+	sv.fullReadAt = ma.now + ma.jittered(ma.fullReadInterval(ev.Updates))
+	ma.checkService(ev)
 }
 
-// readBackEvery is the mean time until everything is read again.
-func (ma *Machine) readBackEvery(ups []Update) time.Duration {
+// fullReadInterval is the mean time until all values are read again.
+func (ma *Machine) fullReadInterval(ups []Update) time.Duration {
 	size := 0
 	for _, up := range ups {
 		size += len(up.Document)
 	}
-	return max(ma.pace.ReadBack, time.Duration(float64(size)/ma.pace.ReadBackRate*float64(time.Second)))
+	return max(ma.pace.FullReadEvery, time.Duration(float64(size)/ma.pace.FullReadRate*float64(time.Second)))
 }
 
-func (ma *Machine) takeWatched(ev Watched) {
+func (ma *Machine) handleWatched(ev Watched) {
 	_, awaited := ma.endCall(ev.Call)
-	ma.learnAll(ev.Updates, originService)
-	ma.takeBroken(ev.Broken)
+	ma.mergeAll(ev.Updates, originService)
+	ma.handleBroken(ev.Broken)
 	if !awaited {
 		return
 	}
 	sv := &ma.service
 	ma.serviceAnswered(ev.Revision)
-	if ev.Compacted || ev.Revision < sv.from {
-		// Events are lost, or the service went back: only reading everything
-		// tells where it stands.
-		sv.known = false
+	if ev.Compacted || ev.Revision < sv.watchFrom {
+		// Events are lost, or the service's revision decreased: only a full read shows its
+		// current state.
+		sv.canWatch = false
 		return
 	}
-	sv.from = ev.Revision
+	sv.watchFrom = ev.Revision
 	ma.noteBehind(ev.Updates)
 }
 
-// noteBehind looks at what a watch brought for teams of which this VM has a
-// higher revision, as when a backup is written over the service's values. It
-// may also be old news of two quick changes; a reading soon after tells.
+// noteBehind checks the updates from a watch for teams of which this VM holds a higher revision,
+// as happens when a backup is written over the service's values. It may also be an outdated
+// event, if two changes followed each other quickly; a full read soon after decides.
 func (ma *Machine) noteBehind(ups []Update) {
 	sv := &ma.service
 	newest := make(map[string]Update, len(ups))
@@ -225,25 +225,25 @@
 			sv.behind = make(map[string]lag)
 		}
 		sv.behind[team] = lag{revision: up.Revision, since: ma.now}
-		sv.readBack = min(sv.readBack, ma.now+ma.pace.ConfirmBehind)
+		sv.fullReadAt = min(sv.fullReadAt, ma.now+ma.pace.ConfirmBehind)
 	}
 }
 
-func (ma *Machine) takeBroken(brs []Broken) {
-	for _, br := range brs {
-		ma.alarm(AlarmBroken, br.Team, "the value in the service cannot be read: "+br.Err.Error())
+func (ma *Machine) handleBroken(broken []Broken) {
+	for _, br := range broken {
+		ma.raiseAlarm(AlarmBroken, br.Team, "the value in the service cannot be read: "+br.Err.Error())
 	}
 }
 
-// compareService looks for teams of which the service holds less than this VM.
-// Once may be a read that was overtaken; still so after a while, the service
-// came back from a backup or answers from the past.
-func (ma *Machine) compareService(ev Ranged) {
+// checkService looks for teams for which the service holds a lower revision than this VM. A single
+// read may have been overtaken by a change. If the difference persists, the service was restored
+// from a backup or returns past values.
+func (ma *Machine) checkService(ev Ranged) {
 	sv := &ma.service
-	there := make(map[string]Revision, len(ev.Updates))
+	inService := make(map[string]Revision, len(ev.Updates))
 	for _, up := range ev.Updates {
-		there[up.Team] = up.Name()
-		ma.settled(AlarmBroken, up.Team)
+		inService[up.Team] = up.Name()
+		ma.clearAlarm(AlarmBroken, up.Team)
 	}
 	broken := make(map[string]bool, len(ev.Broken))
 	for _, br := range ev.Broken {
@@ -252,11 +252,11 @@
 	behind := make(map[string]lag)
 	var lost []Revision
 	for _, rv := range ma.Held() {
-		if broken[rv.Team] || !rv.newer(there[rv.Team]) {
-			ma.settled(AlarmServiceBehind, rv.Team)
+		if broken[rv.Team] || !rv.newer(inService[rv.Team]) {
+			ma.clearAlarm(AlarmServiceBehind, rv.Team)
 			continue
 		}
-		lg, confirmed := ma.stillBehind(rv, there[rv.Team].Revision)
+		lg, confirmed := ma.confirmBehind(rv, inService[rv.Team].Revision)
 		behind[rv.Team] = lg
 		if confirmed {
 			lost = append(lost, rv)
@@ -265,11 +265,11 @@
 	sv.behind = behind
 	ma.restore(lost)
 	if len(behind) > 0 {
-		sv.readBack = ma.now + ma.pace.ConfirmBehind + ma.jittered(ma.pace.ConfirmBehind)
+		sv.fullReadAt = ma.now + ma.pace.ConfirmBehind + ma.jittered(ma.pace.ConfirmBehind)
 	}
 }
 
-func (ma *Machine) stillBehind(rv Revision, revision uint64) (lg lag, confirmed bool) {
+func (ma *Machine) confirmBehind(rv Revision, revision uint64) (lg lag, confirmed bool) {
 	lg, ok := ma.service.behind[rv.Team]
 	if !ok || lg.revision != revision {
 		return lag{revision: revision, since: ma.now}, false
@@ -277,17 +277,17 @@
 	if ma.now-lg.since < ma.pace.ConfirmBehind {
 		return lg, false
 	}
-	ma.alarm(AlarmServiceBehind, rv.Team, fmt.Sprintf("the service holds revision %d, the fleet %d; nothing is put back", revision, rv.Revision))
+	ma.raiseAlarm(AlarmServiceBehind, rv.Team, fmt.Sprintf("the service holds revision %d, the fleet %d; nothing is put back", revision, rv.Revision))
 	return lg, true
 }
 
-// restoreLimit bounds the teams restored after one reading. All ranked VMs
-// restore, so that they draw which teams to begin with.
-const restoreLimit = 2
+// maxRestores bounds the teams restored after one full read. All watching VMs restore, so each
+// one picks the teams at random.
+const maxRestores = 2
 
 func (ma *Machine) restore(lost []Revision) {
 	ma.cfg.Rand.Shuffle(len(lost), func(i, j int) { lost[i], lost[j] = lost[j], lost[i] })
-	for _, rv := range lost[:min(len(lost), restoreLimit)] {
-		ma.act(Restore{Update: ma.held[rv.Team]})
+	for _, rv := range lost[:min(len(lost), maxRestores)] {
+		ma.emit(Restore{Update: ma.held[rv.Team]})
 	}
 }
--- a/core/spread/sim_test.go
+++ b/core/spread/sim_test.go
@@ -12,73 +12,74 @@
 	"laburnumvane/internal/vtime"
 )
 
-// The tests step machines over a queue of messages with virtual time.
+// The tests step machines and deliver their messages in virtual time.
 
-// fleet is some VMs, the service and the network between them.
+// fleet simulates some VMs, the service and the network between them.
 type fleet struct {
 	vtime.Agenda[func()]
-	link  vtime.Link
-	rnd   *rand.Rand
-	vms   []*vm
-	index map[string]*vm
-	sv    *fakeService
-	pace  Pace
-	cut   func(a, b string) bool
-	// baseline lets every VM watch by itself.
-	baseline bool
-	// past is how many bytes a value in the service has beyond the document.
-	past  int
-	steps int
-	busy  time.Duration
-	log   *strings.Builder
+	link    vtime.Link
+	rnd     *rand.Rand
+	vms     []*vm
+	byAddr  map[string]*vm
+	service *fakeService
+	pace    Pace
+	// cut reports whether two data centres, or a data centre and "service", are partitioned.
+	cut func(a, b string) bool
+	// everyVMWatches makes every VM watch the service.
+	everyVMWatches bool
+	// valueOverhead is by how many bytes a value in the service is larger than its document.
+	valueOverhead int
+	steps         int
+	stepTime      time.Duration
+	log           *strings.Builder
 }
 
-// vm is one VM and what is in force on it.
+// vm simulates one VM and the configuration in force on it.
 type vm struct {
-	fl     *fleet
-	self   rank.VM
-	ma     *Machine
-	force  map[string]Revision
-	at     map[string]time.Duration
-	alarms map[AlarmKind]int
-	wake   time.Duration
-	paused bool
-	inbox  []Event
-	life   int
-	fell   string
-	// bytes sent and received.
+	fl          *fleet
+	self        rank.VM
+	ma          *Machine
+	inForce     map[string]Revision
+	inForceAt   map[string]time.Duration
+	alarms      map[AlarmKind]int
+	wakeAt      time.Duration
+	paused      bool
+	inbox       []Event
+	incarnation int
+	regression  string
+	// bytes counts the bytes sent and received.
 	bytes int
 }
 
 const (
-	near     = time.Millisecond
-	far      = 1500 * time.Microsecond
-	overhead = 250 // bytes of a request or reply before its payload
+	localDelay  = time.Millisecond
+	remoteDelay = 1500 * time.Microsecond
+	overhead    = 250 // bytes of a request or reply before its payload
 )
 
-// uncut is the network without a partition.
-func uncut(_, _ string) bool { return false }
+// noCut is a network without a partition.
+func noCut(_, _ string) bool { return false }
 
-func newFleet(seed uint64, centres, each int) *fleet {
+func newFleet(seed uint64, dataCentres, vmsPerDC int) *fleet {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	fl := &fleet{index: map[string]*vm{}, rnd: rnd, cut: uncut}
+	fl := &fleet{byAddr: map[string]*vm{}, rnd: rnd, cut: noCut}
 	fl.link = vtime.Link{Rand: rnd, Jitter: time.Millisecond}
-	fl.sv = &fakeService{fl: fl, held: map[string]Update{}}
-	for c := range centres {
-		for i := range each {
+	fl.service = &fakeService{fl: fl, held: map[string]Update{}}
+	for c := range dataCentres {
+		for i := range vmsPerDC {
 			self := rank.VM{Addr: fmt.Sprintf("10.%d.%d.%d:7703", c, i/250, i%250), DataCentre: fmt.Sprint("dc", c)}
 			v := &vm{fl: fl, self: self}
 			fl.vms = append(fl.vms, v)
-			fl.index[self.Addr] = v
+			fl.byAddr[self.Addr] = v
 		}
 	}
 	return fl
 }
 
-// count adds a message to what the VM sent or received.
+// count adds a message to the bytes sent and received.
 func (v *vm) count(size int) { v.bytes += size + overhead }
 
-func (fl *fleet) list() []rank.VM {
+func (fl *fleet) members() []rank.VM {
 	out := make([]rank.VM, len(fl.vms))
 	for i, v := range fl.vms {
 		out[i] = v.self
@@ -98,38 +99,38 @@
 	}
 }
 
-func (fl *fleet) find(addr string) *vm { return fl.index[addr] }
+func (fl *fleet) find(addr string) *vm { return fl.byAddr[addr] }
 
-// send carries a message of so many bytes of payload.
-func (fl *fleet) send(from, to *vm, size int, run func()) {
+// send delivers a message with a payload of size bytes.
+func (fl *fleet) send(from, to *vm, size int, f func()) {
 	from.count(size)
 	to.count(size)
 	if fl.link.Lost() || fl.cut(from.self.DataCentre, to.self.DataCentre) {
 		return
 	}
-	dist := near
+	delay := localDelay
 	if from.self.DataCentre != to.self.DataCentre {
-		dist = far
+		delay = remoteDelay
 	}
-	life := to.life
-	fl.After(fl.link.Delay(dist), func() {
-		if to.life == life {
-			run()
+	incarnation := to.incarnation
+	fl.After(fl.link.Delay(delay), func() {
+		if to.incarnation == incarnation {
+			f()
 		}
 	})
 }
 
-// boot begins a new process that holds nothing.
+// boot starts a new process without updates.
 func (v *vm) boot() {
-	v.life++
+	v.incarnation++
 	v.ma = New(Config{Self: v.self, Rand: rand.New(rand.NewPCG(v.fl.rnd.Uint64(), 1)), Readable: readable, Pace: v.fl.pace})
-	v.force, v.at, v.alarms = map[string]Revision{}, map[string]time.Duration{}, map[AlarmKind]int{}
+	v.inForce, v.inForceAt, v.alarms = map[string]Revision{}, map[string]time.Duration{}, map[AlarmKind]int{}
 	v.inbox, v.paused = nil, false
-	if v.fl.baseline {
+	if v.fl.everyVMWatches {
 		v.step(Members{})
 		return
 	}
-	v.step(Members{VMs: v.fl.list()})
+	v.step(Members{VMs: v.fl.members()})
 }
 
 func readable(up Update) error {
@@ -144,26 +145,26 @@
 		v.inbox = append(v.inbox, ev)
 		return
 	}
-	begun := time.Now()
-	acts := v.ma.Step(v.fl.Now(), ev)
-	v.fl.busy += time.Since(begun)
+	start := time.Now()
+	actions := v.ma.Step(v.fl.Now(), ev)
+	v.fl.stepTime += time.Since(start)
 	v.fl.steps++
-	for _, ac := range acts {
-		v.do(ac)
+	for _, ac := range actions {
+		v.perform(ac)
 	}
 	v.schedule()
 }
 
 func (v *vm) schedule() {
 	next := v.ma.Next()
-	if next == never || v.wake > v.fl.Now() && v.wake <= next {
+	if next == never || v.wakeAt > v.fl.Now() && v.wakeAt <= next {
 		return
 	}
-	v.wake = next
-	life := v.life
+	v.wakeAt = next
+	incarnation := v.incarnation
 	v.fl.After(max(0, next-v.fl.Now()), func() {
-		if v.life == life && v.wake == next {
-			v.wake = 0
+		if v.incarnation == incarnation && v.wakeAt == next {
+			v.wakeAt = 0
 			v.step(Tick{})
 		}
 	})
@@ -179,12 +180,12 @@
 	v.step(Tick{})
 }
 
-func (v *vm) do(ac Action) {
+func (v *vm) perform(ac Action) {
 	switch ac := ac.(type) {
 	case Range:
-		v.fl.sv.call(v, func() { v.fl.sv.ranged(v, ac) })
+		v.fl.service.call(v, func() { v.fl.service.answerRange(v, ac) })
 	case Watch:
-		v.fl.sv.call(v, func() { v.fl.sv.watch(v, ac) })
+		v.fl.service.call(v, func() { v.fl.service.watch(v, ac) })
 	case Push:
 		v.push(ac)
 	case Compare:
@@ -194,7 +195,7 @@
 	case Apply:
 		v.apply(ac.Update)
 	case Restore:
-		v.fl.sv.call(v, func() { v.fl.sv.restore(ac.Update) })
+		v.fl.service.call(v, func() { v.fl.service.restore(ac.Update) })
 	case Alarm:
 		if ac.Raised {
 			v.alarms[ac.Kind]++
@@ -206,11 +207,11 @@
 }
 
 func (v *vm) apply(up Update) {
-	if old := v.force[up.Team]; up.Revision <= old.Revision && !up.Name().newer(old) {
-		v.fell = fmt.Sprintf("%s: team %s went from %d to %d", v.self.Addr, up.Team, old.Revision, up.Revision)
+	if old := v.inForce[up.Team]; up.Revision <= old.Revision && !up.Name().newer(old) {
+		v.regression = fmt.Sprintf("%s: team %s went from %d to %d", v.self.Addr, up.Team, old.Revision, up.Revision)
 	}
-	v.force[up.Team] = up.Name()
-	v.at[up.ChangeID] = v.fl.Now()
+	v.inForce[up.Team] = up.Name()
+	v.inForceAt[up.ChangeID] = v.fl.Now()
 	if v.fl.log != nil {
 		fmt.Fprintf(v.fl.log, "%10s %s in force %s/%d\n", v.fl.Now().Round(time.Millisecond), v.self.Addr, up.Team, up.Revision)
 	}
@@ -218,7 +219,7 @@
 
 func (v *vm) push(ac Push) {
 	to := v.fl.find(ac.To.Addr)
-	v.fl.send(v, to, sizeOf([]Update{ac.Update}), func() {
+	v.fl.send(v, to, messageBytes([]Update{ac.Update}), func() {
 		to.step(Pushed{From: v.self, Updates: []Update{ac.Update}})
 		if !to.paused {
 			v.fl.send(to, v, 4, func() { v.step(Acked{Call: ac.Call}) })
@@ -238,26 +239,26 @@
 	})
 }
 
-// deflated is a document's size between VMs, as a share of its own: a sixth was
-// measured by BenchmarkMessage of io/node.
+// deflated is the compressed size of a document in a message between VMs, as a share of its size.
+// BenchmarkMessage of io/node measured a sixth.
 const deflated = 0.2
 
-// sizeOf is the payload of a message between VMs in bytes.
-func sizeOf(ups []Update) int {
-	size := 0
+// messageBytes is the payload of a message between VMs in bytes.
+func messageBytes(ups []Update) int {
+	bytes := 0
 	for _, up := range ups {
-		size += int(deflated*float64(len(up.Document))) + 40
+		bytes += int(deflated*float64(len(up.Document))) + 40
 	}
-	return size
+	return bytes
 }
 
-// valuesOf is the payload of an answer of the service in bytes.
-func (sv *fakeService) valuesOf(ups []Update) int {
-	size := 0
+// valueBytes is the payload of an answer of the service in bytes.
+func (sv *fakeService) valueBytes(ups []Update) int {
+	bytes := 0
 	for _, up := range ups {
-		size += len(up.Document) + sv.fl.past
+		bytes += len(up.Document) + sv.fl.valueOverhead
 	}
-	return size
+	return bytes
 }
 
 func (v *vm) pull(ac Pull) {
@@ -267,15 +268,15 @@
 			return
 		}
 		ups, more := to.ma.Answer(ac.Held)
-		v.fl.send(to, v, sizeOf(ups), func() { v.step(Pulled{Call: ac.Call, Updates: ups, More: more}) })
+		v.fl.send(to, v, messageBytes(ups), func() { v.step(Pulled{Call: ac.Call, Updates: ups, More: more}) })
 	})
 }
 
-// change accepts a change through a VM, as the proposer there would.
+// change accepts a change through a VM, as that VM's proposer would.
 func (fl *fleet) change(v *vm, team, id string, size int) Update {
-	revision := max(fl.sv.held[team].Revision, v.force[team].Revision) + 1
+	revision := max(fl.service.held[team].Revision, v.inForce[team].Revision) + 1
 	up := Update{Team: team, Revision: revision, ChangeID: id, Document: []byte(strings.Repeat("x", size))}
-	fl.sv.put(up)
+	fl.service.put(up)
 	v.step(Accepted{Update: up})
 	return up
 }
--- a/core/spread/simservice_test.go
+++ b/core/spread/simservice_test.go
@@ -6,76 +6,76 @@
 	"time"
 )
 
-// fakeService is the key-value service as the machines see it.
+// fakeService simulates the key-value service.
 type fakeService struct {
-	fl       *fleet
-	revision uint64
-	floor    uint64 // events up to it are compacted
-	held     map[string]Update
-	log      []Update
-	logAt    []uint64
-	waiters  []waiter
-	past     *fakeService // reads come from here
-	down     bool
-	silent   bool
-	slow     time.Duration
-	calls    int
-	writes   int
-	perSec   map[int]int
+	fl          *fleet
+	revision    uint64
+	compactedTo uint64 // events up to it are compacted
+	held        map[string]Update
+	log         []Update
+	logAt       []uint64
+	waiters     []waiter
+	stale       *fakeService // if set, reads return this older state
+	down        bool
+	watchesHang bool
+	slow        time.Duration
+	calls       int
+	writes      int
+	callsPerSec map[int]int
 }
 
 type waiter struct {
-	v    *vm
-	ac   Watch
-	life int
+	v           *vm
+	watch       Watch
+	incarnation int
 }
 
-func (sv *fakeService) call(v *vm, run func()) {
+func (sv *fakeService) call(v *vm, f func()) {
 	sv.calls++
-	if sv.perSec == nil {
-		sv.perSec = map[int]int{}
+	if sv.callsPerSec == nil {
+		sv.callsPerSec = map[int]int{}
 	}
-	sv.perSec[int(sv.fl.Now()/time.Second)]++
-	life := v.life
-	sv.fl.After(sv.fl.link.Delay(near)+sv.slow, func() {
-		if v.life == life && !sv.down && !sv.fl.cut(v.self.DataCentre, "service") {
-			run()
+	sv.callsPerSec[int(sv.fl.Now()/time.Second)]++
+	incarnation := v.incarnation
+	sv.fl.After(sv.fl.link.Delay(localDelay)+sv.slow, func() {
+		if v.incarnation == incarnation && !sv.down && !sv.fl.cut(v.self.DataCentre, "service") {
+			f()
 		}
 	})
 }
 
-// answer carries an answer, unless the connection is gone.
-func (sv *fakeService) answer(v *vm, life int, size int, ev Event) {
+// answer delivers an answer, unless the service is down or cut off.
+func (sv *fakeService) answer(v *vm, incarnation int, size int, ev Event) {
 	if sv.down || sv.fl.cut(v.self.DataCentre, "service") {
 		return
 	}
 	v.count(size)
-	sv.fl.After(sv.fl.link.Delay(near), func() {
-		if v.life == life {
+	sv.fl.After(sv.fl.link.Delay(localDelay), func() {
+		if v.incarnation == incarnation {
 			v.step(ev)
 		}
 	})
 }
 
-func (sv *fakeService) readable() *fakeService {
-	if sv.past != nil {
-		return sv.past
+func (sv *fakeService) source() *fakeService {
+	if sv.stale != nil {
+		return sv.stale
 	}
 	return sv
 }
 
-func (sv *fakeService) ranged(v *vm, ac Range) {
-	rd := sv.readable()
-	ups := make([]Update, 0, len(rd.held))
-	for _, team := range slices.Sorted(maps.Keys(rd.held)) {
-		ups = append(ups, rd.held[team])
+func (sv *fakeService) answerRange(v *vm, ac Range) {
+	src := sv.source()
+	ups := make([]Update, 0, len(src.held))
+	for _, team := range slices.Sorted(maps.Keys(src.held)) {
+		ups = append(ups, src.held[team])
 	}
-	sv.answer(v, v.life, sv.valuesOf(ups), Ranged{Call: ac.Call, Revision: rd.revision, Updates: ups})
+	sv.answer(v, v.incarnation, sv.valueBytes(ups), Ranged{Call: ac.Call, Revision: src.revision, Updates: ups})
 }
 
 func (sv *fakeService) watch(v *vm, ac Watch) {
-	wt := waiter{v: v, ac: ac, life: v.life}
-	if sv.look(wt, false) {
+	wt := waiter{v: v, watch: ac, incarnation: v.incarnation}
+	if sv.answerWatch(wt, false) {
 		return
 	}
 	sv.waiters = append(sv.waiters, wt)
@@ -84,32 +84,33 @@
 			if other != wt {
 				return false
 			}
-			sv.look(wt, true)
+			sv.answerWatch(wt, true)
 			return true
 		})
 	})
 }
 
-// look answers a watch if there is something to say, or if its wait is over.
-func (sv *fakeService) look(wt waiter, over bool) bool {
-	if sv.silent {
+// answerWatch answers a watch if there are events for it or its wait is over, and reports whether
+// it did.
+func (sv *fakeService) answerWatch(wt waiter, waitOver bool) bool {
+	if sv.watchesHang {
 		return false
 	}
-	rd := sv.readable()
-	if wt.ac.From < rd.floor {
-		sv.answer(wt.v, wt.life, 0, Watched{Call: wt.ac.Call, Revision: rd.revision, Compacted: true})
+	src := sv.source()
+	if wt.watch.From < src.compactedTo {
+		sv.answer(wt.v, wt.incarnation, 0, Watched{Call: wt.watch.Call, Revision: src.revision, Compacted: true})
 		return true
 	}
 	var ups []Update
-	for i, up := range rd.log {
-		if rd.logAt[i] > wt.ac.From {
+	for i, up := range src.log {
+		if src.logAt[i] > wt.watch.From {
 			ups = append(ups, up)
 		}
 	}
-	if len(ups) == 0 && !over {
+	if len(ups) == 0 && !waitOver {
 		return false
 	}
-	sv.answer(wt.v, wt.life, sv.valuesOf(ups), Watched{Call: wt.ac.Call, Revision: rd.revision, Updates: ups})
+	sv.answer(wt.v, wt.incarnation, sv.valueBytes(ups), Watched{Call: wt.watch.Call, Revision: src.revision, Updates: ups})
 	return true
 }
 
@@ -119,7 +120,7 @@
 	sv.held[up.Team] = up
 	sv.log = append(sv.log, up)
 	sv.logAt = append(sv.logAt, sv.revision)
-	sv.waiters = slices.DeleteFunc(sv.waiters, func(wt waiter) bool { return sv.look(wt, false) })
+	sv.waiters = slices.DeleteFunc(sv.waiters, func(wt waiter) bool { return sv.answerWatch(wt, false) })
 }
 
 func (sv *fakeService) restore(up Update) {
@@ -128,16 +129,16 @@
 	}
 }
 
-// copy is the service's state as a backup has it.
+// copy returns a backup of the service's state.
 func (sv *fakeService) copy() *fakeService {
-	return &fakeService{fl: sv.fl, revision: sv.revision, floor: sv.floor, held: maps.Clone(sv.held), log: slices.Clone(sv.log), logAt: slices.Clone(sv.logAt)}
+	return &fakeService{fl: sv.fl, revision: sv.revision, compactedTo: sv.compactedTo, held: maps.Clone(sv.held), log: slices.Clone(sv.log), logAt: slices.Clone(sv.logAt)}
 }
 
-// back puts the service back to a backup.
-func (sv *fakeService) back(bk *fakeService) {
-	sv.revision, sv.floor, sv.held, sv.log, sv.logAt = bk.revision, bk.floor, maps.Clone(bk.held), slices.Clone(bk.log), slices.Clone(bk.logAt)
+// restoreBackup sets the service back to a backup.
+func (sv *fakeService) restoreBackup(bk *fakeService) {
+	sv.revision, sv.compactedTo, sv.held, sv.log, sv.logAt = bk.revision, bk.compactedTo, maps.Clone(bk.held), slices.Clone(bk.log), slices.Clone(bk.logAt)
 }
 
 func (sv *fakeService) compact() {
-	sv.floor, sv.log, sv.logAt = sv.revision, nil, nil
+	sv.compactedTo, sv.log, sv.logAt = sv.revision, nil, nil
 }
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -11,55 +11,57 @@
 	"laburnumvane/internal/golden"
 )
 
-// holding counts the VMs on which a change, or a later one, is in force.
-func (fl *fleet) holding(up Update) int {
+// countInForce counts the VMs on which a change, or a later one, is in force.
+func (fl *fleet) countInForce(up Update) int {
 	n := 0
 	for _, v := range fl.vms {
-		if v.force[up.Team].Revision >= up.Revision {
+		if v.inForce[up.Team].Revision >= up.Revision {
 			n++
 		}
 	}
 	return n
 }
 
-func (fl *fleet) fell() string {
+func (fl *fleet) regression() string {
 	for _, v := range fl.vms {
-		if v.fell != "" {
-			return v.fell
+		if v.regression != "" {
+			return v.regression
 		}
 	}
 	return ""
 }
 
 func TestFaults(t *testing.T) {
-	// The fleet runs with one change in force when something fails; a second
-	// change is accepted, by the service and through one VM unless told
-	// otherwise. It must be in force on every VM within the time given, no VM
-	// may go back, and the service gets few calls.
+	// A fault begins while one change is in force. Then a second change is accepted, by the
+	// service and through one VM unless serviceOnly is set. It must be in force on every VM within
+	// the given time, no VM may return to a lower revision, and the service must get few calls.
 	cutOff := func(fl *fleet) {
 		fl.cut = func(a, b string) bool { return (a == "dc1") != (b == "dc1") }
 	}
 	cases := []struct {
 		name  string
 		fault func(fl *fleet)
-		// quiet lets the change reach the service only, as when the VM that
-		// carried it died.
+		// serviceOnly makes the change reach only the service, as when the VM that wrote it there
+		// died.
 		quiet  bool
 		within time.Duration
 		reach  int // VMs out of 12; 0 for all
 	}{
 		{"none", func(*fleet) {}, false, time.Second, 0},
-		{"quiet", func(*fleet) {}, true, time.Second, 0},
+		{"change in service only", func(*fleet) {}, true, time.Second, 0},
 		{"fifth of messages lost", func(fl *fleet) { fl.link.Loss = 0.2 }, false, 6 * time.Second, 0},
 		{"messages overtake each other", func(fl *fleet) { fl.link.Jitter = 2 * time.Second }, false, 8 * time.Second, 0},
-		{"watches silent for good", func(fl *fleet) { fl.sv.silent = true }, false, 2 * time.Second, 0},
-		{"watches silent, change quiet", func(fl *fleet) { fl.sv.silent = true; fl.After(time.Minute, func() { fl.sv.silent = false }) }, true, 2 * time.Minute, 0},
-		{"watches silent for ever, change quiet", func(fl *fleet) { fl.sv.silent = true }, true, 8 * time.Minute, 0},
-		{"events compacted", func(fl *fleet) { fl.After(time.Second, fl.sv.compact) }, true, 15 * time.Second, 0},
-		{"service slow by 10 s", func(fl *fleet) { fl.sv.slow = 10 * time.Second }, false, 2 * time.Second, 0},
-		{"service slow by 10 s, change quiet", func(fl *fleet) { fl.sv.slow = 10 * time.Second }, true, time.Minute, 0},
-		{"service answers from the past", func(fl *fleet) { fl.sv.past = fl.sv.copy() }, false, 2 * time.Second, 0},
-		{"ranked VMs of a data centre frozen", func(fl *fleet) {
+		{"watches hang", func(fl *fleet) { fl.service.watchesHang = true }, false, 2 * time.Second, 0},
+		{"watches hang for a minute, change in service only", func(fl *fleet) {
+			fl.service.watchesHang = true
+			fl.After(time.Minute, func() { fl.service.watchesHang = false })
+		}, true, 2 * time.Minute, 0},
+		{"watches hang, change in service only", func(fl *fleet) { fl.service.watchesHang = true }, true, 8 * time.Minute, 0},
+		{"events compacted", func(fl *fleet) { fl.After(time.Second, fl.service.compact) }, true, 15 * time.Second, 0},
+		{"service slow by 10 s", func(fl *fleet) { fl.service.slow = 10 * time.Second }, false, 2 * time.Second, 0},
+		{"service slow by 10 s, change in service only", func(fl *fleet) { fl.service.slow = 10 * time.Second }, true, time.Minute, 0},
+		{"service returns past values", func(fl *fleet) { fl.service.stale = fl.service.copy() }, false, 2 * time.Second, 0},
+		{"watching VMs of a data centre paused", func(fl *fleet) {
 			for _, vm := range fl.vms[0].ma.Table().Ranked("dc1")[:2] {
 				fl.find(vm.Addr).paused = true
 			}
@@ -70,7 +72,7 @@
 		{"data centre cut off", cutOff, false, 5 * time.Second, 8},
 		{"data centre cut off for a while", func(fl *fleet) {
 			cutOff(fl)
-			fl.After(time.Minute, func() { fl.cut = uncut })
+			fl.After(time.Minute, func() { fl.cut = noCut })
 		}, false, 70 * time.Second, 0},
 	}
 	for i, tc := range cases {
@@ -86,52 +88,52 @@
 			var up Update
 			if tc.quiet {
 				up = Update{Team: "wash", Revision: 2, ChangeID: "c2"}
-				fl.sv.put(up)
+				fl.service.put(up)
 			} else {
 				up = fl.change(fl.vms[1], "wash", "c2", 100)
 			}
-			before := fl.sv.calls
+			before := fl.service.calls
 			fl.run(tc.within)
 			want := tc.reach
 			if want == 0 {
 				want = len(fl.vms)
 			}
-			is.Equal(fl.holding(up), want)
-			is.Equal(fl.fell(), "")
-			// 6 VMs watch, each by one call a second at most and a burst of 4.
-			is.True(fl.sv.calls-before <= 6*(4+int(tc.within/time.Second)+1))
+			is.Equal(fl.countInForce(up), want)
+			is.Equal(fl.regression(), "")
+			// 6 VMs watch. Each makes at most one call a second after a burst of 4.
+			is.True(fl.service.calls-before <= 6*(4+int(tc.within/time.Second)+1))
 		})
 	}
 }
 
 func TestServiceDownForAnHour(t *testing.T) {
-	// The service is gone for an hour and comes back. Meanwhile a VM boots, and
-	// works by what its peers hold. Each ranked VM knocks twice a minute or so,
-	// and when the service is back no second sees more than a few calls.
+	// Guards against load on the service during and after an outage of an hour. A VM that boots
+	// meanwhile must work with the configuration that its peers hold. Each watching VM calls the
+	// service about twice a minute, and after the outage no second may have more than a few calls.
 	is := is.New(t)
 	fl := newFleet(3, 3, 40)
 	fl.start()
 	fl.run(5 * time.Second)
 	up := fl.change(fl.vms[0], "wash", "c1", 100)
 	fl.run(5 * time.Second)
-	fl.sv.down = true
-	before := fl.sv.calls
+	fl.service.down = true
+	before := fl.service.calls
 	fl.run(time.Hour)
-	is.True(fl.sv.calls-before < 6*60*4)
+	is.True(fl.service.calls-before < 6*60*4)
 	fl.vms[7].boot()
 	fl.run(2 * time.Second)
-	is.Equal(fl.vms[7].force["wash"], up.Name())
+	is.Equal(fl.vms[7].inForce["wash"], up.Name())
 	is.Equal(fl.alarms(AlarmServiceDown), 6)
-	fl.sv.down = false
-	fl.sv.perSec = nil
+	fl.service.down = false
+	fl.service.callsPerSec = nil
 	fl.run(2 * time.Minute)
-	for _, calls := range fl.sv.perSec {
+	for _, calls := range fl.service.callsPerSec {
 		is.True(calls <= 12)
 	}
 	is.Equal(fl.alarms(AlarmServiceDown), 0)
 }
 
-// alarms counts the VMs on which an alarm stands.
+// alarms counts the raised alarms of a kind on all VMs.
 func (fl *fleet) alarms(kind AlarmKind) int {
 	n := 0
 	for _, v := range fl.vms {
@@ -145,9 +147,9 @@
 }
 
 func TestPausedForAnHour(t *testing.T) {
-	// A VM is paused for an hour in which the team changes twice, and messages
-	// from before the pause reach it when it wakes. It never goes back, tells
-	// no one else its old news, and has the newest within seconds.
+	// A VM is paused for an hour while the team's configuration changes twice, and receives
+	// messages from before the pause when it resumes. It must not return to a lower revision nor
+	// pass on old updates, and must have the newest change within seconds.
 	is := is.New(t)
 	fl := newFleet(4, 2, 5)
 	fl.start()
@@ -161,29 +163,29 @@
 	fl.run(time.Second)
 	fl.vms[3].resume()
 	fl.run(3 * time.Second)
-	is.Equal(fl.holding(up), len(fl.vms))
-	is.Equal(fl.fell(), "")
+	is.Equal(fl.countInForce(up), len(fl.vms))
+	is.Equal(fl.regression(), "")
 }
 
 func TestBackup(t *testing.T) {
-	// The service comes back from a backup with a lower revision. Nothing goes
-	// back, also on a VM that boots afterwards; ranked VMs raise an alarm and
-	// give the service back what it lost; the alarm then ends.
+	// The service is restored from a backup with a lower revision. No VM may return to it, not
+	// even one that boots afterwards. The watching VMs must raise an alarm and restore the lost
+	// change, and the alarm must end then.
 	is := is.New(t)
 	fl := newFleet(5, 2, 4)
 	fl.start()
 	fl.run(5 * time.Second)
 	fl.change(fl.vms[0], "wash", "c1", 100)
-	backup := fl.sv.copy()
+	backup := fl.service.copy()
 	up := fl.change(fl.vms[0], "wash", "c2", 100)
 	fl.run(5 * time.Second)
-	fl.sv.back(backup)
+	fl.service.restoreBackup(backup)
 	fl.run(time.Second)
 	fl.vms[2].boot()
 	fl.run(10 * time.Minute)
-	is.Equal(fl.holding(up), len(fl.vms))
-	is.Equal(fl.fell(), "")
-	is.Equal(fl.sv.held["wash"].Name(), up.Name())
+	is.Equal(fl.countInForce(up), len(fl.vms))
+	is.Equal(fl.regression(), "")
+	is.Equal(fl.service.held["wash"].Name(), up.Name())
 	raised := 0
 	for _, v := range fl.vms {
 		raised += v.alarms[AlarmServiceBehind]
@@ -193,9 +195,9 @@
 }
 
 func TestBackupWrittenOver(t *testing.T) {
-	// Someone writes an old value over the team's key: the service's own
-	// revision goes up, the team's goes down. Nothing goes back, and the fleet
-	// writes its newer change again within half a minute.
+	// An operator writes an old value over the team's key: the service's own revision increases
+	// while the team's decreases. No VM may return to the old value, and the fleet must write its
+	// newer change again within half a minute.
 	is := is.New(t)
 	fl := newFleet(12, 2, 4)
 	fl.start()
@@ -203,17 +205,16 @@
 	old := fl.change(fl.vms[0], "wash", "c1", 100)
 	up := fl.change(fl.vms[0], "wash", "c2", 100)
 	fl.run(5 * time.Second)
-	fl.sv.put(old)
+	fl.service.put(old)
 	fl.run(30 * time.Second)
-	is.Equal(fl.holding(up), len(fl.vms))
-	is.Equal(fl.fell(), "")
-	is.Equal(fl.sv.held["wash"].Name(), up.Name())
+	is.Equal(fl.countInForce(up), len(fl.vms))
+	is.Equal(fl.regression(), "")
+	is.Equal(fl.service.held["wash"].Name(), up.Name())
 }
 
 func TestUnreadable(t *testing.T) {
-	// A newer build wrote a document that half of the VMs cannot read. Those
-	// keep the one before and raise an alarm, and pass the new one on; a later
-	// document that they can read ends the alarm.
+	// A newer build wrote a document that these VMs cannot read. They must keep the previous
+	// one, raise an alarm and pass the new one on; a later readable document must end the alarm.
 	is := is.New(t)
 	fl := newFleet(6, 1, 30)
 	fl.start()
@@ -221,25 +222,25 @@
 	old := fl.change(fl.vms[0], "wash", "c1", 100)
 	fl.run(2 * time.Second)
 	up := Update{Team: "wash", Revision: 2, ChangeID: "c2", Document: []byte("newer")}
-	fl.sv.put(up)
+	fl.service.put(up)
 	fl.run(3 * time.Second)
 	for _, v := range fl.vms {
-		is.Equal(v.force["wash"], old.Name())
+		is.Equal(v.inForce["wash"], old.Name())
 		is.Equal(v.ma.Held()[0], up.Name())
 		is.Equal(v.alarms[AlarmUnreadable], 1)
 	}
 	next := fl.change(fl.vms[0], "wash", "c3", 100)
 	fl.run(2 * time.Second)
-	is.Equal(fl.holding(next), len(fl.vms))
+	is.Equal(fl.countInForce(next), len(fl.vms))
 	is.Equal(len(fl.vms[5].ma.alarms), 0)
 }
 
 func TestAlarmsEndWithRank(t *testing.T) {
-	// A ranked VM has raised serviceDown when VMs join that rank before it. It
-	// no longer asks the service, and its alarm ends; that of the others stands.
+	// A watching VM has raised serviceDown when VMs join that rank before it. It no longer calls
+	// the service, so its alarm must end; that of the other VMs must stay.
 	is := is.New(t)
 	fl := newFleet(10, 1, 40)
-	all := fl.list()
+	all := fl.members()
 	first := fl.vms[0]
 	fl.start()
 	fl.run(5 * time.Second)
@@ -247,7 +248,7 @@
 	fl.run(2 * time.Second)
 	first.step(Members{VMs: all[:2]})
 	is.True(first.ma.Table().Watches())
-	fl.sv.down = true
+	fl.service.down = true
 	fl.run(10 * time.Minute)
 	is.Equal(first.alarms[AlarmServiceDown], 1)
 	first.step(Members{VMs: all})
@@ -257,58 +258,56 @@
 }
 
 func TestSameRevision(t *testing.T) {
-	// After a service lost data two changes got the same revision. Whatever the
-	// order in which VMs hear of them, all end with the same, and say so until
-	// the next change.
+	// Two changes got the same revision after the service lost data. All VMs must end with the
+	// same one, whatever the order of arrival, and raise an alarm until the next change.
 	is := is.New(t)
-	for _, ids := range [][]string{{"a", "b"}, {"b", "a"}} {
+	for _, changeIDs := range [][]string{{"a", "b"}, {"b", "a"}} {
 		fl := newFleet(11, 1, 2)
 		fl.start()
 		v := fl.vms[0]
-		for _, id := range ids {
+		for _, id := range changeIDs {
 			v.step(Pushed{From: fl.vms[1].self, Updates: []Update{{Team: "wash", Revision: 5, ChangeID: id}}})
 		}
-		is.Equal(v.force["wash"].ChangeID, "b")
+		is.Equal(v.inForce["wash"].ChangeID, "b")
 		v.step(Pushed{From: fl.vms[1].self, Updates: []Update{{Team: "wash", Revision: 6, ChangeID: "c"}}})
 		is.Equal(len(v.ma.alarms), 0)
 	}
 }
 
 func TestColdStart(t *testing.T) {
-	// All VMs start at once with the service up and nobody holding anything:
-	// the ranked ones read it, the rest get it from peers, and the service sees
-	// some reads a second.
+	// All VMs start at once without updates while the service is up: the watching ones read the
+	// service, the others get the update from peers, and the service gets few reads a second.
 	is := is.New(t)
 	fl := newFleet(7, 3, 100)
 	up := Update{Team: "wash", Revision: 1, ChangeID: "c1"}
-	fl.sv.put(up)
+	fl.service.put(up)
 	fl.start()
 	fl.run(5 * time.Second)
-	is.Equal(fl.holding(up), len(fl.vms))
-	for _, calls := range fl.sv.perSec {
+	is.Equal(fl.countInForce(up), len(fl.vms))
+	for _, calls := range fl.service.callsPerSec {
 		is.True(calls <= 100)
 	}
 }
 
 func TestNoVMList(t *testing.T) {
-	// The VM list is down while a fleet starts. No VM can know its rank; each
-	// reads the service now and then, slowly, and serves once it has.
+	// The VM list is not available while a fleet starts. No VM can know its rank, so each one
+	// reads the service at a low rate, and must have the configuration after that.
 	is := is.New(t)
 	fl := newFleet(8, 1, 50)
-	fl.sv.put(Update{Team: "wash", Revision: 1, ChangeID: "c1"})
+	fl.service.put(Update{Team: "wash", Revision: 1, ChangeID: "c1"})
 	for _, v := range fl.vms {
 		v.boot()
 		v.ma = New(Config{Self: v.self, Rand: fl.rnd, Readable: readable})
 		v.step(Tick{})
 	}
 	fl.run(2 * time.Minute)
-	is.Equal(fl.holding(Update{Team: "wash", Revision: 1}), len(fl.vms))
-	is.True(fl.sv.calls <= 2*50+50)
+	is.Equal(fl.countInForce(Update{Team: "wash", Revision: 1}), len(fl.vms))
+	is.True(fl.service.calls <= 2*50+50)
 }
 
 func TestSession(t *testing.T) {
-	// One session to the byte: boot, a change, a backup, a document of a newer
-	// build, and what each VM did when.
+	// The complete log of one session: boot, a change, a backup, a document of a newer build, and
+	// when each VM did what.
 	fl := newFleet(9, 2, 2)
 	fl.log = &strings.Builder{}
 	note := func(text string) { fmt.Fprintf(fl.log, "%10s -- %s\n", fl.Now().Round(time.Millisecond), text) }
@@ -317,16 +316,16 @@
 	fl.run(3 * time.Second)
 	note("change c1 through the first VM")
 	fl.change(fl.vms[0], "wash", "c1", 10)
-	backup := fl.sv.copy()
+	backup := fl.service.copy()
 	fl.run(2 * time.Second)
 	note("change c2 through the last VM")
 	fl.change(fl.vms[3], "wash", "c2", 10)
 	fl.run(2 * time.Second)
 	note("the service comes back from a backup")
-	fl.sv.back(backup)
+	fl.service.restoreBackup(backup)
 	fl.run(6 * time.Minute)
 	note("a document of a newer build")
-	fl.sv.put(Update{Team: "wash", Revision: 3, ChangeID: "c3", Document: []byte("newer")})
+	fl.service.put(Update{Team: "wash", Revision: 3, ChangeID: "c3", Document: []byte("newer")})
 	fl.run(2 * time.Second)
 	note("change c4")
 	fl.change(fl.vms[1], "wash", "c4", 10)
--- a/core/spread/update.go
+++ b/core/spread/update.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Update is one team's accepted configuration. Document is raw, as it was
-// accepted, so that a VM passes on what it cannot read itself.
+// Update is one team's accepted configuration. Document holds the accepted bytes unchanged, so
+// that a VM can pass on a document that it cannot read itself.
 type Update struct {
 	Team     string
 	Revision uint64
@@ -15,41 +15,41 @@
 	Document []byte
 }
 
-// Revision names what a VM holds of a team.
+// Revision identifies an update.
 type Revision struct {
 	Team     string
 	Revision uint64
 	ChangeID string
 }
 
-// Name is the update without its document.
+// Name returns the identity of the update.
 func (up Update) Name() Revision {
 	return Revision{Team: up.Team, Revision: up.Revision, ChangeID: up.ChangeID}
 }
 
-// newer tells whether a replaces b. Two changes share a revision only after the
-// service lost data; the id then decides, so that all VMs decide alike.
-func (rv Revision) newer(than Revision) bool {
-	if rv.Revision != than.Revision {
-		return rv.Revision > than.Revision
+// newer reports whether rv replaces other. Two changes have the same revision only after the
+// service lost data; then the greater id wins, so that all VMs decide alike.
+func (rv Revision) newer(other Revision) bool {
+	if rv.Revision != other.Revision {
+		return rv.Revision > other.Revision
 	}
-	return rv.Revision > 0 && rv.ChangeID > than.ChangeID
+	return rv.Revision > 0 && rv.ChangeID > other.ChangeID
 }
 
 func (rv Revision) hash() uint64 {
 	var di xxhash.Digest
 	di.Reset()
-	var no [8]byte
-	binary.LittleEndian.PutUint64(no[:], rv.Revision)
+	var revision [8]byte
+	binary.LittleEndian.PutUint64(revision[:], rv.Revision)
 	// Writes to a Digest never fail.
 	_, _ = di.WriteString(rv.Team)
-	_, _ = di.Write(no[:])
+	_, _ = di.Write(revision[:])
 	_, _ = di.WriteString(rv.ChangeID)
 	return di.Sum64()
 }
 
-// Digest sums up what a VM holds. Hash is equal for equal holdings whatever the
-// order they came in; Sum, of all revisions, tells who is likely ahead.
+// Digest summarises what a VM holds. Hash is equal for equal holdings, whatever the order in
+// which they arrived. Sum adds up all revisions and shows which of two VMs is likely ahead.
 type Digest struct {
 	Hash uint64
 	Sum  uint64
