--- a/core/conns/bench_test.go
+++ b/core/conns/bench_test.go
@@ -7,8 +7,8 @@
 	"laburnumvane/core/conns"
 )
 
-// One VM leaves and joins again, with all shares worked out after each, by step
-// and by a planner made anew. Nine servers make a service.
+// BenchmarkJoin measures the time to compute all shares after a VM leaves or joins, incrementally
+// and with a new planner. Each service has nine servers.
 func BenchmarkJoin(b *testing.B) {
 	for _, servers := range []int{10, 1_000, 32_000} {
 		for _, vms := range []int{9, 100, 4_300} {
@@ -18,7 +18,7 @@
 				groups = append(groups, conns.Group{Service: fmt.Sprint("s", i), DataCentre: "a", Replicas: 9, Limit: 30})
 			}
 			b.Run(fmt.Sprintf("step/servers=%d/vms=%d", servers, vms), func(b *testing.B) {
-				pl := planOf(all[0], all, false, groups...)
+				pl := newPlanner(all[0], all, false, groups...)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
@@ -28,26 +28,27 @@
 			})
 			b.Run(fmt.Sprintf("rebuild/servers=%d/vms=%d", servers, vms), func(b *testing.B) {
 				for range b.N {
-					shareAll(planOf(all[0], all, false, groups...), groups)
+					shareAll(newPlanner(all[0], all, false, groups...), groups)
 				}
 			})
 		}
 	}
 }
 
-var sum int
+var shareSum int
 
 func shareAll(pl *conns.Planner, groups []conns.Group) {
 	for id := range groups {
 		for replica := range groups[id].Replicas {
-			sum += pl.Share(conns.GroupID(id), replica)
+			shareSum += pl.Share(conns.GroupID(id), replica)
 		}
 	}
 }
 
-// Connections on one server at most, by the plan and by two plain ways: each VM
-// takes limit/N of the N that it sees, and each VM takes the limit. A twentieth
-// of the VMs, at least one, is missing from every view.
+// BenchmarkConnectionsAtMost computes the largest number of connections to one server, relative to
+// its limit, with the planner and with two simple methods: each VM takes limit/N for the N VMs
+// that it sees, and each VM takes the whole limit. A twentieth of the VMs, at least one, is
+// missing from every view.
 func BenchmarkConnectionsAtMost(b *testing.B) {
 	for _, limit := range []int{25, 30, 100} {
 		for _, n := range []int{9, 100, 330} {
--- a/core/conns/conns_test.go
+++ b/core/conns/conns_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// planOf is what a VM makes of its view.
-func planOf(self conns.VM, seen []conns.VM, far bool, groups ...conns.Group) *conns.Planner {
+// newPlanner returns the planner of a VM with the given view.
+func newPlanner(self conns.VM, seen []conns.VM, far bool, groups ...conns.Group) *conns.Planner {
 	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Far: far})
 	for _, vm := range seen {
 		pl.Apply(conns.Change{VM: vm, Joined: true})
@@ -38,11 +38,12 @@
 	return pl
 }
 
-// used adds up, for each replica, what all VMs with the same full view take.
-func used(vms []conns.VM, far bool, gr conns.Group) []int {
+// connectionsPerReplica adds up, for each replica, the shares of all VMs if each one sees all
+// others.
+func connectionsPerReplica(vms []conns.VM, far bool, gr conns.Group) []int {
 	sums := make([]int, gr.Replicas)
 	for _, vm := range vms {
-		pl := planOf(vm, vms, far, gr)
+		pl := newPlanner(vm, vms, far, gr)
 		for i := range sums {
 			sums[i] += pl.Share(0, i)
 		}
@@ -50,9 +51,8 @@
 	return sums
 }
 
-// The caller gets every connection that the server gives: with equal views the
-// parts of all VMs add up to the limit less its reserve, on each replica and at
-// each size.
+// Guards against unused connections: with equal views, the shares of all VMs must add up to the
+// limit less its reserve, on each replica and for each number of VMs.
 func TestEqualViewsUseAllButReserve(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -64,22 +64,21 @@
 		{"Pettigrew partner-ledger", vmsOf(9, "a", "b", "c"), true, 100},
 		{"Kalimba enrol-desk", vmsOf(8, "a", "b", "c", "d"), true, 25},
 		{"Kalimba member-portal", vmsOf(9, "a", "b", "c", "d"), true, 50},
-		{"one data centre of the target", vmsOf(330, "a"), false, 100},
-		{"the same, few connections", vmsOf(330, "a"), false, 25},
+		{"large data centre", vmsOf(330, "a"), false, 100},
+		{"large data centre, few connections", vmsOf(330, "a"), false, 25},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			for _, sum := range used(tt.vms, tt.far, conns.Group{Service: "s", DataCentre: "a", Replicas: 3, Limit: tt.limit}) {
+			for _, sum := range connectionsPerReplica(tt.vms, tt.far, conns.Group{Service: "s", DataCentre: "a", Replicas: 3, Limit: tt.limit}) {
 				is.Equal(sum, tt.limit-conns.Reserve(tt.limit))
 			}
 		})
 	}
 }
 
-// The server refuses nobody for too many connections: VMs whose views each lack
-// up to m of the live VMs, and count up to e dead ones, take together at most
-// what Bound says. Bound is worked out from the formula of one share; the test
-// adds up what planners with random views really take.
+// Guards against exceeding a server's limit: VMs whose views each lack up to m of the live VMs, and
+// count up to e dead ones, may together take at most what Bound returns. Bound is computed from the
+// formula of a single share; the test adds up the shares of planners with random views.
 func TestBoundHolds(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "vms")
@@ -91,7 +90,7 @@
 		sums := make([]int, gr.Replicas)
 		for i, vm := range live {
 			rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), uint64(i)))
-			pl := planOf(vm, blurred(rnd, live, i, missing, extra), false, gr)
+			pl := newPlanner(vm, inaccurateView(rnd, live, i, missing, extra), false, gr)
 			for replica := range sums {
 				sums[replica] += pl.Share(0, replica)
 			}
@@ -105,8 +104,8 @@
 	})
 }
 
-// blurred is a view that lacks some of the live VMs and has some dead ones.
-func blurred(rnd *rand.Rand, live []conns.VM, self, missing, extra int) []conns.VM {
+// inaccurateView returns a view that lacks some of the live VMs and has some dead ones.
+func inaccurateView(rnd *rand.Rand, live []conns.VM, self, missing, extra int) []conns.VM {
 	others := slices.Delete(slices.Clone(live), self, self+1)
 	rnd.Shuffle(len(others), func(a, b int) { others[a], others[b] = others[b], others[a] })
 	out := others[min(len(others), rnd.IntN(missing+1)):]
@@ -116,9 +115,9 @@
 	return out
 }
 
-// The bound in words, against the bound as it is worked out: with c <= K it is
-// at most the sum over j of min(n, K+m-j(n-m)), and a first replica of c > K
-// has at most K+m users, dead VMs counted or not.
+// Compares Bound with the closed form in the package comment: with c <= K the bound is at most the
+// sum over j of min(n, K+m-j(n-m)), and the first replica with c > K has at most K+m users, whether
+// dead VMs are counted or not.
 func TestBoundInClosedForm(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 120).Draw(rt, "vms")
@@ -135,8 +134,8 @@
 	})
 }
 
-// The reserve is enough for what the pages claim: so many VMs may be missing
-// from every view at once before a server's limit could be passed.
+// The reserve must suffice for the documented number of VMs that may be missing from every view
+// without exceeding a server's limit.
 func TestReserveTolerates(t *testing.T) {
 	for _, tt := range []struct {
 		limit, n, missing int
@@ -151,27 +150,27 @@
 	}
 }
 
-// The server is not flooded by VMs that have just started: before a VM has seen
-// any list it uses nothing, and until it is five seconds old one connection. The
-// first version took the whole limit at every VM whose list came after the
-// configuration, or came before the other VMs were in it.
+// Guards against overloading servers when VMs have just started. Before a VM has received a list it
+// must use no connections, and until it is five seconds old only one. The first version took the
+// whole limit at every VM that received its list after the configuration, or before the other VMs
+// were in the list.
 func TestYoungVM(t *testing.T) {
 	is := is.New(t)
 	self := vmNumber(0, "a")
 	ro := conns.NewRoster(conns.RosterConfig{Self: self, Hold: time.Minute, Patience: 5 * time.Second})
 	is.True(!ro.Settled(4 * time.Second))
-	is.True(ro.Settled(5 * time.Second)) // no list, but the caller has waited enough
+	is.True(ro.Settled(5 * time.Second)) // no list, but Patience has passed
 	is.True(ro.Cautious(5 * time.Second))
 	ro.Update(time.Second, vmsOf(9, "a"))
 	is.Equal(ro.Len(), 9)
 	is.True(ro.Settled(time.Second))
-	is.True(ro.Cautious(time.Second)) // the list may lack those that start now
+	is.True(ro.Cautious(time.Second)) // the list may lack VMs that start now
 	is.True(!ro.Cautious(5 * time.Second))
 }
 
-// A server's connections are not given out twice, and none is lost for ever: a
-// VM that dies, or is only out of sight, counts for a minute more and no
-// longer; one that is seen again in between was never gone.
+// Guards against connections that are assigned twice or never again. A VM that died or is
+// unreachable must count for one more minute only, and one that is listed again within that minute
+// must count without interruption.
 func TestDeadVMCountsForAWhile(t *testing.T) {
 	is := is.New(t)
 	all := vmsOf(3, "a")
@@ -184,8 +183,8 @@
 	is.Equal(ro.Expire(121*time.Second), []conns.Change{{VM: all[2]}})
 }
 
-// The caller keeps its answers when a VM joins: its rank is moved by one hash
-// for each group, and equals the rank from a planner made anew.
+// A VM that joins changes the rank incrementally, by one hash for each group. The result must equal
+// that of a new planner.
 func TestPlannerStepsEqualRebuilt(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
@@ -194,49 +193,49 @@
 			{Service: "s", DataCentre: "a", Replicas: 2, Limit: 12}, {Service: "s", DataCentre: "b", Replicas: 1, Limit: 5},
 			{Service: "u", DataCentre: "c", Replicas: 3, Limit: 40},
 		}
-		pl := planOf(vms[0], nil, true, groups...)
-		in := map[conns.VM]bool{}
+		pl := newPlanner(vms[0], nil, true, groups...)
+		joinedVMs := map[conns.VM]bool{}
 		for range rapid.IntRange(1, 50).Draw(rt, "steps") {
 			ch := conns.Change{VM: vms[rapid.IntRange(0, 19).Draw(rt, "vm")], Joined: rapid.Bool().Draw(rt, "joined")}
 			pl.Apply(ch)
-			in[ch.VM] = ch.Joined
+			joinedVMs[ch.VM] = ch.Joined
 		}
 		var seen []conns.VM
-		for vm, joined := range in {
+		for vm, joined := range joinedVMs {
 			if joined {
 				seen = append(seen, vm)
 			}
 		}
-		anew := planOf(vms[0], seen, true, groups...)
+		rebuilt := newPlanner(vms[0], seen, true, groups...)
 		for id := range groups {
 			for replica := range groups[id].Replicas {
-				is.Equal(pl.Share(conns.GroupID(id), replica), anew.Share(conns.GroupID(id), replica))
+				is.Equal(pl.Share(conns.GroupID(id), replica), rebuilt.Share(conns.GroupID(id), replica))
 			}
 		}
-		is.Equal(pl.Unreached(), anew.Unreached())
+		is.Equal(pl.Unreached(), rebuilt.Unreached())
 	})
 }
 
-// The operator is told what cannot be reached: 330 VMs before services of nine
-// replicas with 25 connections, of which 21 are divided, leave 141 VMs without
-// any connection to a service; with 100 connections every VM reaches all.
+// Operators see which services cannot be reached. With 330 VMs and services of nine replicas with 25
+// connections, of which 21 are divided, 141 VMs have no connection to a service; with 100
+// connections every VM reaches all services.
 func TestUnreached(t *testing.T) {
 	is := is.New(t)
 	vms := vmsOf(330, "a")
 	for _, tt := range []struct{ limit, without int }{{25, 330 - 9*21}, {100, 0}} {
 		without := 0
 		for _, vm := range vms {
-			pl := planOf(vm, vms, false, conns.Group{Service: "s", DataCentre: "a", Replicas: 9, Limit: tt.limit})
+			pl := newPlanner(vm, vms, false, conns.Group{Service: "s", DataCentre: "a", Replicas: 9, Limit: tt.limit})
 			without += len(pl.Unreached())
 		}
 		is.Equal(without, tt.without)
 	}
 }
 
-// The server that comes back is not stormed: nine VMs notice in the same moment,
-// each goes on with one connection and adds one at a time. In no 100 ms do they
-// together open more than the first nine and what a quarter of the server's time
-// allows, with the jitter's double.
+// Guards against overloading a restarted server with new connections. Nine VMs notice the restart at
+// the same moment, and each one restarts with one connection and adds one at a time. Within any
+// 100 ms they must together open no more than twice, because of jitter, what a quarter of the
+// server's time allows; the first connections of all nine are not counted.
 func TestRampAfterRestart(t *testing.T) {
 	is := is.New(t)
 	const users, share = 9, 3
@@ -246,7 +245,7 @@
 	for vm := range users {
 		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, uint64(vm))), Setup: setup, Load: 0.25})
 		ra.Set(0, 0, share, users)
-		drain(ra)
+		wakeUntilIdle(ra)
 		is.Equal(ra.Limit(0), share)
 		is.Equal(ra.Restart(time.Minute, 0), []conns.Limit{{ID: 0, N: 1}})
 		for at, ok := ra.Next(); ok; at, ok = ra.Next() {
@@ -257,10 +256,10 @@
 		is.Equal(ra.Limit(0), share)
 	}
 	is.Equal(len(opened), users*(share-1))
-	for _, from := range opened {
+	for _, start := range opened {
 		n := 0
 		for _, at := range opened {
-			if at >= from && at < from+100*time.Millisecond {
+			if at >= start && at < start+100*time.Millisecond {
 				n++
 			}
 		}
@@ -268,13 +267,13 @@
 	}
 }
 
-// The caller sees no retry loop: a server that refuses a connection for too many
-// gets no further try for at least five seconds, and a cut share is obeyed at once.
+// Guards against a tight retry loop: after a server refused a connection because it had too many, no
+// further one may be tried for at least five seconds. A reduced share must take effect at once.
 func TestRampRefusedAndCut(t *testing.T) {
 	is := is.New(t)
 	ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), Setup: time.Millisecond, Load: 0.25})
 	ra.Set(0, 0, 8, 4)
-	drain(ra)
+	wakeUntilIdle(ra)
 	is.Equal(ra.Refused(time.Minute, 0, 5), []conns.Limit{{ID: 0, N: 5}})
 	next, ok := ra.Next()
 	is.True(ok)
@@ -284,14 +283,14 @@
 	is.Equal(ra.Set(2*time.Minute, 0, 0, 4), []conns.Limit{{ID: 0, N: 0}})
 }
 
-func drain(ra *conns.Ramp) {
+func wakeUntilIdle(ra *conns.Ramp) {
 	for at, ok := ra.Next(); ok; at, ok = ra.Next() {
 		ra.Wake(at)
 	}
 }
 
-// The limits of servers never pass their shares, whatever the order of events,
-// and reach them in the end.
+// The limits must never exceed the shares, whatever the order of events, and must reach them in the
+// end.
 func TestRampStaysWithinShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), Setup: time.Millisecond, Load: 0.25})
@@ -314,15 +313,15 @@
 			default:
 				ra.Wake(now)
 			}
-			for one, share := range shares {
-				if got := ra.Limit(view.ServerID(one)); got > share || got < min(share, 1) {
+			for i, share := range shares {
+				if got := ra.Limit(view.ServerID(i)); got > share || got < min(share, 1) {
 					rt.Fatalf("limit %d of share %d", got, share)
 				}
 			}
 		}
-		drain(ra)
-		for one, share := range shares {
-			if got := ra.Limit(view.ServerID(one)); got != share {
+		wakeUntilIdle(ra)
+		for i, share := range shares {
+			if got := ra.Limit(view.ServerID(i)); got != share {
 				rt.Fatalf("limit %d of share %d in the end", got, share)
 			}
 		}
--- a/core/conns/doc.go
+++ b/core/conns/doc.go
@@ -1,6 +1,6 @@
-// Package conns divides each upstream server's connections among the VMs that
-// may use it, without any message: each VM works out its own part from its view
-// of the VMs, and the parts add up even where the views differ a little.
+// Package conns divides the connections of each upstream server among the VMs that may use it.
+// The VMs exchange no messages for this: each one computes its own share from its view of the
+// VMs, and the shares stay within the limit even if the views differ a little.
 //
 // # Usage
 //
@@ -14,23 +14,23 @@
 //
 // # The division
 //
-// Of a limit L, R = max(1, L/8 rounded up) is kept back and K = L-R divided.
-// VMs in the server's own data centre divide K less a quarter, all others the
-// quarter; with Far off the others get nothing. Among c VMs of such a part, the
-// VM of rank r (by rendezvous hash of service and VM) gets
+// Of a limit L, a reserve R = max(1, L/8 rounded up) is kept back and K = L-R is divided. A
+// quarter of K goes to the VMs of other data centres, or nothing if Far is off, and the rest to
+// the VMs of the server's own data centre. Each of the two parts is then divided by itself; below,
+// K is such a part. Among the c VMs that share it, the VM of rank r (by rendezvous hash of service
+// and VM) gets
 //
 //   - c <= K: K/c, and one more if r < K mod c;
-//   - c > K: one connection to replica i if iK <= r+jc < (i+1)K for some j, so
-//     that each replica has exactly K users, and every VM has a replica as long
-//     as c <= K times the replicas. Beyond, Unreached tells the services that
-//     this VM cannot reach at all.
+//   - c > K: one connection to replica i if iK <= r+jc < (i+1)K for some j, so that each replica
+//     has exactly K users, and every VM has a replica as long as c <= K times the number of
+//     replicas. If c is greater, Unreached lists the services that this VM cannot reach at all.
 //
 // # The bound
 //
-// Equal views use exactly K. If each view lacks at most m of the n live VMs,
-// a VM's rank is too low by at most m and its c by at most m; Bound adds up
-// what the worst such views would use. As long as c <= K that is at most the
-// sum over j of min(n, K+m-j(n-m)); for the first replica of a c > K it is K+m,
-// so that m <= R never passes the limit. VMs that are counted and dead only
-// make parts smaller, but can move the others between the replicas of a service.
+// VMs with equal views use exactly K. If each view lacks at most m of the n live VMs, a VM's rank
+// is too low by at most m and its c by at most m; Bound adds up what the VMs would use with the
+// worst such views. As long as c <= K that is at most the sum over j of min(n, K+m-j(n-m)); for
+// the first replica with c > K it is K+m, so that m <= R never exceeds the limit. Dead VMs that
+// are still counted only make shares smaller, but can move the others between the replicas of a
+// service.
 package conns
--- a/core/conns/planner.go
+++ b/core/conns/planner.go
@@ -2,64 +2,63 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Group is the replicas of one service in one data centre.
+// Group is the set of replicas of one service in one data centre.
 type Group struct {
 	// Service must be unique over all teams and registers.
 	Service    string
 	DataCentre string
 	Replicas   int
-	// Limit is the connections that each replica accepts.
+	// Limit is the number of connections that each replica accepts.
 	Limit int
 }
 
-// GroupID names a group within its planner.
+// GroupID identifies a group within its planner.
 type GroupID int
 
-// PlannerConfig sets a planner.
+// PlannerConfig configures a Planner.
 type PlannerConfig struct {
 	Self VM
-	// Far gives VMs in other data centres a part too. It pays while every such
-	// VM can have a connection; with thousands of VMs hardly any does.
+	// Far gives a part of the connections to VMs in other data centres. This is useful while
+	// every such VM can get a connection; with thousands of VMs hardly any does.
 	Far bool
 }
 
-// Planner works out this VM's part of each server. The VMs themselves are not
-// kept, only this VM's rank for each group, so that a VM that joins or leaves
-// costs one hash for each group.
+// Planner computes this VM's share of each server's connections. For each group it keeps only this
+// VM's rank, so that a VM that joins or leaves costs one hash per group.
 type Planner struct {
-	cfg    PlannerConfig
-	self   uint64
-	groups []group
-	vms    map[VM]uint64
-	near   map[string]int
+	cfg      PlannerConfig
+	selfHash uint64
+	groups   []group
+	vms      map[VM]uint64
+	vmsPerDC map[string]int
 }
 
 type group struct {
 	Group
-	hash uint64
-	own  uint64
-	rank int
-	near bool
+	hash      uint64
+	selfScore uint64
+	rank      int
+	local     bool
 }
 
-// NewPlanner makes a planner that counts this VM.
+// NewPlanner returns a planner that counts only this VM.
 func NewPlanner(cfg PlannerConfig) *Planner {
 	return &Planner{
-		cfg:  cfg,
-		self: xxhash.Sum64String(cfg.Self.Addr),
-		vms:  make(map[VM]uint64),
-		near: map[string]int{cfg.Self.DataCentre: 1},
+		cfg:      cfg,
+		selfHash: xxhash.Sum64String(cfg.Self.Addr),
+		vms:      make(map[VM]uint64),
+		vmsPerDC: map[string]int{cfg.Self.DataCentre: 1},
 	}
 }
 
-// Add takes a group.
+// Add adds a group and returns its id.
 func (pl *Planner) Add(gr Group) GroupID {
-	one := group{Group: gr, hash: xxhash.Sum64String(gr.Service), near: gr.DataCentre == pl.cfg.Self.DataCentre}
-	one.own = mix(one.hash, pl.self)
+	added := group{Group: gr, hash: xxhash.Sum64String(gr.Service), local: gr.DataCentre == pl.cfg.Self.DataCentre}
+	added.selfScore = mix(added.hash, pl.selfHash)
 	for vm, hash := range pl.vms {
-		one.count(vm, hash, 1)
+		added.count(vm, hash, 1)
 	}
-	pl.groups = append(pl.groups, one)
+	pl.groups = append(pl.groups, added)
 	return GroupID(len(pl.groups) - 1)
 }
 
@@ -68,15 +67,15 @@
 	pl.groups[id].Replicas = replicas
 }
 
-// Apply takes a change of the roster.
+// Apply applies a change of the roster. A change that is already applied has no effect.
 func (pl *Planner) Apply(ch Change) {
 	if ch.VM.Addr == pl.cfg.Self.Addr {
 		return
 	}
-	by := -1
+	delta := -1
 	hash, counted := pl.vms[ch.VM]
 	if ch.Joined {
-		by = 1
+		delta = 1
 		hash = xxhash.Sum64String(ch.VM.Addr)
 	}
 	if counted == ch.Joined {
@@ -87,23 +86,23 @@
 	} else {
 		delete(pl.vms, ch.VM)
 	}
-	pl.near[ch.VM.DataCentre] += by
+	pl.vmsPerDC[ch.VM.DataCentre] += delta
 	for i := range pl.groups {
-		pl.groups[i].count(ch.VM, hash, by)
+		pl.groups[i].count(ch.VM, hash, delta)
 	}
 }
 
-// count moves this VM's rank for a VM of the same part.
-func (gr *group) count(vm VM, hash uint64, by int) {
-	if (vm.DataCentre == gr.DataCentre) != gr.near {
+// count adjusts this VM's rank for a VM that shares the same part of the connections.
+func (gr *group) count(vm VM, hash uint64, delta int) {
+	if (vm.DataCentre == gr.DataCentre) != gr.local {
 		return
 	}
-	if mix(gr.hash, hash) < gr.own {
-		gr.rank += by
+	if mix(gr.hash, hash) < gr.selfScore {
+		gr.rank += delta
 	}
 }
 
-// mix spreads the pair of hashes; it is the finaliser of SplitMix64.
+// mix combines the two hashes with the finaliser of SplitMix64.
 func mix(service, vm uint64) uint64 {
 	z := service ^ (vm * 0x9e3779b97f4a7c15)
 	z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9
@@ -111,32 +110,30 @@
 	return z ^ (z >> 31)
 }
 
-// Share is this VM's connections to one replica of a group.
+// Share returns how many connections this VM may have to one replica of a group.
 func (pl *Planner) Share(id GroupID, replica int) int {
 	gr := &pl.groups[id]
 	part, count := pl.partOf(gr)
 	return Share(part, count, gr.rank, replica)
 }
 
-// Users is how many VMs share a replica's connections with this one, itself
-// counted.
+// Users returns how many VMs share a replica's connections, this one included.
 func (pl *Planner) Users(id GroupID) int {
 	part, count := pl.partOf(&pl.groups[id])
 	return max(1, min(part, count))
 }
 
 func (pl *Planner) partOf(gr *group) (part, count int) {
-	nearPart, farPart := Split(gr.Limit, pl.cfg.Far)
-	count = pl.near[gr.DataCentre]
-	if gr.near {
-		return nearPart, count
+	localPart, remotePart := Split(gr.Limit, pl.cfg.Far)
+	count = pl.vmsPerDC[gr.DataCentre]
+	if gr.local {
+		return localPart, count
 	}
-	return farPart, len(pl.vms) + 1 - count
+	return remotePart, len(pl.vms) + 1 - count
 }
 
-// Unreached lists the services to no replica of which this VM has a
-// connection: their limits are too low for so many VMs, and a search that needs
-// them has to be run on another VM.
+// Unreached returns the services of which no replica has a connection for this VM. Their limits
+// are too low for the number of VMs, and a search that needs them has to run on another VM.
 func (pl *Planner) Unreached() []string {
 	reached := make(map[string]bool)
 	var out []string
--- a/core/conns/ramp.go
+++ b/core/conns/ramp.go
@@ -9,122 +9,122 @@
 )
 
 const (
-	// floor is the connections with which a server is begun: enough for traffic
-	// to find out that it works.
-	floor = 1
-	// retryRefused is the pause before one more connection is tried after a
-	// refusal for too many.
-	retryRefused = 10 * time.Second
+	// initialLimit is the number of connections with which the ramp of a server starts: enough
+	// for requests to show that the server works.
+	initialLimit = 1
+	// refusedRetry is the mean wait before one more connection is tried after the server
+	// refused one because it had too many.
+	refusedRetry = 10 * time.Second
 )
 
-// RampConfig sets a ramp.
+// RampConfig configures a Ramp.
 type RampConfig struct {
-	// Rand gives jitter.
+	// Rand is the source of jitter.
 	Rand *rand.Rand
-	// Setup is what one new connection costs a server.
+	// Setup is the processing time that one new connection costs a server.
 	Setup time.Duration
-	// Load is the share of its time that a server may spend on new connections
-	// from all VMs together.
+	// Load is the share of its time that a server may spend on new connections from all VMs
+	// together.
 	Load float64
 }
 
-// Ramp raises each server's connections from the floor to the share one at a
-// time, so slowly that all VMs together, which begin in the same moment when a
-// server or a data centre comes back, keep within Load. Cuts are at once.
+// Ramp raises the limit of each server from initialLimit to this VM's share, one connection at a
+// time. It does so slowly enough that all VMs together keep within Load, although they start at
+// the same moment when a server or a data centre comes back. Reductions take effect at once.
 type Ramp struct {
 	cfg     RampConfig
-	servers []climb
+	servers []serverRamp
 	queue   sched.Queue[view.ServerID]
 	changes []Limit
 }
 
-// climb is one server's ramp.
-type climb struct {
+// serverRamp is the ramp of one server.
+type serverRamp struct {
 	share int
 	limit int
-	// most is the connections that the server let this VM have when it last
-	// refused one for too many; 0 while it has not.
-	most  int
-	pause time.Duration
-	next  time.Duration
+	// refusedAbove is how many connections this VM had, or has tried since, when the server
+	// refused one because it had too many; 0 if it did not refuse any.
+	refusedAbove int
+	interval     time.Duration
+	nextAt       time.Duration
 }
 
-// Limit is the connections allowed to a server now.
+// Limit is the number of connections that are allowed to a server now.
 type Limit struct {
 	ID view.ServerID
 	N  int
 }
 
-// NewRamp makes a ramp without servers.
+// NewRamp returns a ramp without servers.
 func NewRamp(cfg RampConfig) *Ramp {
 	return &Ramp{cfg: cfg}
 }
 
-// Set gives a server's share and its users; ids are given in order from 0. The
-// limits that change at once are returned; they are valid until the next call.
+// Set sets a server's share and the number of VMs that use it; ids must be added in order from 0.
+// It returns the limits that change at once; they are valid until the next call.
 func (ra *Ramp) Set(now time.Duration, id view.ServerID, share, users int) []Limit {
 	for int(id) >= len(ra.servers) {
-		ra.servers = append(ra.servers, climb{})
+		ra.servers = append(ra.servers, serverRamp{})
 	}
-	cl := &ra.servers[id]
-	cl.share = share
-	cl.pause = time.Duration(float64(users) * float64(ra.cfg.Setup) / ra.cfg.Load)
+	sr := &ra.servers[id]
+	sr.share = share
+	sr.interval = time.Duration(float64(users) * float64(ra.cfg.Setup) / ra.cfg.Load)
 	ra.changes = ra.changes[:0]
-	ra.to(id, min(share, max(cl.limit, floor)))
-	ra.schedule(now, id, cl.pause)
+	ra.setLimit(id, min(share, max(sr.limit, initialLimit)))
+	ra.schedule(now, id, sr.interval)
 	return ra.changes
 }
 
-// Restart begins a server's ramp anew, as for a new incarnation: all its
-// connections are lost, at every VM in the same moment.
+// Restart starts a server's ramp again, as for a new incarnation, when the connections of all VMs
+// break at the same moment.
 func (ra *Ramp) Restart(now time.Duration, id view.ServerID) []Limit {
-	cl := &ra.servers[id]
-	cl.most = 0
-	cl.next = 0
+	sr := &ra.servers[id]
+	sr.refusedAbove = 0
+	sr.nextAt = 0
 	ra.changes = ra.changes[:0]
-	ra.to(id, min(cl.share, floor))
-	ra.schedule(now, id, cl.pause)
+	ra.setLimit(id, min(sr.share, initialLimit))
+	ra.schedule(now, id, sr.interval)
 	return ra.changes
 }
 
-// Refused takes a server's refusal of a connection while this VM had open ones:
-// no more than those are used, and one more is tried only after a long pause.
+// Refused records that a server refused a connection while this VM had open ones. The limit falls
+// to that number, and one more is tried only after a long wait.
 func (ra *Ramp) Refused(now time.Duration, id view.ServerID, open int) []Limit {
-	cl := &ra.servers[id]
-	cl.most = max(floor, min(open, cl.limit))
-	cl.next = 0
+	sr := &ra.servers[id]
+	sr.refusedAbove = max(initialLimit, min(open, sr.limit))
+	sr.nextAt = 0
 	ra.changes = ra.changes[:0]
-	ra.to(id, min(cl.share, cl.most))
-	ra.schedule(now, id, retryRefused)
+	ra.setLimit(id, min(sr.share, sr.refusedAbove))
+	ra.schedule(now, id, refusedRetry)
 	return ra.changes
 }
 
-// Wake raises the limits that are due.
+// Wake raises the limits that are due and returns them.
 func (ra *Ramp) Wake(now time.Duration) []Limit {
 	ra.changes = ra.changes[:0]
 	for id, ok := ra.queue.Pop(now); ok; id, ok = ra.queue.Pop(now) {
-		cl := &ra.servers[id]
-		if cl.next == 0 || cl.next > now {
+		sr := &ra.servers[id]
+		if sr.nextAt == 0 || sr.nextAt > now {
 			continue
 		}
-		cl.next = 0
-		ra.to(id, min(cl.share, cl.limit+1))
-		pause := cl.pause
-		if cl.most > 0 {
-			pause = retryRefused
-			cl.most++
+		sr.nextAt = 0
+		ra.setLimit(id, min(sr.share, sr.limit+1))
+		wait := sr.interval
+		if sr.refusedAbove > 0 {
+			wait = refusedRetry
+			sr.refusedAbove++
 		}
-		ra.schedule(now, id, pause)
+		ra.schedule(now, id, wait)
 	}
 	return ra.changes
 }
 
-// Next is when Wake is due; false where nothing waits.
+// Next returns when Wake is due; ok is false if no raise is scheduled.
 func (ra *Ramp) Next() (time.Duration, bool) {
 	return ra.queue.Next()
 }
 
-// Limit is the connections allowed to a server now.
+// Limit returns how many connections to a server are allowed now.
 func (ra *Ramp) Limit(id view.ServerID) int {
 	if int(id) >= len(ra.servers) {
 		return 0
@@ -132,21 +132,21 @@
 	return ra.servers[id].limit
 }
 
-func (ra *Ramp) to(id view.ServerID, n int) {
-	if cl := &ra.servers[id]; cl.limit != n {
-		cl.limit = n
+func (ra *Ramp) setLimit(id view.ServerID, n int) {
+	if sr := &ra.servers[id]; sr.limit != n {
+		sr.limit = n
 		ra.changes = append(ra.changes, Limit{ID: id, N: n})
 	}
 }
 
-// schedule sets the next step, unless one waits or none is needed.
-func (ra *Ramp) schedule(now time.Duration, id view.ServerID, pause time.Duration) {
-	cl := &ra.servers[id]
-	if cl.limit >= cl.share || cl.next != 0 {
+// schedule sets the time of the next raise, unless one is scheduled or none is needed.
+func (ra *Ramp) schedule(now time.Duration, id view.ServerID, interval time.Duration) {
+	sr := &ra.servers[id]
+	if sr.limit >= sr.share || sr.nextAt != 0 {
 		return
 	}
-	// Half to one and a half of the pause: the mean keeps the rate, the width
-	// keeps the VMs apart.
-	cl.next = now + pause/2 + time.Duration(ra.cfg.Rand.Int64N(int64(pause)+1))
-	ra.queue.Push(cl.next, id)
+	// Between half of the interval and one and a half of it: the mean keeps the rate, and the
+	// spread keeps the VMs from acting in step.
+	sr.nextAt = now + interval/2 + time.Duration(ra.cfg.Rand.Int64N(int64(interval)+1))
+	ra.queue.Push(sr.nextAt, id)
 }
--- a/core/conns/roster.go
+++ b/core/conns/roster.go
@@ -12,27 +12,27 @@
 	DataCentre string
 }
 
-// Change is a VM that begins or ceases to be counted.
+// Change is a VM that is counted from now on, or no longer.
 type Change struct {
 	VM     VM
 	Joined bool
 }
 
-// RosterConfig sets a roster.
+// RosterConfig configures a Roster.
 type RosterConfig struct {
 	Self VM
-	// Hold is how long a VM that is no longer seen is still counted: its
-	// connections may outlive it, and it may be only out of sight.
+	// Hold is how long a VM that is no longer in the list is still counted: its connections may
+	// outlive it, or it may only be unreachable.
 	Hold time.Duration
-	// Patience is how long after its start a VM that sees no list of VMs waits
-	// before it takes itself for settled, and how long one that sees a list does
-	// not rely on it: VMs that start together are not in each other's list.
+	// Patience is how long after its start a VM without a list of VMs waits before it counts as
+	// settled, and for how long a VM with a list is cautious: VMs that start together are not in
+	// each other's lists.
 	Patience time.Duration
 }
 
-// Roster keeps the VMs that are counted. Joins count at once, departures after
-// Hold: to count one VM too many costs a few connections, one too few breaks
-// a server's limit.
+// Roster is the set of VMs that are counted for the division. A VM that joins counts at once, and
+// one that leaves is removed after Hold: to count one VM too many costs a few connections, one too
+// few exceeds a server's limit.
 type Roster struct {
 	cfg     RosterConfig
 	vms     map[string]entry
@@ -41,17 +41,17 @@
 
 type entry struct {
 	vm VM
-	// until is when a VM that is out of sight ceases to count; 0 while seen.
-	until time.Duration
+	// countedUntil is when a VM that is not in the list is removed; 0 while it is in the list.
+	countedUntil time.Duration
 }
 
-// NewRoster makes a roster that counts only this VM.
+// NewRoster returns a roster that counts only this VM.
 func NewRoster(cfg RosterConfig) *Roster {
 	return &Roster{cfg: cfg, vms: map[string]entry{cfg.Self.Addr: {vm: cfg.Self}}}
 }
 
-// Update takes the VMs seen now, live and leaving ones alike, and returns what
-// changed. From then on the roster is settled.
+// Update takes the current list of VMs, including the ones that are leaving, and returns the
+// resulting changes. From the first call on the roster is settled.
 func (ro *Roster) Update(now time.Duration, seen []VM) []Change {
 	ro.settled = true
 	var out []Change
@@ -63,7 +63,7 @@
 			continue
 		}
 		old, counted := ro.vms[vm.Addr]
-		if counted && old.vm == vm && old.until == 0 {
+		if counted && old.vm == vm && old.countedUntil == 0 {
 			continue
 		}
 		if counted && old.vm != vm {
@@ -75,19 +75,19 @@
 		ro.vms[vm.Addr] = entry{vm: vm}
 	}
 	for addr, en := range ro.vms {
-		if !present[addr] && en.until == 0 {
-			en.until = now + ro.cfg.Hold
+		if !present[addr] && en.countedUntil == 0 {
+			en.countedUntil = now + ro.cfg.Hold
 			ro.vms[addr] = en
 		}
 	}
 	return append(out, ro.Expire(now)...)
 }
 
-// Expire ceases to count the VMs that have been out of sight for Hold.
+// Expire removes the VMs that have not been in the list for Hold, and returns them as changes.
 func (ro *Roster) Expire(now time.Duration) []Change {
 	var out []Change
 	for addr, en := range ro.vms {
-		if en.until != 0 && en.until <= now {
+		if en.countedUntil != 0 && en.countedUntil <= now {
 			delete(ro.vms, addr)
 			out = append(out, Change{VM: en.vm})
 		}
@@ -96,19 +96,19 @@
 	return out
 }
 
-// Settled tells whether shares may be used. Before it, the roster counts this
-// VM alone, which would take the whole of every server.
+// Settled reports whether shares may be used. Until then the roster counts this VM alone, whose
+// share would be all connections of every server.
 func (ro *Roster) Settled(now time.Duration) bool {
 	return ro.settled || now >= ro.cfg.Patience
 }
 
-// Cautious tells that the list of VMs was never seen, or that this VM is so young
-// that others may not be in it yet. Then only one connection to each server may
-// be used, whatever the share: of VMs that start together, as many as a server
-// has connections then stay within its limit.
+// Cautious reports whether this VM never received a list of VMs, or is so young that it may be
+// missing from the lists of others. In this state it may use only one connection to each server,
+// whatever its share: then a server's limit holds if no more VMs start together than it has
+// connections.
 func (ro *Roster) Cautious(now time.Duration) bool {
 	return !ro.settled || now < ro.cfg.Patience
 }
 
-// Len is the number of VMs counted.
+// Len returns the number of VMs counted.
 func (ro *Roster) Len() int { return len(ro.vms) }
--- a/core/conns/share.go
+++ b/core/conns/share.go
@@ -1,32 +1,32 @@
 package conns
 
-// reserveShare of a limit is kept back for newcomers and differing views.
-const reserveShare = 8
+// reserveDivisor is the part of a limit that is reserved for new VMs and differing views, 1 in 8.
+const reserveDivisor = 8
 
-// farShare of what is divided is for VMs in other data centres.
-const farShare = 4
+// remoteDivisor is the part of the rest that is for VMs in other data centres, 1 in 4.
+const remoteDivisor = 4
 
-// Reserve is what of a limit is never divided.
+// Reserve returns how many connections of a limit are never divided.
 func Reserve(limit int) int {
 	if limit <= 1 {
 		return 0
 	}
-	return max(1, (limit+reserveShare-1)/reserveShare)
+	return max(1, (limit+reserveDivisor-1)/reserveDivisor)
 }
 
-// Split divides a limit, less its reserve, between the VMs of the server's own
-// data centre and all others.
-func Split(limit int, far bool) (nearPart, farPart int) {
+// Split divides a limit, less its reserve, between the VMs of the server's own data centre and all
+// others. The others get nothing if far is false.
+func Split(limit int, far bool) (localPart, remotePart int) {
 	usable := max(limit, 0) - Reserve(limit)
 	if !far || usable < 2 {
 		return usable, 0
 	}
-	farPart = max(1, usable/farShare)
-	return usable - farPart, farPart
+	remotePart = max(1, usable/remoteDivisor)
+	return usable - remotePart, remotePart
 }
 
-// Share is what the VM of this rank among count VMs gets of a part of a
-// server's connections; the server is replica number of its service.
+// Share returns how many connections the VM of the given rank among count VMs gets from a part of
+// a server's connections; replica is the server's number among the replicas of its service.
 func Share(part, count, rank, replica int) int {
 	if part <= 0 || count <= 0 {
 		return 0
@@ -38,35 +38,35 @@
 		}
 		return share
 	}
-	// At most one of rank, rank+count, ... falls between from and from+part.
-	from := part * replica
-	at := rank
-	if from > rank {
-		at += (from - rank + count - 1) / count * count
+	// At most one of rank, rank+count, ... is in the range from start to start+part.
+	start := part * replica
+	pos := rank
+	if start > rank {
+		pos += (start - rank + count - 1) / count * count
 	}
-	if at < from+part {
+	if pos < start+part {
 		return 1
 	}
 	return 0
 }
 
-// Bound is the most that n live VMs together can use of a part of a server's
-// connections, if each one's view lacks at most missing of them and counts at
-// most extra others.
+// Bound returns how many connections n live VMs together can use at most of a part of a server's
+// connections, if the view of each one lacks at most missing of them and counts at most extra
+// other VMs.
 func Bound(part, n, missing, extra, replica int) int {
 	sum := 0
 	for rank := range n {
-		sum += worst(part, n, missing, extra, replica, rank)
+		sum += worstShare(part, n, missing, extra, replica, rank)
 	}
 	return sum
 }
 
-func worst(part, n, missing, extra, replica, rank int) int {
-	most := 0
+func worstShare(part, n, missing, extra, replica, rank int) int {
+	worst := 0
 	for count := max(1, n-missing); count <= n+extra; count++ {
-		for seen := max(0, rank-missing); seen <= min(rank+extra, count-1); seen++ {
-			most = max(most, Share(part, count, seen, replica))
+		for seenRank := max(0, rank-missing); seenRank <= min(rank+extra, count-1); seenRank++ {
+			worst = max(worst, Share(part, count, seenRank, replica))
 		}
 	}
-	return most
+	return worst
 }
