--- a/core/warm/example_test.go
+++ b/core/warm/example_test.go
@@ -8,8 +8,8 @@
 	"laburnumvane/core/warm"
 )
 
-// A server refuses the third connection: the gate keeps to two and waits before
-// it tries one more.
+// A server refuses the third connection: the gate stays at two and waits before it allows one more
+// attempt.
 func ExampleGate() {
 	ga := warm.New(warm.Config{Limit: 10, Rand: rand.New(rand.NewPCG(1, 1))})
 	now := time.Second // monotonic, from the start of the process
--- a/core/warm/seed_test.go
+++ b/core/warm/seed_test.go
@@ -1,4 +1,4 @@
 package warm_test
 
-// Property tests use one seed, so that their verdict is the same every time.
+// Fixes the seed of property tests, so that their results are reproducible.
 import _ "laburnumvane/internal/seed"
--- a/core/warm/storm_test.go
+++ b/core/warm/storm_test.go
@@ -11,23 +11,23 @@
 	"laburnumvane/core/warm"
 )
 
-const openCost = 6 * ms
+const dialTime = 6 * ms
 
-// storm is one server with a limit on its connections, and the VMs that want
-// them, in virtual time.
+// storm simulates, in virtual time, one server with a limit on its connections and the VMs that want
+// to connect to it.
 type storm struct {
 	limit int
-	// gated VMs ask the gate; others dial whatever they lack, at once.
+	// gated makes the VMs ask the gate; otherwise each one dials all missing connections at once.
 	gated bool
-	vms   []*dialler
+	vms   []*dialer
 	now   time.Duration
-	// attempts counts what reached the server, by second since its return.
-	attempts []int
-	refused  int
-	most     int
+	// attempts counts the attempts per second.
+	attempts    []int
+	refused     int
+	peakOpening int
 }
 
-type dialler struct {
+type dialer struct {
 	ga      *warm.Gate
 	want    int
 	open    int
@@ -38,7 +38,7 @@
 	so := &storm{limit: limit, gated: gated, attempts: make([]int, 60)}
 	for i := range vms {
 		ga := warm.New(warm.Config{Limit: want, Floor: want, Rand: rand.New(rand.NewPCG(1, uint64(i)))})
-		so.vms = append(so.vms, &dialler{ga: ga, want: want})
+		so.vms = append(so.vms, &dialer{ga: ga, want: want})
 	}
 	return so
 }
@@ -47,15 +47,15 @@
 	for ; so.now < until; so.now += ms {
 		opening := 0
 		for _, vm := range so.vms {
-			so.finish(vm, up(so.now))
+			so.finish(vm, isUp(so.now))
 			so.start(vm)
 			opening += len(vm.opening)
 		}
-		so.most = max(so.most, opening)
+		so.peakOpening = max(so.peakOpening, opening)
 	}
 }
 
-func (so *storm) start(vm *dialler) {
+func (so *storm) start(vm *dialer) {
 	for vm.open+len(vm.opening) < vm.want {
 		if so.gated {
 			if !vm.ga.MayOpen(so.now) {
@@ -63,19 +63,19 @@
 			}
 			vm.ga.Begin()
 		}
-		vm.opening = append(vm.opening, so.now+openCost)
+		vm.opening = append(vm.opening, so.now+dialTime)
 		so.attempts[so.now/time.Second]++
 	}
 }
 
-func (so *storm) finish(vm *dialler, up bool) {
+func (so *storm) finish(vm *dialer, serverUp bool) {
 	for len(vm.opening) > 0 && vm.opening[0] <= so.now {
 		vm.opening = vm.opening[1:]
-		ok := up && so.open() < so.limit
+		ok := serverUp && so.open() < so.limit
 		if ok {
 			vm.open++
 		}
-		if up && !ok {
+		if serverUp && !ok {
 			so.refused++
 		}
 		if !so.gated {
@@ -84,7 +84,7 @@
 		switch {
 		case ok:
 			vm.ga.Opened()
-		case up:
+		case serverUp:
 			vm.ga.Failed(so.now, warm.FaultRefused)
 		default:
 			vm.ga.Failed(so.now, warm.FaultDial)
@@ -93,47 +93,47 @@
 }
 
 func (so *storm) open() int {
-	sum := 0
+	total := 0
 	for _, vm := range so.vms {
-		sum += vm.open
+		total += vm.open
 	}
-	return sum
+	return total
 }
 
-// away is how long the server is away at first.
-const away = 10 * time.Second
+// outage is how long the server is down at first.
+const outage = 10 * time.Second
 
-func up(now time.Duration) bool { return now >= away }
+func isUp(now time.Duration) bool { return now >= outage }
 
-// A server with 25 connections comes back after ten seconds; nine VMs want
-// three each, two more than there are. Each VM asks at most once in a while,
-// the limit is filled within two seconds, and the two that are refused do not
-// ask on and on.
+// Guards against a burst of attempts when a server comes back, here after ten seconds. It accepts 25
+// connections, and nine VMs want three each, two more than that. The limit must be used again, the
+// attempts in progress must stay within the gates' bound, and the two VMs that are refused must not
+// retry in a loop.
 func TestServerReturns(t *testing.T) {
 	is := is.New(t)
 	so := newStorm(9, 3, 25, true)
 	so.run(40 * time.Second)
 	is.Equal(so.open(), 25)
-	is.True(so.most <= 9*warm.DefaultMostAtOnce)
+	is.True(so.peakOpening <= 9*warm.DefaultMostAtOnce)
 	for _, n := range so.attempts[15:] {
-		is.True(n <= 9) // of nine VMs two at a time are refused, and wait longer each time
+		is.True(n <= 9) // at any time two of nine VMs are refused, with growing waits
 	}
 }
 
-// The same at the size of an entry for 36 VMs, against VMs that dial whatever
-// they lack: attempts in the worst second, refusals, and the time until the
-// connections are all in use again.
+// BenchmarkServerReturns compares the gate with VMs that dial all missing connections at once, for
+// the same server and up to 36 VMs: attempts in the worst second, refusals, and the time until all
+// connections are in use again.
 func BenchmarkServerReturns(b *testing.B) {
 	for _, vms := range []int{9, 36} {
 		for _, gated := range []bool{false, true} {
 			b.Run(fmt.Sprintf("vms=%d/gated=%v", vms, gated), func(b *testing.B) {
 				var so *storm
-				full := time.Duration(0)
+				fullAt := time.Duration(0)
 				for b.Loop() {
 					so = newStorm(vms, 3, 25, gated)
-					so.run(away)
-					for full = away; so.open() < 25 && full < 20*time.Second; full += ms {
-						so.run(full)
+					so.run(outage)
+					for fullAt = outage; so.open() < 25 && fullAt < 20*time.Second; fullAt += ms {
+						so.run(fullAt)
 					}
 					so.run(20 * time.Second)
 				}
@@ -143,9 +143,9 @@
 				}
 				b.ReportMetric(float64(worst), "attempts/worst-s")
 				b.ReportMetric(float64(so.attempts[19]), "attempts/last-s")
-				b.ReportMetric(float64(so.most), "opening-at-once")
+				b.ReportMetric(float64(so.peakOpening), "opening-at-once")
 				b.ReportMetric(float64(so.refused), "refused")
-				b.ReportMetric(float64((full-away)/ms), "full-after-ms")
+				b.ReportMetric(float64((fullAt-outage)/ms), "full-after-ms")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/core/warm/warm.go
+++ b/core/warm/warm.go
@@ -1,5 +1,5 @@
-// Package warm decides when a connection to one server may be opened, so that
-// neither a cold start nor a server's return becomes a storm.
+// Package warm decides when a connection to one server may be opened, so that neither a cold start
+// nor the return of a server causes a burst of connection attempts.
 //
 // # Usage
 //
@@ -13,16 +13,16 @@
 //	}
 //	wa.Closed()
 //
-// A Gate belongs to one server and is not safe for use from several goroutines.
+// A Gate belongs to one server and is not safe for concurrent use.
 //
-// # How it bounds
+// # Limits
 //
-// Openings under way at once start at one and double with each that succeeds, to
-// a small maximum; any failure puts them back to one and waits, each time twice
-// as long, with jitter so that VMs that saw the same failure come back apart. A
-// server that refuses a connection as one too many sets a ceiling at what is
-// open, which lifts by one after the same wait: the limit of a server is shared
-// with VMs that this one cannot see.
+// The number of concurrent attempts starts at one and doubles with each success, up to a small
+// maximum. A failure resets it to one and starts a wait, which doubles with each failure in a row
+// and has jitter, so that VMs that saw the same failure don't retry in step. If a server refuses a
+// connection because it has too many, the number of open ones becomes the learned limit, and after
+// the same wait one more may be tried: the server's limit is shared with VMs that this one cannot
+// see.
 package warm
 
 import (
@@ -32,206 +32,206 @@
 
 // Defaults of a Config.
 const (
-	DefaultFloor      = 1
-	DefaultPace       = 20 * time.Millisecond
-	DefaultLeastWait  = 5 * time.Millisecond
-	DefaultMostWait   = 2 * time.Second
-	DefaultMostAtOnce = 4
-	DefaultMemory     = 30 * time.Second
+	DefaultFloor        = 1
+	DefaultFillInterval = 20 * time.Millisecond
+	DefaultMinWait      = 5 * time.Millisecond
+	DefaultMaxWait      = 2 * time.Second
+	DefaultMostAtOnce   = 4
+	DefaultPeakWindow   = 30 * time.Second
 )
 
-// Config sets a gate. Limit and Rand are required.
+// Config configures a Gate. Limit and Rand are required.
 type Config struct {
-	// Limit bounds the connections, those being opened included.
+	// Limit bounds the connections, including those being opened.
 	Limit int
-	// Floor is the number kept open without any demand.
+	// Floor is the number of connections kept open without any demand.
 	Floor int
-	// Pace is the mean time between openings that no request waits for.
-	Pace time.Duration
-	// LeastWait and MostWait bound the wait after failures.
-	LeastWait time.Duration
-	MostWait  time.Duration
-	// MostAtOnce bounds the openings under way.
-	MostAtOnce int
-	// Memory is how long a peak of use keeps connections open.
-	Memory time.Duration
-	Rand   *rand.Rand
-}
-
-// Fault says how an opening failed.
+	// FillInterval is the mean time between attempts for which no request waits.
+	FillInterval time.Duration
+	// MinWait and MaxWait bound the mean wait after failures.
+	MinWait time.Duration
+	MaxWait time.Duration
+	// MaxOpening bounds the concurrent attempts.
+	MaxOpening int
+	// PeakWindow is the length of a period of use. Want covers the peak of the current and of
+	// the previous period.
+	PeakWindow time.Duration
+	Rand       *rand.Rand
+}
+
+// Fault is the way in which an attempt failed.
 type Fault uint8
 
-// Faults of an opening.
+// Faults of an attempt.
 const (
-	// FaultDial: no connection came about.
+	// FaultDial means that no connection was established.
 	FaultDial Fault = iota + 1
-	// FaultRefused: it was accepted and closed at once, as a server does that
-	// has too many.
+	// FaultRefused means that the connection was accepted and closed at once, as a server does
+	// that has too many.
 	FaultRefused
 )
 
-// Gate holds the state of one server's openings.
+// Gate is the state of the connections to one server.
 type Gate struct {
-	cfg     Config
-	open    int
-	opening int
-	atOnce  int
-	fails   int
-	notYet  time.Duration
-	ceiling int
-	next    time.Duration
-	peak    int
-	before  int
-	turn    time.Duration
-}
-
-// New makes a gate with nothing open.
+	cfg          Config
+	open         int
+	opening      int
+	maxOpening   int
+	fails        int
+	blockedUntil time.Duration
+	learnedLimit int
+	nextFill     time.Duration
+	peak         int
+	prevPeak     int
+	windowStart  time.Duration
+}
+
+// New returns a gate without connections.
 func New(cfg Config) *Gate {
 	if cfg.Floor == 0 {
 		cfg.Floor = DefaultFloor
 	}
-	if cfg.Pace == 0 {
-		cfg.Pace = DefaultPace
+	if cfg.FillInterval == 0 {
+		cfg.FillInterval = DefaultFillInterval
 	}
-	if cfg.LeastWait == 0 {
-		cfg.LeastWait = DefaultLeastWait
+	if cfg.MinWait == 0 {
+		cfg.MinWait = DefaultMinWait
 	}
-	if cfg.MostWait == 0 {
-		cfg.MostWait = DefaultMostWait
+	if cfg.MaxWait == 0 {
+		cfg.MaxWait = DefaultMaxWait
 	}
-	if cfg.MostAtOnce == 0 {
-		cfg.MostAtOnce = DefaultMostAtOnce
+	if cfg.MaxOpening == 0 {
+		cfg.MaxOpening = DefaultMostAtOnce
 	}
-	if cfg.Memory == 0 {
-		cfg.Memory = DefaultMemory
+	if cfg.PeakWindow == 0 {
+		cfg.PeakWindow = DefaultPeakWindow
 	}
-	return &Gate{cfg: cfg, atOnce: 1}
+	return &Gate{cfg: cfg, maxOpening: 1}
 }
 
-// SetLimit replaces the limit. Connections over it are for the owner to close;
-// Excess counts them.
+// SetLimit replaces the limit. The caller closes the connections above it; Excess counts them.
 func (ga *Gate) SetLimit(n int) {
 	ga.cfg.Limit = max(0, n)
 }
 
-// Limit is the limit in force.
+// Limit returns the limit that was set last.
 func (ga *Gate) Limit() int {
 	return ga.cfg.Limit
 }
 
-// Open is the number of open connections.
+// Open returns the number of open connections.
 func (ga *Gate) Open() int {
 	return ga.open
 }
 
-// Opening is the number of openings under way.
+// Opening returns the number of attempts in progress.
 func (ga *Gate) Opening() int {
 	return ga.opening
 }
 
-// Excess is the number of connections open over the limit.
+// Excess returns by how much the open connections and the attempts exceed the limit.
 func (ga *Gate) Excess() int {
 	return max(0, ga.open+ga.opening-ga.cfg.Limit)
 }
 
-// MayOpen tells whether a request that waits may have a connection opened.
+// MayOpen reports whether a connection may be opened for a waiting request.
 func (ga *Gate) MayOpen(now time.Duration) bool {
-	if ga.Waiting(now) || ga.opening >= ga.atOnce {
+	if ga.Waiting(now) || ga.opening >= ga.maxOpening {
 		return false
 	}
-	return ga.open+ga.opening < ga.room(now)
+	return ga.open+ga.opening < ga.capacity(now)
 }
 
-// Waiting tells whether a failure forbids openings for now.
+// Waiting reports whether a failure forbids attempts for now.
 func (ga *Gate) Waiting(now time.Duration) bool {
-	return now < ga.notYet
+	return now < ga.blockedUntil
 }
 
-// Full tells whether the limit, given or learned, leaves no room.
+// Full reports whether the limit, set or learned, is reached.
 func (ga *Gate) Full(now time.Duration) bool {
-	return ga.open+ga.opening >= ga.room(now)
+	return ga.open+ga.opening >= ga.capacity(now)
 }
 
-func (ga *Gate) room(now time.Duration) int {
-	if ga.ceiling > 0 && now >= ga.notYet {
-		// One try beyond the learned ceiling; a refusal sets it again.
-		return min(ga.cfg.Limit, ga.ceiling+1)
+func (ga *Gate) capacity(now time.Duration) int {
+	if ga.learnedLimit > 0 && now >= ga.blockedUntil {
+		// One attempt above the learned limit; a refusal sets the limit again.
+		return min(ga.cfg.Limit, ga.learnedLimit+1)
 	}
-	if ga.ceiling > 0 {
-		return min(ga.cfg.Limit, ga.ceiling)
+	if ga.learnedLimit > 0 {
+		return min(ga.cfg.Limit, ga.learnedLimit)
 	}
 	return ga.cfg.Limit
 }
 
-// Begin notes that an opening begins.
+// Begin records the start of an attempt.
 func (ga *Gate) Begin() {
 	ga.opening++
 }
 
-// Opened notes that an opening succeeded.
+// Opened records that an attempt succeeded.
 func (ga *Gate) Opened() {
 	ga.opening--
 	ga.open++
 	ga.fails = 0
-	ga.atOnce = min(ga.cfg.MostAtOnce, ga.atOnce*2)
-	if ga.ceiling > 0 && ga.open > ga.ceiling {
-		ga.ceiling = ga.open
-		if ga.ceiling >= ga.cfg.Limit {
-			ga.ceiling = 0
+	ga.maxOpening = min(ga.cfg.MaxOpening, ga.maxOpening*2)
+	if ga.learnedLimit > 0 && ga.open > ga.learnedLimit {
+		ga.learnedLimit = ga.open
+		if ga.learnedLimit >= ga.cfg.Limit {
+			ga.learnedLimit = 0
 		}
 	}
 }
 
-// Failed notes that an opening failed.
+// Failed records that an attempt failed.
 func (ga *Gate) Failed(now time.Duration, fa Fault) {
 	ga.opening--
-	ga.atOnce = 1
-	wait := min(ga.cfg.MostWait, ga.cfg.LeastWait<<min(ga.fails, 16))
+	ga.maxOpening = 1
+	wait := min(ga.cfg.MaxWait, ga.cfg.MinWait<<min(ga.fails, 16))
 	ga.fails++
-	ga.notYet = now + ga.jitter(wait)
+	ga.blockedUntil = now + ga.jitter(wait)
 	if fa == FaultRefused {
-		ga.ceiling = ga.open
+		ga.learnedLimit = ga.open
 	}
 }
 
-// Closed notes that an open connection was closed.
+// Closed records that an open connection was closed.
 func (ga *Gate) Closed() {
 	ga.open--
 	if ga.open == 0 {
-		// Nothing vouches for the server any more: ramp up anew.
-		ga.atOnce = 1
+		// No open connection shows any more that the server works: start again with one attempt.
+		ga.maxOpening = 1
 	}
 }
 
-// Used notes how many connections are in use.
+// Used records how many connections are in use.
 func (ga *Gate) Used(now time.Duration, n int) {
-	if now-ga.turn >= ga.cfg.Memory {
-		ga.before, ga.peak, ga.turn = ga.peak, 0, now
+	if now-ga.windowStart >= ga.cfg.PeakWindow {
+		ga.prevPeak, ga.peak, ga.windowStart = ga.peak, 0, now
 	}
 	ga.peak = max(ga.peak, n)
 }
 
-// Want is the number of connections to keep open: the floor, or one more than
-// were in use lately.
+// Want returns the number of connections to keep open: the floor or, if greater, one more than were
+// recently in use, within the limit.
 func (ga *Gate) Want() int {
 	want := ga.cfg.Floor
-	if peak := max(ga.peak, ga.before); peak > 0 {
+	if peak := max(ga.peak, ga.prevPeak); peak > 0 {
 		want = max(want, peak+1)
 	}
 	return min(want, ga.cfg.Limit)
 }
 
-// Fill tells whether to open a connection that no request waits for, at the
-// pace set. If it says yes, the next may follow only after a jittered pause.
+// Fill reports whether to open a connection for which no request waits. If it returns true, it
+// does so again only after FillInterval, with jitter.
 func (ga *Gate) Fill(now time.Duration) bool {
-	if ga.open+ga.opening >= ga.Want() || now < ga.next || !ga.MayOpen(now) {
+	if ga.open+ga.opening >= ga.Want() || now < ga.nextFill || !ga.MayOpen(now) {
 		return false
 	}
-	ga.next = now + ga.jitter(ga.cfg.Pace)
+	ga.nextFill = now + ga.jitter(ga.cfg.FillInterval)
 	return true
 }
 
-// jitter spreads a wait over half to one and a half times its length.
+// jitter returns a random time between half of d and one and a half of it.
 func (ga *Gate) jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(ga.cfg.Rand.Int64N(int64(d)+1))
 }
--- a/core/warm/warm_test.go
+++ b/core/warm/warm_test.go
@@ -17,7 +17,7 @@
 	return warm.New(warm.Config{Limit: limit, Floor: floor, Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
-// openAll begins every opening allowed now and tells how many there were.
+// openAll begins all attempts that are allowed now and returns their number.
 func openAll(ga *warm.Gate, now time.Duration) int {
 	n := 0
 	for ga.MayOpen(now) {
@@ -27,8 +27,8 @@
 	return n
 }
 
-// A cold start: openings under way double with each that succeeds, up to four.
-func TestRamp(t *testing.T) {
+// In a cold start, the number of concurrent attempts doubles with each success, up to four.
+func TestConcurrentAttemptsDouble(t *testing.T) {
 	is := is.New(t)
 	ga := newGate(30, 1)
 	got := []int{}
@@ -42,8 +42,8 @@
 	is.Equal(got, []int{1, 2, 4, 4})
 }
 
-// The server is down: requests keep asking, and the gate lets ever fewer
-// openings through, one at a time.
+// Guards against a retry loop while the server is down and requests keep asking for connections: the
+// gate must allow one attempt at a time, and fewer and fewer of them.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	ga := newGate(30, 1)
@@ -54,24 +54,23 @@
 			ga.Failed(now, warm.FaultDial)
 		}
 	}
-	// Two-second waits, half to one and a half times as long, after the first
-	// few: 60 s hold at most 60 of them.
+	// After the first few, the waits are two seconds, times half to one and a half, so that at
+	// most 60 attempts fit into 60 s.
 	is.True(tries < 70)
 	is.True(tries > 20)
 }
 
-// The server takes ten connections in all and others hold seven: the gate stops
-// at three, tries one more now and then, and has the limit back once it is
-// raised.
-func TestRefusalSetsCeiling(t *testing.T) {
+// The server accepts ten connections in all, of which other VMs hold seven. The gate must stop at
+// three, try one more now and then, and reach its limit once the server accepts more.
+func TestRefusalSetsLearnedLimit(t *testing.T) {
 	is := is.New(t)
 	ga := newGate(30, 30)
-	room := 3
+	capacity := 3
 	refused := 0
 	run := func(from, until time.Duration) {
 		for now := from; now < until; now += ms {
 			for range openAll(ga, now) {
-				if ga.Open() < room {
+				if ga.Open() < capacity {
 					ga.Opened()
 					continue
 				}
@@ -83,7 +82,7 @@
 	run(0, 30*time.Second)
 	is.Equal(ga.Open(), 3)
 	is.True(refused < 40)
-	room = 30
+	capacity = 30
 	run(30*time.Second, 40*time.Second)
 	is.Equal(ga.Open(), 30)
 }
@@ -102,8 +101,8 @@
 	is.Equal(ga.Want(), 1)
 }
 
-// Whatever comes, connections open and under way stay within the limit in force
-// when each was begun, and no more than four are under way.
+// Whatever the order of events, no attempt may begin at or above the current limit, and no more than
+// four may be in progress.
 func TestNeverOverLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(rapid.IntRange(0, 10).Draw(rt, "limit"), 3)
@@ -128,8 +127,8 @@
 			case 5:
 				ga.SetLimit(rapid.IntRange(0, 10).Draw(rt, "limit"))
 			}
-			if before := ga.Open() + ga.Opening(); before >= ga.Limit() && ga.MayOpen(now) {
-				rt.Fatalf("one more over the limit %d with %d", ga.Limit(), before)
+			if total := ga.Open() + ga.Opening(); total >= ga.Limit() && ga.MayOpen(now) {
+				rt.Fatalf("one more over the limit %d with %d", ga.Limit(), total)
 			}
 			if ga.Opening() > warm.DefaultMostAtOnce {
 				rt.Fatalf("%d openings at once", ga.Opening())
