--- a/core/feed/absence_test.go
+++ b/core/feed/absence_test.go
@@ -14,7 +14,7 @@
 // old data from each other, which seems a few milliseconds younger after each network delay.
 // If the outage goes unnoticed, all servers count as gone when the store is back, and
 // requests fail until the entries are written again.
-func TestOutageDetection(t *testing.T) {
+func TestAbsence(t *testing.T) {
 	const (
 		ms = time.Millisecond
 		s  = time.Second
--- a/core/feed/boot_test.go
+++ b/core/feed/boot_test.go
@@ -129,7 +129,7 @@
 	return bf
 }
 
-// begin starts a VM's boot.
+// start starts a VM's boot.
 func (vm *bootVM) start(seeds []string, seed uint64, i int) {
 	link := float64(smallLink)
 	if vm.large {
--- a/core/feed/guide.go
+++ b/core/feed/guide.go
@@ -132,8 +132,9 @@
 	// lackingSince is since when.
 	lacking      bool
 	lackingSince time.Duration
-	retryAt      time.Duration
-	storeFails   int
+	// retryAt is the earliest time of the next call to the store after failures.
+	retryAt    time.Duration
+	storeFails int
 	// urgentAt is the earliest time of the next urgent call to the store, see UrgentAfter.
 	urgentAt time.Duration
 	// unresponsive is set if the VM asked last did not answer.
@@ -170,14 +171,14 @@
 	gu.remote, gu.higherFirsts = nil, nil
 	gu.firsts = map[string]bool{gu.local[0].Addr: true}
 	var rest []rank.VM
-	passedOwn := false
+	ownSeen := false
 	for _, dc := range dataCentreOrder(byDC) {
 		if dc == self.DataCentre {
-			passedOwn = true
+			ownSeen = true
 			continue
 		}
 		vms := rank.Order(byDC[dc], watchSalt)
-		if !passedOwn {
+		if !ownSeen {
 			gu.higherFirsts = append(gu.higherFirsts, vms[0])
 		}
 		gu.remote = append(gu.remote, vms[0])
@@ -205,8 +206,8 @@
 	if gu.urgent(now, age) {
 		return Step{From: FromStore}
 	}
-	if hint := gu.takeSuggested(); hint != "" && age > StaleAfter {
-		return Step{From: FromPeer, Addr: hint}
+	if suggested := gu.takeSuggested(); suggested != "" && age > StaleAfter {
+		return Step{From: FromPeer, Addr: suggested}
 	}
 	leader := gu.leader(now)
 	if leader == "" {
--- a/core/feed/guide_test.go
+++ b/core/feed/guide_test.go
@@ -237,7 +237,7 @@
 // Guards against waiting for one unpowered VM after another. All VMs but two of the last ones
 // in the order lose power at once and don't answer. A server that leaves then must get no new
 // requests after 3 s from the two that remain.
-func TestManyVMsLosePower(t *testing.T) {
+func TestManyLosePower(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(8)
 	fl.run(5 * time.Second)
@@ -385,7 +385,7 @@
 // first; the VM that normally watches is still in its retry wait, and the VMs ask each other
 // for data that none of them receives. A change in the second second after the recovery must
 // reach all VMs as fast as in normal operation.
-func TestReplicationResumesSoonAfterAnOutage(t *testing.T) {
+func TestNewsFlowsSoonAfterTheReturn(t *testing.T) {
 	is := is.New(t)
 	var worst time.Duration
 	for phase := range 30 {
@@ -409,7 +409,7 @@
 // there. When the first one's data counted as its own, both followed each other, and no VM
 // asked the store until the data of all was stale: a server that left meanwhile still got
 // requests after 3 s.
-func TestNoVMFollowsItsOwnData(t *testing.T) {
+func TestNobodyFollowsItsOwnNews(t *testing.T) {
 	is := is.New(t)
 	for _, vmsPerDC := range []int{3, 9} {
 		fl := newFleet(vmsPerDC)
--- a/core/feed/search.go
+++ b/core/feed/search.go
@@ -29,9 +29,9 @@
 
 // takeSuggested returns the suggested VM and clears it.
 func (gu *Guide) takeSuggested() string {
-	hint := gu.suggested
+	addr := gu.suggested
 	gu.suggested = ""
-	return hint
+	return addr
 }
 
 // searchStep asks a VM of another data centre, or one of this data centre with a lower rank.
