--- a/core/enlist/book.go
+++ b/core/enlist/book.go
@@ -1,29 +1,30 @@
 package enlist
 
-// TxnMost is how many entries one transaction may change, as the platform's store allows.
+// TxnMost is the largest number of entries that one transaction may change, a limit of the
+// platform's store.
 const TxnMost = 32
 
-// Entry is what a VM has written of itself.
+// Entry is the entry by which a VM registers itself in the store.
 type Entry struct {
 	Key        string
 	Value      []byte
 	DataCentre string
 }
 
-// Leased is an entry with the lease that it goes with.
+// Leased is an entry together with the lease that it is bound to.
 type Leased struct {
 	Entry
 	Lease uint64
 }
 
-// Book collects entries that are to be written together. It is not safe for concurrent
+// Book collects entries that are written to the store together. It is not safe for concurrent
 // use.
 type Book struct {
 	entries []Entry
 }
 
-// Add puts an entry beside the others. One of the same key takes the place of the
-// former: a caller that got no answer asks again.
+// Add adds an entry. It replaces a pending entry of the same key, which comes from a caller
+// that got no answer and asks again.
 func (bk *Book) Add(en Entry) {
 	for i := range bk.entries {
 		if bk.entries[i].Key == en.Key {
@@ -34,7 +35,7 @@
 	bk.entries = append(bk.entries, en)
 }
 
-// Drop takes an entry out that nobody waits for any more.
+// Drop removes a pending entry that no caller waits for any more.
 func (bk *Book) Drop(key string) {
 	for i := range bk.entries {
 		if bk.entries[i].Key == key {
@@ -44,10 +45,10 @@
 	}
 }
 
-// Transactions is how many times Take has entries.
+// Transactions returns how many transactions the pending entries take.
 func (bk *Book) Transactions() int { return (len(bk.entries) + TxnMost - 1) / TxnMost }
 
-// Take removes the entries of the next transaction, the oldest first.
+// Take removes and returns the entries of the next transaction, oldest first.
 func (bk *Book) Take() []Entry {
 	n := min(len(bk.entries), TxnMost)
 	taken := bk.entries[:n:n]
--- a/core/enlist/enlist_test.go
+++ b/core/enlist/enlist_test.go
@@ -11,48 +11,48 @@
 	"laburnumvane/core/enlist"
 )
 
-// Nobody is told who renews a lease, and it must not end while VMs live that share it.
-// VMs of one data centre draw each third of its time, none at the same moment, for an
-// hour; what the store is asked does not grow with their number.
+// Guards against a shared lease that expires while VMs hold it. No VM is assigned to renew it;
+// VMs of one data centre draw lots once per round, at different moments, here for an hour. The
+// number of calls to the store must not grow with the number of VMs.
 func TestSharedLeaseIsKept(t *testing.T) {
 	const (
 		leaseTime = 30 * time.Second
 		round     = leaseTime / enlist.Rounds
-		lasts     = time.Hour
+		duration  = time.Hour
 	)
 	cases := []struct {
 		name    string
 		sharing int
-		// most is how often it may be renewed in each round, on average.
+		// most bounds the average number of renewals in a round.
 		most float64
 	}{
-		{"alone", 1, 1},
-		{"three", 3, 3},
-		{"28 of 195", 28, 4.5},
-		{"331 of 4,300", 331, 4.5},
+		{"one VM", 1, 1},
+		{"three VMs", 3, 3},
+		{"28 VMs of 195", 28, 4.5},
+		{"331 VMs of 4,300", 331, 4.5},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			rd := rand.New(rand.NewPCG(uint64(tc.sharing), 1))
-			renewals, last := 0, time.Duration(0)
-			for at := time.Duration(0); at < lasts; at += round {
+			rnd := rand.New(rand.NewPCG(uint64(tc.sharing), 1))
+			renewals, lastRenewal := 0, time.Duration(0)
+			for at := time.Duration(0); at < duration; at += round {
 				for vm := range tc.sharing {
 					now := at + round*time.Duration(vm)/time.Duration(tc.sharing)
-					if rd.Float64() >= enlist.RenewChance(tc.sharing) {
+					if rnd.Float64() >= enlist.RenewChance(tc.sharing) {
 						continue
 					}
-					is.True(now-last < leaseTime)
-					renewals, last = renewals+1, now
+					is.True(now-lastRenewal < leaseTime)
+					renewals, lastRenewal = renewals+1, now
 				}
 			}
-			is.True(float64(renewals) <= tc.most*float64(lasts/round))
+			is.True(float64(renewals) <= tc.most*float64(duration/round))
 		})
 	}
 }
 
-func TestRenewChanceOfNobody(t *testing.T) {
-	is.New(t).Equal(enlist.RenewChance(0), 1.0) // this VM's entry is not in the copy yet
+func TestRenewChanceWithoutEntries(t *testing.T) {
+	is.New(t).Equal(enlist.RenewChance(0), 1.0) // this VM's own entry is not in its copy yet
 }
 
 func TestLeaseOf(t *testing.T) {
@@ -61,12 +61,12 @@
 		leases []uint64
 		want   uint64
 	}{
-		{"none", nil, 0},
-		{"none is known", []uint64{0, 0}, 0},
-		{"one", []uint64{7, 7, 0}, 7},
-		{"that of most", []uint64{7, 7, 9}, 7},
-		{"the newest of equal ones", []uint64{7, 9}, 9},
-		{"not that of the unknown", []uint64{0, 0, 0, 5}, 5},
+		{"no leases", nil, 0},
+		{"all unknown", []uint64{0, 0}, 0},
+		{"one known", []uint64{7, 7, 0}, 7},
+		{"most frequent", []uint64{7, 7, 9}, 7},
+		{"newest of equally frequent", []uint64{7, 9}, 9},
+		{"unknown ones not counted", []uint64{0, 0, 0, 5}, 5},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -92,12 +92,13 @@
 	is.Equal(len(second), 2)
 	is.Equal(len(bk.Take()), 0)
 	bk.Add(enlist.Entry{Key: "later"})
-	is.Equal(first[0].Key, "1") // what was taken stays as it was
+	is.Equal(first[0].Key, "1") // entries returned by Take don't change later
 	is.Equal(second[1].Key, fmt.Sprint(enlist.TxnMost+2))
 }
 
-// The VMs of a data centre share a lease, so the entry of a dead one has to be taken
-// away; and none may be taken from a VM that lives, whatever this one does not see.
+// Guards against wrong removals. The VMs of a data centre share a lease, so the entry of a dead
+// VM has to be removed by another one, and the entry of a live VM must stay even if this VM has
+// no contact with it.
 func TestSilent(t *testing.T) {
 	const leaseTime = 30 * time.Second
 	leads := enlist.Sight{Now: time.Minute, LeaseTime: leaseTime, Leads: true, Since: 10 * time.Second, Fresh: true}
@@ -115,13 +116,13 @@
 		others []enlist.Other
 		want   []string
 	}{
-		{"one died", leads, []enlist.Other{live, dead}, []string{"dead"}},
-		{"one never asked", leads, []enlist.Other{live, never}, []string{"never"}},
-		{"this VM leads only since now", with(func(si *enlist.Sight) { si.Since = 55 * time.Second }), []enlist.Other{live, dead}, nil},
-		{"others follow another VM", with(func(si *enlist.Sight) { si.Leads = false }), []enlist.Other{live, dead}, nil},
-		{"the store is away", with(func(si *enlist.Sight) { si.Fresh = false }), []enlist.Other{live, dead}, nil},
-		{"this VM is cut off from all others", leads, []enlist.Other{dead}, nil},
-		{"all others are gone for good", with(func(si *enlist.Sight) { si.Now = 2 * time.Minute }), []enlist.Other{dead}, []string{"dead"}},
+		{"one VM died", leads, []enlist.Other{live, dead}, []string{"dead"}},
+		{"one VM never asked", leads, []enlist.Other{live, never}, []string{"never"}},
+		{"this VM was followed only recently", with(func(si *enlist.Sight) { si.Since = 55 * time.Second }), []enlist.Other{live, dead}, nil},
+		{"the VMs follow another VM", with(func(si *enlist.Sight) { si.Leads = false }), []enlist.Other{live, dead}, nil},
+		{"store outage", with(func(si *enlist.Sight) { si.Fresh = false }), []enlist.Other{live, dead}, nil},
+		{"no contact with any VM", leads, []enlist.Other{dead}, nil},
+		{"no contact with any VM for the lease time", with(func(si *enlist.Sight) { si.Now = 2 * time.Minute }), []enlist.Other{dead}, []string{"dead"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -134,7 +135,7 @@
 	}
 }
 
-func TestSilentFitATransaction(t *testing.T) {
+func TestSilentFitsOneTransaction(t *testing.T) {
 	others := make([]enlist.Other, 2*enlist.TxnMost)
 	si := enlist.Sight{Now: time.Hour, LeaseTime: time.Second, Leads: true, Fresh: true}
 	is.New(t).Equal(len(enlist.Silent(si, others)), enlist.TxnMost)
--- a/core/enlist/lease.go
+++ b/core/enlist/lease.go
@@ -1,23 +1,24 @@
 package enlist
 
-// Rounds is how many times a lease is due for renewal within its time: two calls may fail
-// before it ends.
+// Rounds is the number of renewal rounds within the time of a lease: two renewals may fail
+// before the lease expires.
 const Rounds = 3
 
-// renewers is how many VMs renew a lease in each round, on average, where more share
-// it. They draw for it, so that nothing is agreed and no VM's loss matters; that nobody
-// renews in three rounds has a chance of e^-12, six in a million, and costs no more
-// than entries which are written anew.
+// renewers is the average number of VMs that renew a lease in each round, if more VMs than that
+// share it. They draw lots, so that no agreement is needed and the loss of one VM does not
+// matter. The chance that no VM renews in three rounds is e^-12, six in a million; then the
+// entries are written again, which costs no more.
 const renewers = 4
 
-// RenewChance is the chance with which each of the VMs that share a lease renews it in a
-// round.
+// RenewChance returns the probability with which each of the VMs that share a lease renews it
+// in a round.
 func RenewChance(sharing int) float64 {
 	return min(1, renewers/float64(max(1, sharing)))
 }
 
-// LeaseOf is the lease that an entry of a data centre is written under: the one that
-// most of its entries have, the newest of several. It is 0 if there is none.
+// LeaseOf returns the lease under which a new entry of a data centre is written, given the
+// leases of the existing ones: the most frequent lease, or the newest of equally frequent ones.
+// It returns 0 if there is none.
 func LeaseOf(leases []uint64) uint64 {
 	count := make(map[uint64]int, 1)
 	best := uint64(0)
--- a/core/enlist/silent.go
+++ b/core/enlist/silent.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Sight is what one VM sees of others of its data centre.
+// Sight is what one VM knows about the other VMs of its data centre.
 type Sight struct {
 	Now time.Duration
-	// LeaseTime is how long an entry would outlive its VM under a lease of its own.
+	// LeaseTime is how long an entry with a lease of its own would outlive its VM.
 	LeaseTime time.Duration
-	// Leads is set while this VM is the one that the others follow, and Since when that
-	// began: nobody asked it before.
+	// Leads is set while the others follow this VM. Since is when that began; before, no VM
+	// asked this one.
 	Leads bool
 	Since time.Duration
-	// Fresh is set if the store was heard lately: while it is away, no entry can be
-	// taken away.
+	// Fresh is set if the store was contacted recently: during an outage of the store, no
+	// entry can be removed.
 	Fresh bool
 }
 
@@ -21,29 +21,29 @@
 	Key      string
 	Addr     string
 	Revision uint64
-	// Heard is when it last asked this VM, or answered it; 0 if it never did.
+	// Heard is when the VM last asked this one or answered it; 0 if it never did.
 	Heard time.Duration
 }
 
-// Silent lists the VMs whose entries may have to be taken away: those that follow this
-// VM ask it about once a second. Whoever uses it asks them for a sign of life first,
-// since a VM may follow another one for good reasons.
+// Silent returns the VMs that are probably dead, so that their entries may have to be removed:
+// VMs that follow this one ask it about once a second. The caller probes these VMs first, since
+// a live VM may have a good reason to follow another one.
 //
-// Where not one of the others was heard, this VM is more likely cut off from them than
-// they are all dead, and it waits as long as a lease of their own would last.
+// If there was no recent contact with any of the others, this VM is more likely cut off than all
+// of them are dead, so it waits as long as leases of their own would last.
 func Silent(si Sight, others []Other) []Other {
 	if !si.Leads || !si.Fresh {
 		return nil
 	}
-	patience := si.LeaseTime
+	silenceLimit := si.LeaseTime
 	for _, ot := range others {
 		if ot.Heard > 0 && si.Now-ot.Heard < si.LeaseTime/Rounds {
-			patience = si.LeaseTime / Rounds
+			silenceLimit = si.LeaseTime / Rounds
 		}
 	}
 	var silent []Other
 	for _, ot := range others {
-		if si.Now-max(si.Since, ot.Heard) >= patience {
+		if si.Now-max(si.Since, ot.Heard) >= silenceLimit {
 			silent = append(silent, ot)
 		}
 	}
