--- a/core/feed/boot.go
+++ b/core/feed/boot.go
@@ -14,11 +14,11 @@
 	// copy answers within two round trips plus the opening of a connection.
 	firstStartDelay = 1200 * time.Millisecond
 	restartDelay    = 40 * time.Millisecond
-	// seedWaitMax and seedWaitMin bound the wait for one seed. A seed that lost power
+	// maxSeedWait and minSeedWait bound the wait for one seed. A seed that lost power
 	// together with this VM never answers, and no other peer is asked meanwhile; sending a
 	// copy takes about 40 ms on a small VM's link.
-	seedWaitMax = 150 * time.Millisecond
-	seedWaitMin = 40 * time.Millisecond
+	maxSeedWait = 150 * time.Millisecond
+	minSeedWait = 40 * time.Millisecond
 	// storeDeferMax bounds how long reading the store is deferred while other booting VMs
 	// are about to have a copy. Without it, a fleet of 195 VMs that lost power would read
 	// the store 195 times at once, which occupies its link for half a second. One VM in
@@ -34,11 +34,11 @@
 	slowLinkMbps  = 100.0
 	listDeferMax  = 300 * time.Millisecond
 	readerWaitMax = 60 * time.Millisecond
-	// seedPause is the wait between two calls to peers. storeRetryMin is the wait before
-	// the store is asked again; it doubles up to storeRetryMax.
+	// seedPause is the wait between two calls to peers. minStoreRetry is the wait before
+	// the store is asked again; it doubles up to maxStoreRetry.
 	seedPause     = 30 * time.Millisecond
-	storeRetryMin = 200 * time.Millisecond
-	storeRetryMax = 1500 * time.Millisecond
+	minStoreRetry = 200 * time.Millisecond
+	maxStoreRetry = 1500 * time.Millisecond
 )
 
 // BootConfig configures a Boot.
@@ -76,7 +76,7 @@
 
 // NewBoot returns a boot that begins at cfg.Now.
 func NewBoot(cfg BootConfig) *Boot {
-	bo := &Boot{cfg: cfg, peers: slices.Clone(cfg.Seeds), storeRetry: storeRetryMin, peerAt: cfg.Now}
+	bo := &Boot{cfg: cfg, peers: slices.Clone(cfg.Seeds), storeRetry: minStoreRetry, peerAt: cfg.Now}
 	bo.storeAt = cfg.Now + bo.seedOnlyTime()
 	return bo
 }
@@ -110,7 +110,7 @@
 	}
 	if now >= bo.storeAt {
 		bo.storeAt = now + bo.storeRetry
-		bo.storeRetry = min(2*bo.storeRetry, storeRetryMax)
+		bo.storeRetry = min(2*bo.storeRetry, maxStoreRetry)
 		return Step{From: FromStore}
 	}
 	if now < bo.peerAt {
@@ -121,11 +121,11 @@
 		bo.peerAt = now + seedPause
 		return bo.Next(now)
 	}
-	most := seedWaitMax
+	most := maxSeedWait
 	if bo.haveReaders {
 		most = readerWaitMax
 	}
-	return Step{From: FromPeer, Addr: addr, Wait: min(max(bo.storeAt-now, seedWaitMin), most)}
+	return Step{From: FromPeer, Addr: addr, Wait: min(max(bo.storeAt-now, minSeedWait), most)}
 }
 
 // Listed records which VMs of this data centre read the store for the others, see Readers,
@@ -161,7 +161,7 @@
 
 // deferStore defers the first call to the store; later calls of deferStore have no effect.
 func (bo *Boot) deferStore() {
-	if bo.deferred || bo.storeRetry != storeRetryMin || bo.isSeed() {
+	if bo.deferred || bo.storeRetry != minStoreRetry || bo.isSeed() {
 		return
 	}
 	bo.deferred = true
--- a/core/feed/guide.go
+++ b/core/feed/guide.go
@@ -24,10 +24,10 @@
 	// watches the store contacts it at least once per watch, whose wait is 1 s; the rest
 	// allows for a slow answer.
 	StaleAfter = 1800 * time.Millisecond
-	// storeBackoffMin and storeBackoffMax bound the wait before the store is asked again
+	// minStoreBackoff and maxStoreBackoff bound the wait before the store is asked again
 	// after a failure; the wait doubles in between.
-	storeBackoffMin = 300 * time.Millisecond
-	storeBackoffMax = 1500 * time.Millisecond
+	minStoreBackoff = 300 * time.Millisecond
+	maxStoreBackoff = 1500 * time.Millisecond
 	// backoffScaleMax bounds the factor by which that wait is longer for a VM of a lower
 	// rank. With that factor, the calls of all VMs of a data centre together grow with the
 	// logarithm of their number.
@@ -304,7 +304,7 @@
 		return
 	}
 	gu.storeFails++
-	bo := retry.Backoff{First: storeBackoffMin, Most: storeBackoffMax, Jitter: jitter}
+	bo := retry.Backoff{First: minStoreBackoff, Most: maxStoreBackoff, Jitter: jitter}
 	// Bounds the sum: all VMs of a data centre ask little more often than a few would.
 	scale := min(1+gu.before, backoffScaleMax)
 	gu.retryAt = now + time.Duration(scale)*bo.Wait(gu.storeFails, gu.cfg.Rand.Float64())
--- a/core/feed/search.go
+++ b/core/feed/search.go
@@ -9,12 +9,12 @@
 
 // Delays of a search for fresh data, when the preferred sources have none.
 const (
-	// searchWaitMin is the wait before the next VM is asked after one had stale data. It doubles up to
+	// minSearchWait is the wait before the next VM is asked after one had stale data. It doubles up to
 	// searchWaitLocal within the data centre and to searchWaitRemote beyond it, where
 	// traffic is paid for. The search ends once a VM has fresh data. If the store serves
 	// some VMs, fresh data still spreads from them within a second or two. If it serves
 	// none, a search without these waits made each of 78 VMs send 58 calls a second.
-	searchWaitMin    = 5 * time.Millisecond
+	minSearchWait    = 5 * time.Millisecond
 	searchWaitLocal  = 80 * time.Millisecond
 	searchWaitRemote = 400 * time.Millisecond
 )
@@ -74,8 +74,8 @@
 func (gu *Guide) noteStale(now time.Duration) {
 	gu.staleInRow++
 	draw := gu.cfg.Rand.Float64()
-	near := retry.Backoff{First: searchWaitMin, Most: searchWaitLocal, Jitter: jitter}
-	far := retry.Backoff{First: searchWaitMin, Most: searchWaitRemote, Jitter: jitter}
+	near := retry.Backoff{First: minSearchWait, Most: searchWaitLocal, Jitter: jitter}
+	far := retry.Backoff{First: minSearchWait, Most: searchWaitRemote, Jitter: jitter}
 	gu.localAt = now + near.Wait(gu.staleInRow, draw)
 	gu.remoteAt = now + far.Wait(gu.staleInRow, draw)
 }
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -27,10 +27,10 @@
 	// slowPace is the Pace from which on a server counts as slow.
 	slowPace = 1.5
 	// A reported slowdown is assumed to last for as long as it has lasted already, within
-	// paceDecayMin and paceDecayMax: bursts of neighbouring load end within some tens of
+	// minPaceDecay and maxPaceDecay: bursts of neighbouring load end within some tens of
 	// milliseconds, while faults last for seconds.
-	paceDecayMin = 15 * time.Millisecond
-	paceDecayMax = 4 * time.Second
+	minPaceDecay = 15 * time.Millisecond
+	maxPaceDecay = 4 * time.Second
 	// queueDecay is the decay time of a reported queue length: the duration of a few requests.
 	queueDecay = 50 * time.Millisecond
 )
@@ -61,7 +61,7 @@
 	if lr.load.Pace <= 1 {
 		return 1
 	}
-	decayTime := min(max(lr.at-lr.slowSince, paceDecayMin), paceDecayMax)
+	decayTime := min(max(lr.at-lr.slowSince, minPaceDecay), maxPaceDecay)
 	return 1 + (lr.load.Pace-1)*decay(now-lr.at, decayTime)
 }
 
--- a/core/steer/stats.go
+++ b/core/steer/stats.go
@@ -61,7 +61,7 @@
 		return 0
 	}
 	silentFor := float64(now - st.silentSince)
-	if silentFor < max(silentRatio*float64(st.longestUsual)*st.currentSlowdown(now), float64(silentMin)) {
+	if silentFor < max(silentRatio*float64(st.longestUsual)*st.currentSlowdown(now), float64(minSilence)) {
 		return 0
 	}
 	return silentFor
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -15,19 +15,19 @@
 	// queueShare is the share of a server's latency that each request in flight adds. It is below
 	// 1 since a server runs several requests concurrently.
 	queueShare = 0.5
-	// remoteCostRatio (as a share of the usual latency) and remoteCostMin are the extra cost of a
+	// remoteCostRatio (as a share of the usual latency) and minRemoteCost are the extra cost of a
 	// server in another data centre. Traffic between data centres is paid for, so a local server
 	// is passed over only for a clear gain.
 	remoteCostRatio = 1.6
-	remoteCostMin   = 5 * time.Millisecond
+	minRemoteCost   = 5 * time.Millisecond
 	// joinedCostRatio is the share of that extra cost for a server whose answer is sent joined
 	// with others from its data centre: it takes a receipt instead of a request, headers and a
 	// body.
 	joinedCostRatio = 0.25
 	// A server with requests in flight counts as silent once it has not answered for silentRatio
-	// times the usual latency, and for at least silentMin.
+	// times the usual latency, and for at least minSilence.
 	silentRatio = 2.5
-	silentMin   = 15 * time.Millisecond
+	minSilence  = 15 * time.Millisecond
 	// unresponsiveAfter is how long a server may be silent before it gets no further requests
 	// until it answers: several times the length of pauses on servers.
 	unresponsiveAfter = 700 * time.Millisecond
@@ -163,7 +163,7 @@
 	usual := ki.Usual
 	cost = float64(usual)
 	if up.DataCentre != tb.cfg.DataCentre && !tb.cfg.Off.Off(toggle.Nearness) {
-		remoteCost := max(remoteCostRatio*float64(usual), float64(remoteCostMin))
+		remoteCost := max(remoteCostRatio*float64(usual), float64(minRemoteCost))
 		if up.DataCentre == ki.Joined {
 			remoteCost *= joinedCostRatio
 		}
