--- a/core/plan/doc.go
+++ b/core/plan/doc.go
@@ -1,5 +1,5 @@
-// Package plan joins what one VM needs to route requests: the routes in force,
-// the servers there are, and this VM's part of the connections to each.
+// Package plan combines what one VM needs to route requests: the routes in force, the known
+// servers, and this VM's share of the connections to each server.
 //
 // # Usage
 //
@@ -12,11 +12,11 @@
 //
 // # Connections
 //
-// A server accepts a fixed number of connections from all VMs together and
-// resets any beyond. Every VM computes the same division from its own list of
-// VMs, without asking anybody. Where there are enough, each VM gets the same
-// number. Where there are fewer than VMs, those of the server's own data centre
-// come first and the rest goes to others by rank, shifted from server to server,
-// so that each VM has a second server for most shards. An eighth is left for
-// newcomers and for VMs whose lists differ.
+// A server accepts a fixed number of connections from all VMs together and resets any beyond
+// that. Every VM computes the same division from its own list of VMs, without coordination. If
+// there are enough connections, each VM gets the same number. If there are fewer connections
+// than VMs, the VMs of the server's own data centre come first and the rest goes to other VMs by
+// rank. The ranking is rotated from server to server, so that each VM has a second server for
+// most shards. One eighth of the connections is reserved for VMs that have just started and for
+// VMs whose lists of VMs differ.
 package plan
--- a/core/plan/alone.go
+++ b/core/plan/local.go
@@ -2,8 +2,9 @@
 
 import "laburnumvane/core/route"
 
-// ServesAlone tells whether the servers of this VM's own data centre suffice for
-// the least answer of every gathered route.
+// ServesAlone reports whether the servers of this VM's own data centre suffice for the
+// minimum coverage of every route that gathers from shards. It is true while no routes are
+// known.
 func (vw *View) ServesAlone() bool {
 	if vw.cfg.Routes == nil {
 		return true
@@ -16,15 +17,16 @@
 	return true
 }
 
-// ServesNear tells whether the servers of this VM's own data centre suffice for a
-// route's least answer.
+// ServesNear reports whether the servers of this VM's own data centre suffice to answer
+// requests of a route: at least the minimum number of shards of a gather, or all services of
+// a split.
 func (vw *View) ServesNear(rt *route.Route) bool {
 	if !vw.Allows(rt, vw.cfg.Self.DataCentre) {
 		return false
 	}
 	if rt.Gather == nil {
 		for _, sh := range rt.Split {
-			if sh.Weight > 0 && !vw.hasNear(sh.Service) {
+			if sh.Weight > 0 && !vw.hasLocalServer(sh.Service) {
 				return false
 			}
 		}
@@ -32,14 +34,14 @@
 	}
 	parts := 0
 	for _, name := range rt.Gather.Shards {
-		if vw.hasNear(name) {
+		if vw.hasLocalServer(name) {
 			parts++
 		}
 	}
 	return parts >= rt.Gather.MinParts()
 }
 
-func (vw *View) hasNear(service string) bool {
+func (vw *View) hasLocalServer(service string) bool {
 	for _, up := range vw.cfg.Upstreams.Of(service) {
 		if up.DataCentre == vw.cfg.Self.DataCentre && up.Takes() {
 			return true
--- a/core/plan/alone_test.go
+++ b/core/plan/local_test.go
@@ -11,9 +11,9 @@
 	"laburnumvane/core/route"
 )
 
-// Whether a data centre that is cut off can go on answering hangs on how many of
-// the shards have a server there, and on how many an answer needs.
-func TestServesAlone(t *testing.T) {
+// Tests the decision whether a data centre that is cut off can keep answering: it depends on
+// how many shards have a server there and on how many shards an answer needs.
+func TestServesAloneByLocalShards(t *testing.T) {
 	cases := []struct {
 		name     string
 		near     int
@@ -21,10 +21,10 @@
 		coverage float64
 		alone    bool
 	}{
-		{"all shards", 10, false, 1, true},
-		{"one without", 9, false, 0.89, true},
-		{"two without", 8, false, 0.89, false},
-		{"all leaving", 10, true, 0.1, false},
+		{"local servers of all shards", 10, false, 1, true},
+		{"one shard without a local server", 9, false, 0.89, true},
+		{"two shards without a local server", 8, false, 0.89, false},
+		{"all local servers leaving", 10, true, 0.1, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/core/plan/owners_test.go
+++ b/core/plan/owners_test.go
@@ -11,9 +11,9 @@
 	"laburnumvane/core/route"
 )
 
-// Arrivals of a request meet at one VM, whichever they came to. If they met at several, each
-// would try the request at a server of its own.
-func TestOwnerIsTheSameEverywhere(t *testing.T) {
+// All repeats of a request must reach the same VM, whichever VM they arrive at. With several
+// owners, each would try the request at a different server.
+func TestAllVMsAgreeOnOwner(t *testing.T) {
 	is := is.New(t)
 	var fleet []rank.VM
 	for i := range 9 {
@@ -26,27 +26,27 @@
 		owner := ""
 		for _, self := range fleet {
 			vw := plan.New(plan.Config{Self: self}).WithFleet(fleet, nil)
-			at := self.Addr
+			ownerAddr := self.Addr
 			owners := vw.Owners(rt, key, 2)
 			if len(owners) > 0 {
-				at = owners[0].Addr
+				ownerAddr = owners[0].Addr
 			}
 			is.True(len(owners) <= 2)
 			if owner == "" {
-				owner = at
+				owner = ownerAddr
 			}
-			is.Equal(at, owner)
+			is.Equal(ownerAddr, owner)
 		}
 		owned[owner]++
 	}
 	for _, vm := range fleet {
-		is.True(owned[vm.Addr] > keys/len(fleet)/2) // none has most of them
+		is.True(owned[vm.Addr] > keys/len(fleet)/2) // none owns less than half of its fair share
 	}
 }
 
-// Of an uneven fleet the large VMs own requests: a small one needs tens of milliseconds for a
+// In an uneven fleet only large VMs own requests: a small VM needs tens of milliseconds for a
 // gather.
-func TestOwnersAreLarge(t *testing.T) {
+func TestOwnersAreLargeVMs(t *testing.T) {
 	is := is.New(t)
 	capacity := map[string]float64{}
 	var fleet []rank.VM
--- a/core/plan/plan_test.go
+++ b/core/plan/plan_test.go
@@ -12,18 +12,18 @@
 	"laburnumvane/core/route"
 )
 
-const connections = 71
+const serverConnections = 71
 
-// site is a fleet over shards with one server in each of three data centres.
-type site struct {
+// testFleet is a fleet of VMs, and shards with one server in each of three data centres.
+type testFleet struct {
 	vms      []rank.VM
 	capacity map[string]float64
 	dir      *origin.Directory
 	routes   *route.Table
 }
 
-func newSite(shards int, sizes map[string][]float64) site {
-	si := site{capacity: map[string]float64{}}
+func newTestFleet(shards int, sizes map[string][]float64) testFleet {
+	si := testFleet{capacity: map[string]float64{}}
 	for place, capacities := range sizes {
 		for i, capacity := range capacities {
 			vm := rank.VM{Addr: fmt.Sprintf("%s-%d", place, i), DataCentre: place}
@@ -37,7 +37,7 @@
 	for s := range shards {
 		name := fmt.Sprintf("s%d", s)
 		names = append(names, name)
-		cfg.Services = append(cfg.Services, route.Service{Name: name, MaxConnections: connections})
+		cfg.Services = append(cfg.Services, route.Service{Name: name, MaxConnections: serverConnections})
 		for _, place := range []string{"a", "b", "c"} {
 			ups = append(ups, &origin.Upstream{ID: name + place, Service: name, DataCentre: place})
 		}
@@ -52,11 +52,11 @@
 	return si
 }
 
-func (si site) view(self rank.VM) *plan.View {
+func (si testFleet) view(self rank.VM) *plan.View {
 	return plan.New(plan.Config{Routes: si.routes, Upstreams: si.dir, Self: self, Fleet: si.vms, Capacity: si.capacity})
 }
 
-func same(n int, capacity float64) []float64 {
+func capacities(n int, capacity float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
 		out[i] = capacity
@@ -64,27 +64,27 @@
 	return out
 }
 
-func mixed(large, small int) []float64 {
-	return append(same(large, 0.8), same(small, 0.2)...)
+func largeAndSmall(large, small int) []float64 {
+	return append(capacities(large, 0.8), capacities(small, 0.2)...)
 }
 
-// All VMs divide a server's connections without asking each other. Together they
-// must not open more than it accepts, or requests would end with resets, and each
-// VM must reach two servers of nearly every shard.
-func TestConnectionsOfAllVMs(t *testing.T) {
+// All VMs divide a server's connections without coordination. Together they must not open
+// more than the server accepts, or it resets some and requests fail. Nearly every VM must
+// also have two servers for nearly every shard.
+func TestFleetStaysWithinServerConnections(t *testing.T) {
 	cases := []struct {
 		name  string
 		sizes map[string][]float64
 	}{
-		{"few VMs", map[string][]float64{"a": same(3, 0.4), "b": same(3, 0.4), "c": same(3, 0.4)}},
-		{"more VMs than connections", map[string][]float64{"a": same(26, 0.2), "b": same(30, 0.2), "c": same(22, 0.2)}},
-		{"VMs beside no server", map[string][]float64{"a": same(20, 0.2), "b": same(20, 0.2), "c": same(20, 0.2), "d": same(20, 0.2)}},
-		{"a few large VMs", map[string][]float64{"a": mixed(2, 25), "b": mixed(2, 27), "c": mixed(2, 20)}},
+		{"few VMs", map[string][]float64{"a": capacities(3, 0.4), "b": capacities(3, 0.4), "c": capacities(3, 0.4)}},
+		{"more VMs than connections", map[string][]float64{"a": capacities(26, 0.2), "b": capacities(30, 0.2), "c": capacities(22, 0.2)}},
+		{"VMs in a data centre without servers", map[string][]float64{"a": capacities(20, 0.2), "b": capacities(20, 0.2), "c": capacities(20, 0.2), "d": capacities(20, 0.2)}},
+		{"a few large VMs", map[string][]float64{"a": largeAndSmall(2, 25), "b": largeAndSmall(2, 27), "c": largeAndSmall(2, 20)}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			si := newSite(6, tc.sizes)
+			si := newTestFleet(6, tc.sizes)
 			sum := map[string]int{}
 			reached, pairs := 0, 0
 			for _, vm := range si.vms {
@@ -103,36 +103,36 @@
 				}
 			}
 			for _, n := range sum {
-				is.True(n <= connections)
+				is.True(n <= serverConnections)
 			}
 			is.True(reached*10 >= pairs*8)
 		})
 	}
 }
 
-func TestHomes(t *testing.T) {
+func TestForwardTargets(t *testing.T) {
 	cases := []struct {
 		name string
-		// self is the first VM of the place with that capacity.
+		// self is the last VM of the data centre with that capacity.
 		place    string
 		capacity float64
 		sizes    map[string][]float64
 		route    string
 		want     []string
 	}{
-		{"equal VMs", "a", 0.4, map[string][]float64{"a": same(2, 0.4), "b": same(2, 0.4)}, "/all/", nil},
-		{"small VM", "a", 0.2, map[string][]float64{"a": mixed(1, 3), "b": mixed(1, 3)}, "/all/", []string{"a-0", "b-0"}},
-		{"large VM", "a", 0.8, map[string][]float64{"a": mixed(1, 3), "b": mixed(1, 3)}, "/all/", nil},
-		{"large VM beside no server", "d", 0.8, map[string][]float64{"a": mixed(1, 3), "d": mixed(1, 3)}, "/all/", []string{"a-0"}},
-		{"equal VM beside no server", "d", 0.4, map[string][]float64{"a": same(2, 0.4), "d": same(2, 0.4)}, "/all/", []string{"a-0", "a-1"}},
-		{"small VM, one server", "a", 0.2, map[string][]float64{"a": mixed(1, 3)}, "/one/", []string{"a-0"}},
-		{"not repeatable", "a", 0.2, map[string][]float64{"a": mixed(1, 3)}, "/once/", nil},
-		{"few VMs", "a", 0.2, map[string][]float64{"a": mixed(1, 2)}, "/all/", nil},
+		{"equal VMs", "a", 0.4, map[string][]float64{"a": capacities(2, 0.4), "b": capacities(2, 0.4)}, "/all/", nil},
+		{"small VM", "a", 0.2, map[string][]float64{"a": largeAndSmall(1, 3), "b": largeAndSmall(1, 3)}, "/all/", []string{"a-0", "b-0"}},
+		{"large VM", "a", 0.8, map[string][]float64{"a": largeAndSmall(1, 3), "b": largeAndSmall(1, 3)}, "/all/", nil},
+		{"large VM in a data centre without servers", "d", 0.8, map[string][]float64{"a": largeAndSmall(1, 3), "d": largeAndSmall(1, 3)}, "/all/", []string{"a-0"}},
+		{"equal VM in a data centre without servers", "d", 0.4, map[string][]float64{"a": capacities(2, 0.4), "d": capacities(2, 0.4)}, "/all/", []string{"a-0", "a-1"}},
+		{"small VM, single service", "a", 0.2, map[string][]float64{"a": largeAndSmall(1, 3)}, "/one/", []string{"a-0"}},
+		{"not repeatable", "a", 0.2, map[string][]float64{"a": largeAndSmall(1, 3)}, "/once/", nil},
+		{"too few VMs", "a", 0.2, map[string][]float64{"a": largeAndSmall(1, 2)}, "/all/", nil},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			si := newSite(3, tc.sizes)
+			si := newTestFleet(3, tc.sizes)
 			var self rank.VM
 			for _, vm := range si.vms {
 				if vm.DataCentre == tc.place && si.capacity[vm.Addr] == tc.capacity {
@@ -153,15 +153,14 @@
 	}
 }
 
-// The parts of what all VMs may send beyond first attempts must not add up to
-// more than there is.
-func TestExtraParts(t *testing.T) {
+// The shares of extra attempts of all VMs must not add up to more than the whole.
+func TestExtraPartsSumToAtMostOne(t *testing.T) {
 	for _, sizes := range []map[string][]float64{
-		{"a": same(4, 0.4), "b": same(5, 0.4)},
-		{"a": mixed(2, 25), "b": mixed(2, 20)},
+		{"a": capacities(4, 0.4), "b": capacities(5, 0.4)},
+		{"a": largeAndSmall(2, 25), "b": largeAndSmall(2, 20)},
 	} {
 		is := is.New(t)
-		si := newSite(1, sizes)
+		si := newTestFleet(1, sizes)
 		sum := 0.0
 		for _, vm := range si.vms {
 			sum += si.view(vm).ExtraPart()
@@ -170,11 +169,11 @@
 	}
 }
 
-// The servers of which a VM has connections are all leaving. It must use others'
-// reserve rather than refuse.
-func TestReserveWhereNoneTakes(t *testing.T) {
+// If all servers to which a VM has connections are leaving, it must use the reserved
+// connections of other servers instead of refusing requests.
+func TestUsesReserveWhenServersLeave(t *testing.T) {
 	is := is.New(t)
-	si := newSite(1, map[string][]float64{"a": same(60, 0.2), "b": same(60, 0.2)})
+	si := newTestFleet(1, map[string][]float64{"a": capacities(60, 0.2), "b": capacities(60, 0.2)})
 	for _, vm := range si.vms {
 		var ups []*origin.Upstream
 		vw := si.view(vm)
@@ -184,47 +183,47 @@
 			}
 			ups = append(ups, up)
 		}
-		takes := false
+		accepting := false
 		for _, up := range vw.WithUpstreams(origin.New(ups)).Candidates("s0") {
-			takes = takes || up.Takes()
+			accepting = accepting || up.Takes()
 		}
-		all := true
+		allLeaving := true
 		for _, up := range ups {
-			all = all && up.Leaving
+			allLeaving = allLeaving && up.Leaving
 		}
-		is.True(takes || all)
+		is.True(accepting || allLeaving)
 	}
 }
 
-// A data centre is cut off, and a VM elsewhere doubts for a moment that it is reached
-// itself: it asks two VMs. If both stood in the one that is cut off, neither would
-// answer, and a sound VM would leave the rotation.
-func TestFarVMs(t *testing.T) {
+// A VM that suspects a cut of its own data centre probes two VMs elsewhere. If both were in
+// one data centre that is cut off itself, neither would answer and a healthy VM would leave
+// the load balancer's rotation.
+func TestFarVMsSpreadOverDataCentres(t *testing.T) {
 	cases := []struct {
-		name   string
-		sizes  map[string][]float64
-		n      int
-		drawn  int
-		places int
+		name        string
+		sizes       map[string][]float64
+		n           int
+		drawn       int
+		dataCentres int
 	}{
-		{"three others", map[string][]float64{"a": same(3, 1), "b": same(2, 1), "c": same(4, 1), "d": same(1, 1)}, 2, 2, 2},
-		{"one other", map[string][]float64{"a": same(1, 1), "b": same(3, 1)}, 2, 2, 1},
-		{"one other, one VM", map[string][]float64{"a": same(2, 1), "b": same(1, 1)}, 2, 1, 1},
-		{"none", map[string][]float64{"a": same(4, 1)}, 2, 0, 0},
+		{"three other data centres", map[string][]float64{"a": capacities(3, 1), "b": capacities(2, 1), "c": capacities(4, 1), "d": capacities(1, 1)}, 2, 2, 2},
+		{"one other data centre", map[string][]float64{"a": capacities(1, 1), "b": capacities(3, 1)}, 2, 2, 1},
+		{"one other data centre, one VM", map[string][]float64{"a": capacities(2, 1), "b": capacities(1, 1)}, 2, 1, 1},
+		{"no other data centre", map[string][]float64{"a": capacities(4, 1)}, 2, 0, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			si := newSite(1, tc.sizes)
+			si := newTestFleet(1, tc.sizes)
 			vw := si.view(rank.VM{Addr: "a-0", DataCentre: "a"})
 			for _, draw := range []float64{0, 0.3, 0.6, 0.99} {
-				seen, places := map[string]bool{}, map[string]bool{}
+				drawn, dataCentres := map[string]bool{}, map[string]bool{}
 				for _, vm := range vw.FarVMs(tc.n, func() float64 { return draw }) {
 					is.True(vm.DataCentre != "a")
-					seen[vm.Addr], places[vm.DataCentre] = true, true
+					drawn[vm.Addr], dataCentres[vm.DataCentre] = true, true
 				}
-				is.Equal(len(seen), tc.drawn)
-				is.Equal(len(places), tc.places)
+				is.Equal(len(drawn), tc.drawn)
+				is.Equal(len(dataCentres), tc.dataCentres)
 			}
 		})
 	}
--- a/core/plan/region_test.go
+++ b/core/plan/region_test.go
@@ -12,10 +12,9 @@
 	"laburnumvane/core/route"
 )
 
-// The requests of a route must not leave some regions: their servers, and the VMs that take
-// them in place of others, stand there, whichever VM the client reached. One data centre has no
-// region that is known.
-func TestRegions(t *testing.T) {
+// Requests of a route with regions go only to servers and VMs in these regions, whichever VM
+// the client reached. The region of data centre d is not known, which excludes it.
+func TestRequestsStayInRegions(t *testing.T) {
 	is := is.New(t)
 	regions := map[string]string{"a": "north", "b": "north", "c": "south"}
 	shards := []string{"s0", "s1"}
@@ -25,12 +24,12 @@
 	var ups []*origin.Upstream
 	var fleet []rank.VM
 	capacity := map[string]float64{}
-	for _, place := range []string{"a", "b", "c", "d"} {
+	for _, dataCentre := range []string{"a", "b", "c", "d"} {
 		for _, service := range shards {
-			ups = append(ups, &origin.Upstream{ID: service + place, Service: service, DataCentre: place})
+			ups = append(ups, &origin.Upstream{ID: service + dataCentre, Service: service, DataCentre: dataCentre})
 		}
-		for i, size := range mixed(2, 6) {
-			vm := rank.VM{Addr: fmt.Sprintf("%s-%d", place, i), DataCentre: place}
+		for i, size := range largeAndSmall(2, 6) {
+			vm := rank.VM{Addr: fmt.Sprintf("%s-%d", dataCentre, i), DataCentre: dataCentre}
 			fleet, capacity[vm.Addr] = append(fleet, vm), size
 		}
 	}
--- a/core/plan/view.go
+++ b/core/plan/view.go
@@ -11,125 +11,126 @@
 )
 
 const (
-	// defaultConnections is assumed where the configuration does not say how
-	// many connections a server accepts.
+	// defaultConnections is the number of connections that a server is assumed to accept if
+	// the configuration does not say.
 	defaultConnections = 64
-	// mostConnections bounds this VM's connections to one server: a request
-	// that waits for the eighth one is better off elsewhere.
-	mostConnections = 8
-	// homeWarm is how many connections a large VM keeps open to each shard's
-	// server: it has about half a request there at any time.
-	homeWarm = 2
-	// planSalt sets the order of VMs for connections apart from others.
-	planSalt = "connections"
+	// maxConnections bounds this VM's connections to one server: a request that would wait
+	// for an eighth connection is better sent elsewhere.
+	maxConnections = 8
+	// largeIdle is how many connections a large VM keeps open to each server of a shard
+	// without demand: on average it has about half a request in flight there.
+	largeIdle = 2
+	// connectionSalt keeps the rendezvous order of VMs for connections independent of other
+	// orders.
+	connectionSalt = "connections"
 )
 
-// Config is what a view is made of.
+// Config is the input of a View.
 type Config struct {
 	// Routes is nil until a configuration is known.
 	Routes    *route.Table
 	Upstreams *origin.Directory
 	Self      rank.VM
-	// Fleet lists the VMs, this one counted or not.
+	// Fleet lists the VMs. This VM may be in it or not.
 	Fleet []rank.VM
-	// Capacity is what each VM can do, by its inner address, in cores.
+	// Capacity is the capacity of each VM in cores, by its inner address.
 	Capacity map[string]float64
-	// Regions are those of the data centres.
+	// Regions maps data centres to their regions.
 	Regions map[string]string
-	// WarmUp says what servers bear while they warm up.
+	// WarmUp bounds the requests to a server while it warms up.
 	WarmUp ramp.Bounds
 }
 
-// Limits is this VM's part of a server's connections.
+// Limits is this VM's share of the connections to a server.
 type Limits struct {
 	// Warm is how many are kept open without demand.
 	Warm int
+	// Most is the maximum.
 	Most int
 }
 
-// View is what is known at one moment.
+// View is an immutable snapshot of routes, servers and VMs.
 type View struct {
 	cfg   Config
-	fleet places
-	// reach holds, by service, the servers to which this VM may open
-	// connections.
-	reach  map[string][]*origin.Upstream
-	limits map[string]Limits
-	// large are the VMs with much more capacity than most, by inner address;
-	// homes those that take a gather, by its first shard, and single those that
-	// take any other request.
-	large  map[string]bool
-	homes  map[string][]*origin.Upstream
-	single []*origin.Upstream
-	// joiners are by data centre.
+	fleet rankedFleet
+	// candidates lists, by service, the servers to which this VM may open connections.
+	candidates map[string][]*origin.Upstream
+	limits     map[string]Limits
+	// large holds the VMs with much more capacity than most, by inner address. gatherTargets
+	// lists the VMs to which this VM forwards a gather, by the first of its shards;
+	// singleTargets lists those for any other request.
+	large         map[string]bool
+	gatherTargets map[string][]*origin.Upstream
+	singleTargets []*origin.Upstream
+	// joiners lists VMs by data centre; see Joiners.
 	joiners map[string][]*origin.Upstream
-	// warms are the services of which some server warms up and has a bound.
-	warms map[string]bool
+	// warming holds the services that limit the requests to a warming server and have one.
+	warming map[string]bool
 }
 
-// places is the division of the fleet into data centres.
-type places struct {
-	// ranked are the VMs of each data centre by rank.
-	ranked map[string][]rank.VM
-	all    []rank.VM
+// rankedFleet is all VMs, this one included, in rendezvous order.
+type rankedFleet struct {
+	// byDataCentre lists the VMs of each data centre in the same order.
+	byDataCentre map[string][]rank.VM
+	all          []rank.VM
 }
 
-// New makes a view.
+// New returns the View of a configuration. A nil Upstreams is an empty directory.
 func New(cfg Config) *View {
 	if cfg.Upstreams == nil {
 		cfg.Upstreams = origin.New(nil)
 	}
 	vw := &View{
-		cfg:    cfg,
-		fleet:  newPlaces(cfg.Self, cfg.Fleet),
-		reach:  make(map[string][]*origin.Upstream),
-		limits: make(map[string]Limits),
+		cfg:        cfg,
+		fleet:      newRankedFleet(cfg.Self, cfg.Fleet),
+		candidates: make(map[string][]*origin.Upstream),
+		limits:     make(map[string]Limits),
 	}
 	vw.large = vw.findLarge()
-	vw.findHomes()
+	vw.findForwardTargets()
 	vw.findJoiners()
 	vw.findWarming()
 	cfg.Upstreams.All(func(up *origin.Upstream) {
-		vw.limits[up.ID] = vw.part(up)
+		vw.limits[up.ID] = vw.limitsFor(up)
 	})
 	cfg.Upstreams.All(func(up *origin.Upstream) {
-		if _, done := vw.reach[up.Service]; !done {
-			vw.reach[up.Service] = vw.reachOf(up.Service)
+		if _, done := vw.candidates[up.Service]; !done {
+			vw.candidates[up.Service] = vw.candidatesOf(up.Service)
 		}
 	})
 	return vw
 }
 
-func newPlaces(self rank.VM, fleet []rank.VM) places {
+func newRankedFleet(self rank.VM, fleet []rank.VM) rankedFleet {
 	all := []rank.VM{self}
 	for _, vm := range fleet {
 		if vm.Addr != self.Addr {
 			all = append(all, vm)
 		}
 	}
-	all = rank.Order(all, planSalt)
+	all = rank.Order(all, connectionSalt)
 	ranked := make(map[string][]rank.VM)
 	for _, vm := range all {
 		ranked[vm.DataCentre] = append(ranked[vm.DataCentre], vm)
 	}
-	return places{ranked: ranked, all: all}
+	return rankedFleet{byDataCentre: ranked, all: all}
 }
 
-// WithRoutes is the same view with other routes.
+// WithRoutes returns a copy of the view with other routes.
 func (vw *View) WithRoutes(tb *route.Table) *View {
 	cfg := vw.cfg
 	cfg.Routes = tb
 	return New(cfg)
 }
 
-// WithUpstreams is the same view with other servers.
+// WithUpstreams returns a copy of the view with other servers.
 func (vw *View) WithUpstreams(dir *origin.Directory) *View {
 	cfg := vw.cfg
 	cfg.Upstreams = dir
 	return New(cfg)
 }
 
-// WithFleet is the same view with other VMs and what each of them can do.
+// WithFleet returns a copy of the view with other VMs and their capacities in cores.
 func (vw *View) WithFleet(vms []rank.VM, capacity map[string]float64) *View {
 	cfg := vw.cfg
 	cfg.Fleet = vms
@@ -137,111 +138,114 @@
 	return New(cfg)
 }
 
-// Routes are those in force; nil if none is known yet.
+// Routes returns the routes in force, or nil if none are known yet.
 func (vw *View) Routes() *route.Table { return vw.cfg.Routes }
 
-// Upstreams are all servers.
+// Upstreams returns the directory of all servers.
 func (vw *View) Upstreams() *origin.Directory { return vw.cfg.Upstreams }
 
-// FarVMs draws so many VMs of other data centres, of different ones as far as there
-// are: one that is cut off itself must not answer for all. The draw is uniform within 0
-// to 1.
+// FarVMs returns at most n random VMs of other data centres, from different data centres as
+// far as possible: if one data centre is cut off, the answers must not depend on its VMs
+// alone. draw returns a uniform random number in [0, 1).
 func (vw *View) FarVMs(n int, draw func() float64) []rank.VM {
-	var far []rank.VM
+	var remote []rank.VM
 	for _, vm := range vw.fleet.all {
 		if vm.DataCentre != vw.cfg.Self.DataCentre {
-			far = append(far, vm)
+			remote = append(remote, vm)
 		}
 	}
-	for i := len(far) - 1; i > 0; i-- {
+	for i := len(remote) - 1; i > 0; i-- {
 		k := int(draw() * float64(i+1))
-		far[i], far[k] = far[k], far[i]
+		remote[i], remote[k] = remote[k], remote[i]
 	}
-	// turn is how many VMs of the same data centre were drawn before each.
-	turn, drawn := make(map[string]int, len(far)), make(map[string]int)
-	for _, vm := range far {
-		turn[vm.Addr] = drawn[vm.DataCentre]
+	// earlier is how many VMs of the same data centre come before each VM in the shuffled
+	// list.
+	earlier, drawn := make(map[string]int, len(remote)), make(map[string]int)
+	for _, vm := range remote {
+		earlier[vm.Addr] = drawn[vm.DataCentre]
 		drawn[vm.DataCentre]++
 	}
-	sort.SliceStable(far, func(i, j int) bool { return turn[far[i].Addr] < turn[far[j].Addr] })
-	return far[:min(n, len(far))]
+	sort.SliceStable(remote, func(i, j int) bool { return earlier[remote[i].Addr] < earlier[remote[j].Addr] })
+	return remote[:min(n, len(remote))]
 }
 
-// FleetSize is the number of VMs, this one counted.
+// FleetSize returns the number of VMs, including this one.
 func (vw *View) FleetSize() int { return len(vw.fleet.all) }
 
-// Candidates lists the servers of a service to which this VM may open
-// connections. The caller must not change the list.
-func (vw *View) Candidates(service string) []*origin.Upstream { return vw.reach[service] }
+// Candidates lists the servers of a service to which this VM may open connections. The caller
+// must not modify the list.
+func (vw *View) Candidates(service string) []*origin.Upstream { return vw.candidates[service] }
 
-// Limits is this VM's part of a server's connections.
+// Limits returns this VM's share of the connections to a server.
 func (vw *View) Limits(up *origin.Upstream) Limits { return vw.limits[up.ID] }
 
-// reachOf leaves out servers of which this VM has no part, unless that leaves
-// none: then the reserve is what serves.
-func (vw *View) reachOf(service string) []*origin.Upstream {
+// candidatesOf leaves out servers to which this VM has no connections. If that leaves no
+// server that accepts requests, it adds the others with one connection each, which come out
+// of the server's reserve.
+func (vw *View) candidatesOf(service string) []*origin.Upstream {
 	all := vw.cfg.Upstreams.Of(service)
-	reach := make([]*origin.Upstream, 0, len(all))
-	takes := false
+	candidates := make([]*origin.Upstream, 0, len(all))
+	accepting := false
 	for _, up := range all {
 		if vw.limits[up.ID].Most > 0 {
-			reach = append(reach, up)
-			takes = takes || up.Takes()
+			candidates = append(candidates, up)
+			accepting = accepting || up.Takes()
 		}
 	}
-	if takes {
-		return reach
+	if accepting {
+		return candidates
 	}
 	for _, up := range all {
 		if vw.limits[up.ID].Most == 0 {
 			vw.limits[up.ID] = Limits{Most: 1}
-			reach = append(reach, up)
+			candidates = append(candidates, up)
 		}
 	}
-	return reach
+	return candidates
 }
 
-// part is this VM's part of a server's connections.
-func (vw *View) part(up *origin.Upstream) Limits {
-	usable := vw.accepts(up.Service)
+// limitsFor computes this VM's share of a server's connections.
+func (vw *View) limitsFor(up *origin.Upstream) Limits {
+	usable := vw.acceptedConnections(up.Service)
 	usable -= conns.Reserve(usable)
 	if len(vw.large) > 0 {
-		return vw.partAmongLarge(usable)
+		return vw.limitsWithLarge(usable)
 	}
 	total := len(vw.fleet.all)
 	if usable >= total {
-		return Limits{Warm: 1, Most: min(usable/total, mostConnections)}
+		return Limits{Warm: 1, Most: min(usable/total, maxConnections)}
 	}
-	near := vw.fleet.ranked[up.DataCentre]
+	local := vw.fleet.byDataCentre[up.DataCentre]
 	if up.DataCentre == vw.cfg.Self.DataCentre {
-		at := indexOf(near, vw.cfg.Self)
-		return one(conns.Share(min(usable, len(near)), len(near), at, shift(up)))
+		index := indexOf(local, vw.cfg.Self)
+		return atMostOne(conns.Share(min(usable, len(local)), len(local), index, offset(up)))
 	}
-	left := usable - len(near)
-	far, at := vw.farRank(up.DataCentre)
-	return one(conns.Share(left, far, at, shift(up)))
+	remaining := usable - len(local)
+	remote, index := vw.remoteRank(up.DataCentre)
+	return atMostOne(conns.Share(remaining, remote, index, offset(up)))
 }
 
-// partAmongLarge gives most of a server's connections to the large VMs. The small
-// ones open theirs only when they need one: for a request that may run once, which
-// goes on a new connection anyway, or where they find no large VM. With one kept by
-// each of 174 small VMs, those of before a power loss filled a server's places until
-// it noticed, and the new ones were reset 38,000 times in ten seconds.
-func (vw *View) partAmongLarge(usable int) Limits {
+// limitsWithLarge gives most of a server's connections to the large VMs. The small VMs open a
+// connection only when they need one: for a request that may run only once, which uses a new
+// connection anyway, or if they reach no large VM. When each of 174 small VMs kept one open,
+// the old connections filled a server's limit after a power loss until the server noticed,
+// and the new ones were reset 38,000 times in ten seconds.
+func (vw *View) limitsWithLarge(usable int) Limits {
 	if vw.large[vw.cfg.Self.Addr] {
-		most := min(max(1, int(homePart*float64(usable))/len(vw.large)), mostConnections)
-		return Limits{Warm: min(most, homeWarm), Most: most}
+		most := min(max(1, int(largeVMShare*float64(usable))/len(vw.large)), maxConnections)
+		return Limits{Warm: min(most, largeIdle), Most: most}
 	}
 	return Limits{Most: 1}
 }
 
-func one(n int) Limits {
+func atMostOne(n int) Limits {
 	n = min(n, 1)
 	return Limits{Warm: n, Most: n}
 }
 
-// accepts is how many connections a server takes.
-func (vw *View) accepts(service string) int {
+// acceptedConnections returns how many connections a server of the service accepts from all
+// VMs together.
+func (vw *View) acceptedConnections(service string) int {
 	if vw.cfg.Routes != nil {
 		if sv, ok := vw.cfg.Routes.Service(service); ok && sv.MaxConnections > 0 {
 			return sv.MaxConnections
@@ -250,18 +254,19 @@
 	return defaultConnections
 }
 
-// farRank counts the VMs outside a data centre and finds this one among them.
-func (vw *View) farRank(dataCentre string) (count, at int) {
+// remoteRank returns the number of VMs outside a data centre and the index of this VM among
+// them.
+func (vw *View) remoteRank(dataCentre string) (count, index int) {
 	for _, vm := range vw.fleet.all {
 		if vm.DataCentre == dataCentre {
 			continue
 		}
 		if vm.Addr == vw.cfg.Self.Addr {
-			at = count
+			index = count
 		}
 		count++
 	}
-	return count, at
+	return count, index
 }
 
 func indexOf(vms []rank.VM, vm rank.VM) int {
@@ -273,12 +278,12 @@
 	return 0
 }
 
-// shift gives each server another part of the VMs, or the same few would lack a
-// second server for every shard.
-func shift(up *origin.Upstream) int {
-	return int(rank.Hash(planSalt, up.ID) % shiftMost)
+// offset rotates the ranking of VMs differently for each server. Without it the same few VMs
+// would lack a second server for every shard.
+func offset(up *origin.Upstream) int {
+	return int(rank.Hash(connectionSalt, up.ID) % maxOffset)
 }
 
-// shiftMost bounds a shift; it only has to be more than the VMs of a region over
-// the places of a server.
-const shiftMost = 4096
+// maxOffset bounds an offset. It only has to exceed the number of VMs of a region that
+// compete for one server's connections.
+const maxOffset = 4096
--- a/core/plan/warming.go
+++ b/core/plan/warming.go
@@ -12,22 +12,25 @@
 	"laburnumvane/core/route"
 )
 
-// Warming is what is to be known of a server that warms up and bears few requests meanwhile.
+// Warming describes how requests may be sent to a server that warms up and can serve only a
+// limited rate until then.
 type Warming struct {
-	// Most is how many requests it may get within a second, from all VMs together.
+	// Most is how many requests all VMs together may send to it within any second.
 	Most int
-	// Owner is the VM that sends all of them, as a server named by its inner address; Self is
-	// set if it is this one.
+	// Owner is the VM that sends all of these requests, as an Upstream with its inner address
+	// as ID and Addr. Self is set if this VM is the owner.
 	Owner *origin.Upstream
 	Self  bool
 }
 
-// Warms tells whether some server of a service warms up, or did since its last entry.
-func (vw *View) Warms(service string) bool { return vw.warms[service] }
+// Warms reports whether a service limits the requests to a warming server and has a server
+// that warms up, or did so when its last entry was written.
+func (vw *View) Warms(service string) bool { return vw.warming[service] }
 
-// Warming tells whether a server warms up and has a bound.
+// Warming returns the bound on requests to a server, and false if the server does not warm up
+// or has no bound.
 func (vw *View) Warming(now time.Duration, up *origin.Upstream) (Warming, bool) {
-	if !up.Cold(now) || !vw.warms[up.Service] {
+	if !up.Cold(now) || !vw.warming[up.Service] {
 		return Warming{}, false
 	}
 	sv, _ := vw.cfg.Routes.Service(up.Service)
@@ -39,12 +42,13 @@
 	}, true
 }
 
-// WarmsUp tells whether a server warms up and has a bound, whoever owns it.
+// WarmsUp reports whether a server warms up and has a bound. Unlike Warming it does not
+// compute the owner.
 func (vw *View) WarmsUp(now time.Duration, up *origin.Upstream) bool {
-	return up.Cold(now) && vw.warms[up.Service]
+	return up.Cold(now) && vw.warming[up.Service]
 }
 
-// Bounds tells whether a service's servers bear few requests while they warm up.
+// Bounds reports whether the requests to a service's servers are limited while they warm up.
 func (vw *View) Bounds(service string) bool {
 	if vw.cfg.Routes == nil {
 		return false
@@ -53,50 +57,54 @@
 	return ok && sv.WarmUpRate > 0
 }
 
-// BlindServes tells whether a VM may take requests of a route that does not know which servers
-// are cold: none of their services bounds what those get.
+// BlindServes reports whether a VM that does not know which servers are cold (see
+// ramp.Gate.Blind) may take requests of a route: none of the route's services limits the
+// requests to cold servers.
 func (vw *View) BlindServes(rt *route.Route) bool {
 	return !slices.ContainsFunc(rt.Services(), vw.Bounds)
 }
 
-// BlindMatters tells whether it is of any concern whether this VM knows that: some service
-// has such a bound, and there are VMs of other data centres which may know more.
+// BlindMatters reports whether it matters that this VM may not know which servers are cold
+// (see ramp.Gate.Blind): some service limits the requests to cold servers, and there are VMs
+// in other data centres that may know more.
 func (vw *View) BlindMatters() bool {
-	return vw.cfg.Routes != nil && vw.cfg.Routes.WarmUpBounds() && len(vw.fleet.ranked) > 1
+	return vw.cfg.Routes != nil && vw.cfg.Routes.WarmUpBounds() && len(vw.fleet.byDataCentre) > 1
 }
 
-// findWarming finds the services of which some server warms up and has a bound.
+// findWarming computes the services that limit the requests to a warming server and have one.
 func (vw *View) findWarming() {
-	vw.warms = make(map[string]bool)
+	vw.warming = make(map[string]bool)
 	vw.cfg.Upstreams.All(func(up *origin.Upstream) {
 		if up.ColdUntil > 0 && vw.Bounds(up.Service) {
-			vw.warms[up.Service] = true
+			vw.warming[up.Service] = true
 		}
 	})
 }
 
-// ownerOf is the VM that ranks first for a server: of those beside it, or of all where there is
-// none, the large ones go first, and of equal ones another one for each server. A VM's rank
-// follows from its own entry alone, so that two VMs that know each other agree which of them
-// ranks before the other.
+// ownerOf returns the VM that ranks first for a server, among the VMs of the server's data
+// centre or, if there are none, among all. VMs with more capacity rank first; VMs of about
+// the same capacity are ranked by rendezvous hashing, so that servers have different owners.
+// A VM's rank depends on its own entry only, so two VMs that know each other agree on their
+// order.
 func (vw *View) ownerOf(up *origin.Upstream) rank.VM {
-	vms := vw.fleet.ranked[up.DataCentre]
+	vms := vw.fleet.byDataCentre[up.DataCentre]
 	if len(vms) == 0 {
 		vms = vw.fleet.all
 	}
 	key := xxhash.Sum64String(up.ID)
-	best, size, most := vms[0], vw.sizeOf(vms[0]), weight(key, vms[0].Addr)
-	for _, vm := range vms[1:] {
-		si, we := vw.sizeOf(vm), weight(key, vm.Addr)
-		if si > size || si == size && we > most {
-			best, size, most = vm, si, we
+	best, bestClass, bestWeight := vms[0], vw.sizeClass(vms[0]), rendezvousWeight(key, vms[0].Addr)
+	for _, candidate := range vms[1:] {
+		class, weight := vw.sizeClass(candidate), rendezvousWeight(key, candidate.Addr)
+		if class > bestClass || class == bestClass && weight > bestWeight {
+			best, bestClass, bestWeight = candidate, class, weight
 		}
 	}
 	return best
 }
 
-// sizeOf is a VM's capacity as a power of two, so that VMs of about the same size are equal.
-func (vw *View) sizeOf(vm rank.VM) int {
+// sizeClass returns the binary logarithm of a VM's capacity, rounded, so that VMs of about
+// the same capacity are equal.
+func (vw *View) sizeClass(vm rank.VM) int {
 	capacity := vw.cfg.Capacity[vm.Addr]
 	if capacity <= 0 {
 		return math.MinInt
