--- a/core/origin/doc.go
+++ b/core/origin/doc.go
@@ -1,5 +1,5 @@
-// Package origin holds the upstream servers behind the routes: which process
-// stands where, for which service, and whether it may get new requests.
+// Package origin holds the upstream servers behind the routes: the address of each server
+// process, its service, and whether it may get new requests.
 //
 // # Usage
 //
@@ -8,7 +8,8 @@
 //		if up.Takes() { ... }
 //	}
 //
-// A Directory is immutable. Table keeps one current while entries come and go:
+// A Directory is immutable. A Table maintains the current one while entries are written and
+// removed:
 //
 //	tb := origin.NewTable(origin.Config{Linger: 2500 * time.Millisecond})
 //	changed := tb.Put(now, up)
@@ -17,27 +18,27 @@
 //
 // # Leaving
 //
-// A process that said that it is leaving stays so. An entry that arrives late, with
-// an older sequence, must not bring it back either, or the server would get
-// requests until it exits, and those would be lost. One whose entry only lapsed,
-// as behind a partition, is back with its next entry.
+// Once a process has announced that it is leaving, this is final. An entry with an older
+// sequence that arrives late must not revert it either: the server would get requests until it
+// exits, and those would be lost. A server whose entry only lapsed, as behind a network
+// partition, is used again after its next entry.
 //
-// # Another life
+// # Restarts
 //
-// A server may start again under its id, and its sequence starts anew. The time of
-// its start parts the lives: an entry of a later one is in force at once, whatever
-// the former one said and wherever it stood, and an entry of a former one changes
-// nothing, however late it comes.
+// A server may restart under the same id, and its sequence then restarts too. The start time
+// tells the processes apart: an entry of a later process takes effect at once, whatever state
+// and address the earlier process had, and an entry of an earlier process is ignored however
+// late it arrives.
 //
 // # Evacuation
 //
-// An operator may have a data centre evacuated: Table.Evacuate has all of its servers get
-// nothing new, whatever their own entries say, until Table.Return.
+// An operator may evacuate a data centre: after Table.Evacuate its servers get no new requests,
+// whatever their own entries say, until Table.Return.
 //
 // # Entries that lapse
 //
-// Entries can lapse while the platform's store is away, though their servers
-// live. Table.Suspect begins and ends such a time. What is removed within it
-// stays usable until the time ends, by when a live server has written its entry
-// again; only then is it dropped.
+// Entries can expire while the platform's store is unavailable, though their servers are
+// running. Table.Suspect begins a period in which the removal of an entry proves nothing. A
+// server whose entry is removed in this period stays usable until the period ends; a running
+// server has written its entry again by then. Only then is the server dropped.
 package origin
--- a/core/origin/table.go
+++ b/core/origin/table.go
@@ -5,66 +5,68 @@
 	"time"
 )
 
-// Config sets a table.
+// Config configures a Table.
 type Config struct {
-	// Linger is how long after the end of a suspect time an entry that was
-	// removed within it may still come back.
+	// Linger is how long after the end of a store outage a server whose entry was removed
+	// stays usable without a new entry.
 	Linger time.Duration
-	// Forget is how long the sequence of a server that is gone is remembered,
-	// so that an entry that comes late cannot bring it back.
+	// Forget is how long the sequence of a removed server is kept, so that an entry that
+	// arrives late cannot bring it back.
 	Forget time.Duration
 }
 
-// trace is what is remembered of a server that is gone or leaving.
-type trace struct {
+// tombstone records the last entry of a server that is gone or leaving.
+type tombstone struct {
 	born     int64
 	leaving  bool
 	sequence uint64
-	// until is when it may be forgotten.
+	// until is when the tombstone may be deleted.
 	until time.Duration
 }
 
-// Table keeps a directory current. It is not safe for concurrent use.
+// Table maintains the current directory. It is not safe for concurrent use.
 type Table struct {
 	cfg  Config
 	live map[string]*Upstream
-	// lapsed holds when servers are given up whose entries were removed in a
-	// suspect time.
-	lapsed map[string]time.Duration
-	// past holds what is gone or leaving.
-	past map[string]trace
-	// evacuated are the data centres whose servers are to get nothing.
+	// lapsedUntil holds, by ID, when servers whose entries were removed in a suspect period
+	// are dropped.
+	lapsedUntil map[string]time.Duration
+	// tombstones are by ID.
+	tombstones map[string]tombstone
+	// evacuated holds the data centres whose servers get no new requests.
 	evacuated map[string]struct{}
-	suspect   bool
-	until     time.Duration
+	// suspect is set until suspectUntil: the removal of an entry proves nothing meanwhile.
+	suspect      bool
+	suspectUntil time.Duration
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable(cfg Config) *Table {
 	return &Table{
-		cfg:    cfg,
-		live:   make(map[string]*Upstream),
-		lapsed: make(map[string]time.Duration),
-		past:   make(map[string]trace),
+		cfg:         cfg,
+		live:        make(map[string]*Upstream),
+		lapsedUntil: make(map[string]time.Duration),
+		tombstones:  make(map[string]tombstone),
 
 		evacuated: make(map[string]struct{}),
 	}
 }
 
-// Evacuate has the servers of a data centre get nothing until Return, those that are entered
-// later too, and tells whether that is new.
+// Evacuate marks a data centre: its servers, including those that are added later, get no new
+// requests until Return. It reports whether the data centre was not evacuated before.
 func (tb *Table) Evacuate(dataCentre string) bool {
-	_, was := tb.evacuated[dataCentre]
+	_, already := tb.evacuated[dataCentre]
 	tb.evacuated[dataCentre] = struct{}{}
-	return !was
+	return !already
 }
 
-// Return ends that, and tells whether it was in force. The servers are taken to be cold from
-// then on, for as long as warmUp says of their service: entries that say so may come late.
+// Return ends the evacuation of a data centre and reports whether it was in force. The
+// servers count as cold from now for the warm-up time of their service: their own entries,
+// which say so, may arrive late.
 func (tb *Table) Return(now time.Duration, dataCentre string, warmUp func(service string) time.Duration) bool {
-	_, was := tb.evacuated[dataCentre]
+	_, evacuated := tb.evacuated[dataCentre]
 	delete(tb.evacuated, dataCentre)
-	if !was {
+	if !evacuated {
 		return false
 	}
 	for id, up := range tb.live {
@@ -75,64 +77,64 @@
 	return true
 }
 
-// Put takes a server's entry and tells whether the directory changed. An entry
-// that is older than what is known changes nothing.
+// Put stores a server's entry and reports whether the directory changed. An entry that is
+// older than the known one is ignored, unless it announces that the same process is leaving.
 func (tb *Table) Put(now time.Duration, up *Upstream) bool {
-	if tr, seen := tb.past[up.ID]; seen {
+	if ts, found := tb.tombstones[up.ID]; found {
 		switch {
-		case up.Born < tr.born:
+		case up.Born < ts.born:
 			return false
-		case up.Born > tr.born:
-			// It started again: that its former life was leaving or gone says
-			// nothing of this one.
-			delete(tb.past, up.ID)
-		case tr.leaving:
+		case up.Born > ts.born:
+			// A restarted server: that its earlier process was leaving or gone does not apply
+			// to the new one.
+			delete(tb.tombstones, up.ID)
+		case ts.leaving:
 			up = up.WithLeaving()
-		case up.Sequence <= tr.sequence:
+		case up.Sequence <= ts.sequence:
 			return false
 		}
 	}
-	was, known := tb.live[up.ID]
-	if known && up.precedes(was) && (up.Born < was.Born || !up.Leaving) {
+	previous, known := tb.live[up.ID]
+	if known && up.precedes(previous) && (up.Born < previous.Born || !up.Leaving) {
 		return false
 	}
 	if up.Leaving {
-		tb.remember(now, up)
+		tb.addTombstone(now, up)
 	}
 	if up.WarmFor > 0 {
-		up = up.WithCold(coldFrom(now, was, up), now+up.WarmFor)
+		up = up.WithCold(coldKnownFrom(now, previous, up), now+up.WarmFor)
 	}
-	delete(tb.lapsed, up.ID)
+	delete(tb.lapsedUntil, up.ID)
 	tb.live[up.ID] = up
-	return !known || *was != *up
+	return !known || *previous != *up
 }
 
-// turnTime is how long after a server is known to have turned cold VMs may still send to it
-// that have not heard.
-const turnTime = time.Second
+// coldNoticeTime is how long other VMs may still send to a server after this VM learns that
+// it turned cold, because they do not know it yet.
+const coldNoticeTime = time.Second
 
-// coldFrom is since when all VMs know that a server is cold: one that is new gets nothing from
-// those that do not.
-func coldFrom(now time.Duration, was, up *Upstream) time.Duration {
+// coldKnownFrom returns since when all VMs know that a server is cold. For a new process this
+// is now: VMs that do not know it send nothing to it.
+func coldKnownFrom(now time.Duration, previous, up *Upstream) time.Duration {
 	switch {
-	case was == nil || was.Process() != up.Process():
+	case previous == nil || previous.Process() != up.Process():
 		return now
-	case was.Cold(now):
-		return was.ColdFrom
+	case previous.Cold(now):
+		return previous.ColdFrom
 	}
-	return now + turnTime
+	return now + coldNoticeTime
 }
 
-// Remove takes the end of a server's entry and tells whether the directory
-// changed.
+// Remove handles the removal of a server's entry and reports whether the directory changed.
+// In a suspect period the server is kept for the time being, unless it is leaving.
 func (tb *Table) Remove(now time.Duration, id string) bool {
 	up, known := tb.live[id]
 	if !known {
 		return false
 	}
 	if tb.suspect && !up.Leaving {
-		if _, lapsed := tb.lapsed[id]; !lapsed {
-			tb.lapsed[id] = tb.until
+		if _, lapsed := tb.lapsedUntil[id]; !lapsed {
+			tb.lapsedUntil[id] = tb.suspectUntil
 		}
 		return false
 	}
@@ -140,9 +142,9 @@
 	return true
 }
 
-// Reject takes an entry that names no server any more, for it cannot be read, and
-// tells whether the directory changed. Unlike an entry that lapses while the store
-// is away it was written on purpose. The server is back with its next own entry.
+// Reject handles an unreadable entry and reports whether the directory changed. The server is
+// dropped even in a suspect period: unlike an entry that expires while the store is
+// unavailable, this one was written on purpose. The server's next valid entry brings it back.
 func (tb *Table) Reject(now time.Duration, id string) bool {
 	up, known := tb.live[id]
 	if known {
@@ -153,12 +155,12 @@
 
 func (tb *Table) drop(now time.Duration, up *Upstream) {
 	delete(tb.live, up.ID)
-	delete(tb.lapsed, up.ID)
-	tb.remember(now, up)
+	delete(tb.lapsedUntil, up.ID)
+	tb.addTombstone(now, up)
 }
 
-func (tb *Table) remember(now time.Duration, up *Upstream) {
-	tb.past[up.ID] = trace{
+func (tb *Table) addTombstone(now time.Duration, up *Upstream) {
+	tb.tombstones[up.ID] = tombstone{
 		born:     up.Born,
 		leaving:  up.Leaving,
 		sequence: up.Sequence,
@@ -166,34 +168,35 @@
 	}
 }
 
-// Suspect tells that the store was away until a time, so that the end of an entry
-// proves nothing until Linger has passed. What lapsed before keeps its time, or a
-// server that left would be used for as long as news keeps being late; only where
-// that time ended meanwhile is a new one given.
+// Suspect begins a suspect period after the store was unavailable until back: the removal of
+// an entry proves nothing until Linger has passed. Servers whose entries were removed in an
+// earlier suspect period keep their deadline, or a server that left would be used as long as
+// outages keep recurring. Only deadlines that passed during the outage are extended.
 func (tb *Table) Suspect(back time.Duration) {
 	tb.suspect = true
-	tb.until = back + tb.cfg.Linger
-	for id, until := range tb.lapsed {
+	tb.suspectUntil = back + tb.cfg.Linger
+	for id, until := range tb.lapsedUntil {
 		if until <= back {
-			tb.lapsed[id] = tb.until
+			tb.lapsedUntil[id] = tb.suspectUntil
 		}
 	}
 }
 
-// Tick gives up servers whose entries did not come back in time, unless the store
-// is away, and tells whether the directory changed.
+// Tick drops servers whose entries were not written again in time, unless the store is
+// unavailable (away), and deletes expired tombstones. It reports whether the directory
+// changed.
 func (tb *Table) Tick(now time.Duration, away bool) bool {
-	for id, tr := range tb.past {
-		if _, live := tb.live[id]; !live && now >= tr.until {
-			delete(tb.past, id)
+	for id, ts := range tb.tombstones {
+		if _, live := tb.live[id]; !live && now >= ts.until {
+			delete(tb.tombstones, id)
 		}
 	}
 	if away {
 		return false
 	}
-	tb.suspect = tb.suspect && now < tb.until
+	tb.suspect = tb.suspect && now < tb.suspectUntil
 	changed := false
-	for id, until := range tb.lapsed {
+	for id, until := range tb.lapsedUntil {
 		if now >= until {
 			tb.drop(now, tb.live[id])
 			changed = true
@@ -202,11 +205,10 @@
 	return changed
 }
 
-// Lapsed is the number of servers whose entry is missing and which are used for
-// the time being.
-func (tb *Table) Lapsed() int { return len(tb.lapsed) }
+// Lapsed returns the number of servers that are kept although their entry was removed.
+func (tb *Table) Lapsed() int { return len(tb.lapsedUntil) }
 
-// Directory is the table as it stands.
+// Directory returns the current directory, with the servers of evacuated data centres marked.
 func (tb *Table) Directory() *Directory {
 	ups := make([]*Upstream, 0, len(tb.live))
 	for _, up := range tb.live {
--- a/core/origin/upstream.go
+++ b/core/origin/upstream.go
@@ -2,49 +2,48 @@
 
 import "time"
 
-// Process names one life of a server. A server may start again under its id, also
-// at another address; it then knows nothing of its former life, and what was seen
-// of that one says nothing of it.
+// Process identifies one process of a server. A server may restart under the same ID, also at
+// another address. The new process has none of the state of the earlier one, and observations
+// of the earlier one do not apply to it.
 type Process struct {
 	ID string
-	// Born is the time of its start, in milliseconds since 1970; 0 if it did not
-	// say.
+	// Born is its start time in milliseconds since 1970; 0 if unknown.
 	Born int64
 	Addr string
 }
 
 // Upstream is one process of a server. It is immutable.
 type Upstream struct {
-	// ID names the server.
+	// ID identifies the server.
 	ID string
-	// Born is the time of the process's start, in milliseconds since 1970; 0 if it
-	// did not say.
+	// Born is the start time of the process in milliseconds since 1970; 0 if unknown.
 	Born    int64
 	Service string
-	// Addr is host and port. It may have belonged to another server before.
+	// Addr is host and port. Another server may have used it before.
 	Addr       string
 	DataCentre string
-	// Slots is how many requests it works on at once.
+	// Slots is how many requests the server processes at once.
 	Slots int
-	// Leaving is set once the server said that it will exit.
+	// Leaving is set once the server has announced that it will exit.
 	Leaving bool
-	// Evacuated is set while the operator has its data centre evacuated.
+	// Evacuated is set while an operator has its data centre evacuated.
 	Evacuated bool
-	// WarmFor is how much longer it is cold, counted from the entry's writing.
+	// WarmFor is how much longer the server stays cold, counted from when its entry was
+	// written.
 	WarmFor time.Duration
-	// ColdFrom and ColdUntil are the same on the clock of the table that holds it: until
-	// ColdUntil it is cold, and before ColdFrom VMs may still send to it that do not know.
-	// Both are 0 if it is warm.
+	// ColdFrom and ColdUntil are times on the clock of the table that holds the server: it is
+	// cold until ColdUntil, and before ColdFrom other VMs that do not know this yet may still
+	// send to it. Both are 0 if it is warm.
 	ColdFrom, ColdUntil time.Duration
-	// Sequence rises with every entry that the process writes.
+	// Sequence increases with every entry that the process writes.
 	Sequence uint64
 }
 
-// Process names the process.
+// Process returns the identity of the server's process.
 func (up *Upstream) Process() Process { return Process{ID: up.ID, Born: up.Born, Addr: up.Addr} }
 
-// precedes tells whether what was written of a server is older than another entry
-// of it: of a former life, or of the same one and before.
+// precedes reports whether an entry of a server is older than another one: written by an
+// earlier process, or earlier by the same process.
 func (up *Upstream) precedes(other *Upstream) bool {
 	if up.Born != other.Born {
 		return up.Born < other.Born
@@ -52,40 +51,40 @@
 	return up.Sequence < other.Sequence
 }
 
-// WithLeaving is the same server on its way out.
+// WithLeaving returns a copy of the server that is leaving.
 func (up *Upstream) WithLeaving() *Upstream {
 	changed := *up
 	changed.Leaving = true
 	return &changed
 }
 
-// WithEvacuated is the same server in a data centre that is evacuated.
+// WithEvacuated returns a copy of the server in an evacuated data centre.
 func (up *Upstream) WithEvacuated() *Upstream {
 	changed := *up
 	changed.Evacuated = true
 	return &changed
 }
 
-// WithCold is the same server while it warms up.
+// WithCold returns a copy of the server that is cold; see ColdFrom and ColdUntil.
 func (up *Upstream) WithCold(from, until time.Duration) *Upstream {
 	changed := *up
 	changed.ColdFrom, changed.ColdUntil = from, until
 	return &changed
 }
 
-// Cold tells whether the server still warms up.
+// Cold reports whether the server still warms up.
 func (up *Upstream) Cold(now time.Duration) bool { return now < up.ColdUntil }
 
-// Takes tells whether the server may get new requests.
+// Takes reports whether the server may get new requests.
 func (up *Upstream) Takes() bool { return !up.Leaving && !up.Evacuated }
 
-// Directory is all servers at one moment.
+// Directory is an immutable set of servers.
 type Directory struct {
 	byService map[string][]*Upstream
 	byID      map[string]*Upstream
 }
 
-// New makes a directory.
+// New returns the directory of the given servers.
 func New(ups []*Upstream) *Directory {
 	dir := &Directory{
 		byService: make(map[string][]*Upstream),
@@ -98,28 +97,29 @@
 	return dir
 }
 
-// Of lists the servers of a service, those that are leaving too. The caller
-// must not change the list.
+// Of lists the servers of a service, including those that are leaving. The caller must not
+// modify the list.
 func (dir *Directory) Of(service string) []*Upstream { return dir.byService[service] }
 
-// Find looks a server up.
+// Find returns the server with an ID.
 func (dir *Directory) Find(id string) (*Upstream, bool) {
 	up, ok := dir.byID[id]
 	return up, ok
 }
 
-// Has tells whether a process is there, and not only another life of its server.
+// Has reports whether a process is in the directory. It is false if only another process of
+// the same server is.
 func (dir *Directory) Has(pr Process) bool {
 	up, ok := dir.byID[pr.ID]
 	return ok && up.Process() == pr
 }
 
-// All visits every server.
+// All calls visit for every server, in no particular order.
 func (dir *Directory) All(visit func(up *Upstream)) {
 	for _, up := range dir.byID {
 		visit(up)
 	}
 }
 
-// Len is the number of servers.
+// Len returns the number of servers.
 func (dir *Directory) Len() int { return len(dir.byID) }
