--- a/core/route/doc.go
+++ b/core/route/doc.go
@@ -1,5 +1,5 @@
-// Package route holds the routes of one version of the configuration: which
-// requests go where, how often they may be sent, and how long they may take.
+// Package route holds the routes of one version of the configuration: which services requests
+// go to, how often they may be sent, and how long they may take.
 //
 // # Usage
 //
@@ -7,6 +7,6 @@
 //	rt, ok := tb.Match("search.example", "/plates/2f")
 //	tb = tb.WithLimits(limits)
 //
-// A Table is immutable, so that a request keeps the version under which it
-// began, however many versions come while it runs.
+// A Table is immutable. A request uses the version that was in force when it arrived, even if
+// newer versions follow while it runs.
 package route
--- a/core/route/route.go
+++ b/core/route/route.go
@@ -8,45 +8,46 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Route is where requests below one prefix of one host go.
+// Route describes the handling of requests whose path begins with Prefix on one host.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
-	// Idempotent requests may run more than once.
+	// Idempotent is set if requests may run more than once.
 	Idempotent bool
-	// Timeout is the longest time until the final answer.
+	// Timeout is the maximum time until the final answer.
 	Timeout time.Duration
-	// Target is the time within which an answer is worth all of its value.
+	// Target is the latency within which an answer has its full value.
 	Target time.Duration
-	// Priority is the rank among routes; 0 is the most urgent.
+	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// MaxAttempts is the number of servers of one service to which one request
-	// may be sent.
+	// MaxAttempts is the maximum number of servers of one service to which one request is
+	// sent.
 	MaxAttempts int
-	// Split shares requests among services; a plain route has one entry. It is
-	// empty where Gather is set.
+	// Split distributes requests among services by weight; a route to a single service has
+	// one entry. It is empty if Gather is set.
 	Split []Share
-	// Gather is set where each request goes to all of several services.
+	// Gather is set if each request goes to all of several services.
 	Gather *Gather
-	// Regions are those that a request must not leave, but for the VM that its client reached;
-	// empty is no bound.
+	// Regions are the regions that requests must not leave, except for the VM that the client
+	// reached; empty means no restriction.
 	Regions []string
 
 	digest uint64
 }
 
-// Allows tells whether requests may go to a region.
+// Allows reports whether requests may go to a region.
 func (rt *Route) Allows(region string) bool {
 	return len(rt.Regions) == 0 || slices.Contains(rt.Regions, region)
 }
 
-// Digest is the same for routes that handle requests in the same way, on all VMs
-// and in all versions. It is 0 for a route that is in no Table.
+// Digest identifies how a route handles requests: it is equal for equal handling on all VMs
+// and in all versions of the configuration. It is 0 for a route that is in no Table.
 func (rt *Route) Digest() uint64 { return rt.digest }
 
-// digestOf goes over all that decides how a request is handled; a route's name and
-// place in the configuration do not.
+// digestOf covers everything that decides how a request is handled, not the route's name or
+// its position in the configuration. The formatted text contains the names of the fields, so
+// renaming a field of Route, Share or Gather changes all digests.
 func digestOf(rt *Route) uint64 {
 	plain := *rt
 	plain.Name = ""
@@ -58,35 +59,35 @@
 	return xxhash.Sum64(text)
 }
 
-// Share is a service's part of a route's requests.
+// Share is the weight of a service among the requests of a route.
 type Share struct {
 	Service string
 	Weight  float64
 }
 
-// Gather joins the answers of several services, the shards, into one.
+// Gather merges the answers of several services, the shards, into one.
 type Gather struct {
 	Shards []string
-	// Limit is the number of records in the answer.
+	// Limit is the maximum number of records in the answer.
 	Limit int
-	// MinCoverage is the least share of the shards in an answer, 0 to 1.
+	// MinCoverage is the minimum share of the shards in an answer, 0 to 1.
 	MinCoverage float64
 }
 
-// MinParts is the least number of shards in an answer, and never less than one.
+// MinParts returns the minimum number of shards in an answer, at least one.
 func (ga *Gather) MinParts() int {
-	// Without the tolerance a share of 0.7 of 10 would ask for 8 of them, for
-	// the product is a little above 7.
+	// Without the tolerance a share of 0.7 of 10 shards would require 8, since the product is
+	// slightly above 7.
 	const tolerance = 1e-9
-	need := ga.MinCoverage*float64(len(ga.Shards)) - tolerance
-	parts := int(need)
-	if float64(parts) < need {
+	required := ga.MinCoverage*float64(len(ga.Shards)) - tolerance
+	parts := int(required)
+	if float64(parts) < required {
 		parts++
 	}
 	return max(parts, 1)
 }
 
-// Services lists the services to which the route's requests may go.
+// Services lists the services to which requests of the route may go.
 func (rt *Route) Services() []string {
 	if rt.Gather != nil {
 		return rt.Gather.Shards
@@ -98,7 +99,8 @@
 	return names
 }
 
-// Draw picks the service of a request; at is uniform within 0 to 1.
+// Draw selects the service of a request by weight, and returns false if the route has none.
+// at is uniform in [0, 1].
 func (rt *Route) Draw(at float64) (string, bool) {
 	var total float64
 	for _, sh := range rt.Split {
@@ -114,6 +116,6 @@
 		}
 		at -= sh.Weight
 	}
-	// Rounding may leave a little beyond the last share.
+	// Rounding errors can leave a remainder after the last share.
 	return rt.Split[len(rt.Split)-1].Service, true
 }
--- a/core/route/route_test.go
+++ b/core/route/route_test.go
@@ -8,7 +8,7 @@
 	"laburnumvane/core/route"
 )
 
-func table() *route.Table {
+func newTable() *route.Table {
 	return route.New(route.Config{
 		Version: 3,
 		Routes: []route.Route{
@@ -27,21 +27,21 @@
 		name, host, path, want string
 	}{
 		{"longest prefix", "a.example", "/x/y/z", "deep"},
-		{"prefix itself", "a.example", "/x/y/", "deep"},
-		{"without the last slash", "a.example", "/x/y", "flat"},
-		{"only the root", "a.example", "/q", "root"},
-		{"of two the first", "a.example", "/x/q", "flat"},
+		{"path equal to the prefix", "a.example", "/x/y/", "deep"},
+		{"path without the trailing slash", "a.example", "/x/y", "flat"},
+		{"root prefix only", "a.example", "/q", "root"},
+		{"first of two equal prefixes", "a.example", "/x/q", "flat"},
 		{"host with a port", "a.example:8080", "/x/q", "flat"},
-		{"host in capitals", "A.Example", "/x/q", "flat"},
-		{"another host's", "b.example", "/x/y/z", "other"},
-		{"host without root", "b.example", "/q", ""},
-		{"no such host", "c.example", "/x/", ""},
-		{"no path", "a.example", "", ""},
+		{"host in upper case", "A.Example", "/x/q", "flat"},
+		{"prefix of another host", "b.example", "/x/y/z", "other"},
+		{"no matching prefix", "b.example", "/q", ""},
+		{"unknown host", "c.example", "/x/", ""},
+		{"empty path", "a.example", "", ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			rt, ok := table().Match(tc.host, tc.path)
+			rt, ok := newTable().Match(tc.host, tc.path)
 			is.Equal(ok, tc.want != "")
 			if ok {
 				is.Equal(rt.Name, tc.want)
@@ -72,9 +72,10 @@
 	}
 }
 
-// What decides how a request is handled must show in the digest, or a VM would take
-// a request by another version than the one that asked; a change elsewhere in the
-// configuration must not, or each new version would part all VMs for a moment.
+// Everything that decides how a request is handled must change the digest, or a VM would
+// handle a forwarded request by another version of the route than the sender's. Other changes
+// of the configuration must not change it, or VMs would briefly reject each other's requests
+// with each new version.
 func TestDigest(t *testing.T) {
 	gather := func(shards ...string) route.Route {
 		return route.Route{Name: "r", Host: "h", Prefix: "/", Gather: &route.Gather{Shards: shards, Limit: 5, MinCoverage: 0.9}}
@@ -82,26 +83,26 @@
 	digest := func(version uint64, rt route.Route) uint64 {
 		return route.New(route.Config{Version: version, Routes: []route.Route{rt}}).Routes()[0].Digest()
 	}
-	plain := func(change func(rt *route.Route)) route.Route {
+	split := func(change func(rt *route.Route)) route.Route {
 		rt := route.Route{Name: "r", Host: "h", Prefix: "/", Split: []route.Share{{Service: "a", Weight: 1}}}
 		change(&rt)
 		return rt
 	}
-	nothing := func(*route.Route) {}
+	unchanged := func(*route.Route) {}
 	cases := []struct {
 		name string
 		a, b route.Route
 		same bool
 	}{
-		{"the same shards", gather("s1", "s2"), gather("s1", "s2"), true},
-		{"other shards", gather("s1", "s2"), gather("t1", "t2"), false},
-		{"one shard more", gather("s1"), gather("s1", "s2"), false},
-		{"the same service", plain(nothing), plain(nothing), true},
-		{"another name", plain(nothing), plain(func(rt *route.Route) { rt.Name = "q" }), true},
-		{"another service", plain(nothing), plain(func(rt *route.Route) { rt.Split = []route.Share{{Service: "b", Weight: 1}} }), false},
-		{"another weight", plain(nothing), plain(func(rt *route.Route) { rt.Split = []route.Share{{Service: "a", Weight: 2}} }), false},
-		{"another timeout", plain(nothing), plain(func(rt *route.Route) { rt.Timeout = 5 }), false},
-		{"runs once", plain(nothing), plain(func(rt *route.Route) { rt.Idempotent = true }), false},
+		{"same shards", gather("s1", "s2"), gather("s1", "s2"), true},
+		{"different shards", gather("s1", "s2"), gather("t1", "t2"), false},
+		{"additional shard", gather("s1"), gather("s1", "s2"), false},
+		{"same service", split(unchanged), split(unchanged), true},
+		{"different name", split(unchanged), split(func(rt *route.Route) { rt.Name = "q" }), true},
+		{"different service", split(unchanged), split(func(rt *route.Route) { rt.Split = []route.Share{{Service: "b", Weight: 1}} }), false},
+		{"different weight", split(unchanged), split(func(rt *route.Route) { rt.Split = []route.Share{{Service: "a", Weight: 2}} }), false},
+		{"different timeout", split(unchanged), split(func(rt *route.Route) { rt.Timeout = 5 }), false},
+		{"idempotent", split(unchanged), split(func(rt *route.Route) { rt.Idempotent = true }), false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -133,7 +134,7 @@
 
 func TestTable(t *testing.T) {
 	is := is.New(t)
-	tb := table()
+	tb := newTable()
 	is.Equal(tb.Version(), uint64(3))
 	is.Equal(len(tb.Routes()), 4)
 	is.Equal(tb.BestPriority(), 1)
@@ -145,8 +146,8 @@
 	is.Equal(tb.Limits().BodyBytes, 0)
 }
 
-// A table with many routes must not make the finding of one slower: only the
-// slashes of the path are looked at.
+// The cost of Match must not grow with the number of routes: only the positions of slashes in
+// the path are tried.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1400} {
 		cfg := route.Config{}
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// Service is what the configuration says of a service's servers.
+// Service is the configuration of a service's servers.
 type Service struct {
 	Name string
-	// MaxConnections is how many connections one of its servers accepts from
-	// all VMs together; 0 if it is not said.
+	// MaxConnections is how many connections one server accepts from all VMs together; 0 if
+	// not configured.
 	MaxConnections int
-	// WarmUp is how long one of its servers is cold after its start, and WarmUpRate how many
-	// requests a second it bears meanwhile, from all VMs together; 0 is no bound.
+	// WarmUp is how long a server is cold after its start. WarmUpRate is how many requests a
+	// second it can serve meanwhile, from all VMs together; 0 means no bound.
 	WarmUp     time.Duration
 	WarmUpRate float64
-	// StatusPath is where one of its servers tells its state; empty if that is not said.
+	// StatusPath is the path at which a server reports its state; empty if not configured.
 	StatusPath string
 }
 
-// Limits bound what a client may send, and how long it may take.
+// Limits restrict the size and duration of client requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
-	// RequestTime bounds how long a request's header takes to arrive.
+	// RequestTime is the maximum time for a request's header to arrive.
 	RequestTime time.Duration
-	// IdleTime is how long a client's connection is kept without a request.
+	// IdleTime is how long a client's connection is kept open between requests.
 	IdleTime time.Duration
 }
 
-// Config is what a table is made of.
+// Config is the input of a Table.
 type Config struct {
-	// Version rises with every change of the configuration.
+	// Version increases with every change of the configuration.
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 }
 
-// Table is one version of all routes.
+// Table is the immutable set of routes of one version of the configuration.
 type Table struct {
 	version  uint64
 	limits   Limits
 	services map[string]Service
-	// byHost finds a route by its host and then by its whole prefix.
+	// byHost holds the routes by host in lower case and then by prefix.
 	byHost map[string]map[string]*Route
 	routes []*Route
-	// best is the best priority of all routes.
-	best int
-	// bounds is set if some service bounds what its servers get while they warm up.
-	bounds bool
+	// bestPriority is the lowest Priority value, that is the most urgent, of all routes.
+	bestPriority int
+	// boundsWarmUp is set if some service has a WarmUpRate.
+	boundsWarmUp bool
 }
 
-// New makes a table. Of two routes with the same host and prefix the first one
-// stays.
+// New returns the table of a configuration. Of several routes with the same host and prefix
+// the first one is used.
 func New(cfg Config) *Table {
 	tb := &Table{
 		version:  cfg.Version,
@@ -64,7 +64,7 @@
 	}
 	for _, sv := range cfg.Services {
 		tb.services[sv.Name] = sv
-		tb.bounds = tb.bounds || sv.WarmUpRate > 0
+		tb.boundsWarmUp = tb.boundsWarmUp || sv.WarmUpRate > 0
 	}
 	for _, rt := range cfg.Routes {
 		tb.add(&rt)
@@ -84,45 +84,47 @@
 	}
 	rt.digest = digestOf(rt)
 	prefixes[rt.Prefix] = rt
-	if len(tb.routes) == 0 || rt.Priority < tb.best {
-		tb.best = rt.Priority
+	if len(tb.routes) == 0 || rt.Priority < tb.bestPriority {
+		tb.bestPriority = rt.Priority
 	}
 	tb.routes = append(tb.routes, rt)
 }
 
-// WithLimits is the same table with other limits.
+// WithLimits returns a copy of the table with other limits.
 func (tb *Table) WithLimits(li Limits) *Table {
 	changed := *tb
 	changed.limits = li
 	return &changed
 }
 
-// Version is the version of the configuration.
+// Version returns the version of the configuration.
 func (tb *Table) Version() uint64 { return tb.version }
 
-// Limits are those on clients.
+// Limits returns the limits on client requests.
 func (tb *Table) Limits() Limits { return tb.limits }
 
-// Routes lists all routes. The caller must not change them.
+// Routes lists all routes. The caller must not modify them.
 func (tb *Table) Routes() []*Route { return tb.routes }
 
-// BestPriority is the best priority of all routes.
-func (tb *Table) BestPriority() int { return tb.best }
+// BestPriority returns the lowest Priority value, that is the most urgent, of all routes; 0
+// if there are none.
+func (tb *Table) BestPriority() int { return tb.bestPriority }
 
-// WarmUpBounds tells whether some service bounds what its servers get while they warm up.
-func (tb *Table) WarmUpBounds() bool { return tb.bounds }
+// WarmUpBounds reports whether some service limits the requests to its servers while they
+// warm up.
+func (tb *Table) WarmUpBounds() bool { return tb.boundsWarmUp }
 
-// Service tells what is known of a service.
+// Service returns the configuration of a service.
 func (tb *Table) Service(name string) (Service, bool) {
 	sv, ok := tb.services[name]
 	return sv, ok
 }
 
-// Match finds the route with the longest prefix that begins the path. Prefixes
-// end with a slash, so only the slashes of the path are looked at: the cost does
-// not grow with the number of routes. A port behind the host does not count.
+// Match returns the route with the longest prefix of the path. Prefixes end with a slash, so
+// only the positions of slashes in the path are tried, and the cost does not depend on the
+// number of routes. A port in the host is ignored.
 func (tb *Table) Match(host, path string) (*Route, bool) {
-	prefixes, ok := tb.byHost[hostName(host)]
+	prefixes, ok := tb.byHost[normaliseHost(host)]
 	if !ok {
 		return nil, false
 	}
@@ -137,7 +139,8 @@
 	return nil, false
 }
 
-func hostName(host string) string {
+// normaliseHost removes the port and converts to lower case.
+func normaliseHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
