--- a/core/ramp/doc.go
+++ b/core/ramp/doc.go
@@ -1,4 +1,4 @@
-// Package ramp bounds what a server gets while it warms up, from all VMs together.
+// Package ramp bounds the requests that a server gets from all VMs together while it warms up.
 //
 // # Usage
 //
@@ -8,27 +8,27 @@
 //		// send
 //	}
 //
-// # Why one VM
+// # Why a single owner
 //
-// A server that has just started, or whose data centre was evacuated, bears a few requests a
-// second and crashes when it gets more. The bound is one for the whole fleet: a share of it
-// for each of a hundred VMs is less than one request, and whoever may send at all may send one
-// at any moment. So one VM sends all that such a server gets, its owner (plan.Warming); others
-// ask that one, and it counts.
+// A server that has just started, or whose data centre was evacuated, can serve a few requests a
+// second and crashes if it gets more. The bound holds for the whole fleet and cannot be divided:
+// the share of each of a hundred VMs would be less than one request, and every VM that may send
+// at all may send one at any moment. So one VM, the server's owner (plan.Warming), sends all
+// requests to it and counts them; other VMs send theirs through the owner.
 //
-// # When it may speak for the fleet
+// # When a VM may act as owner
 //
-// Two VMs that both take themselves for the owner would send twice what the server bears. Each
-// ranks all VMs that it knows by what their entries say, so that two can only disagree if one
-// does not know the other. An owner counts only while its own entry has stood for Handover,
-// and its copy of the store was never older than FreshFor meanwhile: whoever else takes itself
-// for the owner has a copy as fresh, and knows of it by then. A VM that has just started, or
-// that hears of nothing, sends nothing.
+// Two VMs that both act as owner would send twice what the server can serve. Each VM ranks all
+// VMs that it knows by their entries in the store, so two VMs can disagree only if one does not
+// know the other. A VM acts as owner only after its own entry has been in its copy of the store
+// for OwnerDelay, and if the copy was never older than FreshFor meanwhile. Any other VM that
+// acts as owner has an equally fresh copy, so it knows of this VM by then. A VM that has just
+// started, or whose copy of the store is not updated, sends nothing to such servers.
 //
-// # Without news
+// # Without updates
 //
-// A VM that is cut off from the store and from all others does not hear that a data centre was
-// evacuated, and that its servers are cold since. What it and others in its place send there
-// cannot be bounded by what they know, so that they send nothing to servers that have a bound:
-// see Gate.Blind.
+// A VM that is cut off from the store and from all other VMs does not learn that a data centre
+// was evacuated and that its servers are cold since. Its requests to these servers, and those of
+// VMs cut off together with it, cannot be bounded by what they know. They therefore send nothing
+// to servers that have a bound: see Gate.Blind.
 package ramp
--- a/core/ramp/fleet_test.go
+++ b/core/ramp/fleet_test.go
@@ -16,199 +16,202 @@
 	"laburnumvane/core/route"
 )
 
-// seeds is how many runs there are of each simulated fleet; more by hand.
+// seeds is the number of runs of each simulated fleet; a higher number can be set by hand.
 var seeds = flag.Int("seeds", 4, "runs of each simulated fleet")
 
 const (
 	step = 10 * ms
-	// forgetTime is how long a VM counts whose entry is gone.
-	forgetTime = 20 * second
-	// perSecond is what the cold server bears.
-	perSecond = 4
+	// forgetAfter is how long a VM still counts after its entry was removed.
+	forgetAfter = 20 * second
+	// warmUpRate is the configured rate of the cold server.
+	warmUpRate = 4
 )
 
-// world is a fleet whose VMs hear late of each other, die, start, freeze and are cut off, and all of
-// them have requests for one cold server.
-type world struct {
+// simulation is a fleet whose VMs all have requests for one cold server. VMs receive updates
+// late, fail, start, freeze and are cut off.
+type simulation struct {
 	rnd *rand.Rand
 	now time.Duration
-	// entries holds the VMs' entries in the store: since when each stands.
+	// entries holds, by VM index, when each entry in the store was written.
 	entries map[int]time.Duration
-	vms     []*member
-	sent    []time.Duration
+	vms     []*simVM
+	// sent is when each request was sent to the cold server.
+	sent []time.Duration
 }
 
-// member is one VM.
-type member struct {
-	n        int
+// simVM is one VM of a simulation.
+type simVM struct {
+	index    int
 	vm       rank.VM
 	capacity float64
 	gate     *ramp.Gate
-	up       bool
-	// known are the VMs of its copy of the store, which is of asOf; gone are those that are
-	// not there any more, with when they are forgotten.
-	known map[int]bool
-	gone  map[int]time.Duration
-	asOf  time.Duration
-	// hears is when it hears next, and frozen until when it does nothing.
-	hears, frozen time.Duration
-	view          *plan.View
+	running  bool
+	// known are the VMs in its copy of the store, which is current as of asOf. forgetAt holds
+	// when VMs whose entries were removed stop counting.
+	known    map[int]bool
+	forgetAt map[int]time.Duration
+	asOf     time.Duration
+	// nextUpdate is when its copy is updated next. The VM is frozen until frozenUntil.
+	nextUpdate, frozenUntil time.Duration
+	view                    *plan.View
 }
 
-func newWorld(size int, uneven bool, seed uint64) *world {
-	wo := &world{rnd: rand.New(rand.NewPCG(seed, 7)), entries: map[int]time.Duration{}}
+func newSimulation(size int, uneven bool, seed uint64) *simulation {
+	sim := &simulation{rnd: rand.New(rand.NewPCG(seed, 7)), entries: map[int]time.Duration{}}
 	for n := range size {
 		capacity := 0.2
 		if uneven && n%15 == 0 {
 			capacity = 0.8
 		}
-		me := &member{n: n, capacity: capacity, vm: rank.VM{Addr: fmt.Sprintf("10.0.%d.%d:1", n%3, n), DataCentre: fmt.Sprint(n % 3)}}
-		wo.vms = append(wo.vms, me)
-		wo.entries[n] = 0
-		wo.start(me)
+		vm := &simVM{index: n, capacity: capacity, vm: rank.VM{Addr: fmt.Sprintf("10.0.%d.%d:1", n%3, n), DataCentre: fmt.Sprint(n % 3)}}
+		sim.vms = append(sim.vms, vm)
+		sim.entries[n] = 0
+		sim.start(vm)
 	}
-	return wo
+	return sim
 }
 
-// start starts a VM, which has a copy of the store some tenths of a second later.
-func (wo *world) start(me *member) {
-	me.up, me.gate, me.view = true, ramp.New(), nil
-	me.known, me.gone = map[int]bool{}, map[int]time.Duration{}
-	me.asOf, me.hears = wo.now, wo.now+wo.upTo(500*ms)
+// start starts a VM, which gets its copy of the store up to half a second later.
+func (sim *simulation) start(sv *simVM) {
+	sv.running, sv.gate, sv.view = true, ramp.New(), nil
+	sv.known, sv.forgetAt = map[int]bool{}, map[int]time.Duration{}
+	sv.asOf, sv.nextUpdate = sim.now, sim.now+sim.randomUpTo(500*ms)
 }
 
-func (wo *world) upTo(most time.Duration) time.Duration {
-	return time.Duration(wo.rnd.Int64N(int64(most)))
+func (sim *simulation) randomUpTo(most time.Duration) time.Duration {
+	return time.Duration(sim.rnd.Int64N(int64(most)))
 }
 
-// hear takes a copy of the store that is some tenths of a second old.
-func (wo *world) hear(me *member) {
-	me.asOf = max(me.asOf, wo.now-wo.upTo(800*ms))
-	changed := me.view == nil
-	for n, since := range wo.entries {
-		if since <= me.asOf && !me.known[n] {
-			me.known[n], changed = true, true
-			delete(me.gone, n)
+// update gives a VM a copy of the store that is up to 800 ms old.
+func (sim *simulation) update(sv *simVM) {
+	sv.asOf = max(sv.asOf, sim.now-sim.randomUpTo(800*ms))
+	changed := sv.view == nil
+	for n, since := range sim.entries {
+		if since <= sv.asOf && !sv.known[n] {
+			sv.known[n], changed = true, true
+			delete(sv.forgetAt, n)
 		}
 	}
-	for n := range me.known {
-		if _, stands := wo.entries[n]; !stands {
-			delete(me.known, n)
-			me.gone[n] = wo.now + forgetTime
+	for n := range sv.known {
+		if _, written := sim.entries[n]; !written {
+			delete(sv.known, n)
+			sv.forgetAt[n] = sim.now + forgetAfter
 		}
 	}
-	for n, until := range me.gone {
-		if wo.now >= until {
-			delete(me.gone, n)
+	for n, until := range sv.forgetAt {
+		if sim.now >= until {
+			delete(sv.forgetAt, n)
 			changed = true
 		}
 	}
 	if changed {
-		me.view = wo.viewOf(me)
+		sv.view = sim.viewOf(sv)
 	}
 }
 
-func (wo *world) viewOf(me *member) *plan.View {
-	capacity := map[string]float64{me.vm.Addr: me.capacity}
+func (sim *simulation) viewOf(sv *simVM) *plan.View {
+	capacity := map[string]float64{sv.vm.Addr: sv.capacity}
 	var fleet []rank.VM
 	add := func(n int) {
-		fleet = append(fleet, wo.vms[n].vm)
-		capacity[wo.vms[n].vm.Addr] = wo.vms[n].capacity
+		fleet = append(fleet, sim.vms[n].vm)
+		capacity[sim.vms[n].vm.Addr] = sim.vms[n].capacity
 	}
-	for n := range me.known {
+	for n := range sv.known {
 		add(n)
 	}
-	for n := range me.gone {
+	for n := range sv.forgetAt {
 		add(n)
 	}
-	routes := route.New(route.Config{Services: []route.Service{{Name: "s", WarmUp: time.Hour, WarmUpRate: perSecond}}})
+	routes := route.New(route.Config{Services: []route.Service{{Name: "s", WarmUp: time.Hour, WarmUpRate: warmUpRate}}})
 	up := (&origin.Upstream{ID: "cold", Service: "s", DataCentre: "1"}).WithCold(0, time.Hour)
 	return plan.New(plan.Config{
-		Routes: routes, Upstreams: origin.New([]*origin.Upstream{up}), Self: me.vm, Fleet: fleet, Capacity: capacity,
+		Routes: routes, Upstreams: origin.New([]*origin.Upstream{up}), Self: sv.vm, Fleet: fleet, Capacity: capacity,
 		WarmUp: ramp.Bounds{Overage: 1.5, Slack: 5},
 	})
 }
 
-// disturb has something happen now and then.
-func (wo *world) disturb() {
-	// Every two seconds for each VM of a small fleet, and thirty times a second at most.
-	if wo.rnd.Float64() >= min(0.3, float64(len(wo.vms))*float64(step)/float64(2*second)) {
+// injectFault occasionally makes a VM fail, freeze, start or lose its entry or updates.
+func (sim *simulation) injectFault() {
+	// On average one fault per VM every two seconds in a small fleet, and at most thirty a
+	// second.
+	if sim.rnd.Float64() >= min(0.3, float64(len(sim.vms))*float64(step)/float64(2*second)) {
 		return
 	}
-	me := wo.vms[wo.rnd.IntN(len(wo.vms))]
-	switch wo.rnd.IntN(6) {
-	case 0: // dies; others take its entry away later
-		me.up = false
-	case 1: // hears of nothing for a while
-		me.hears = wo.now + second + wo.upTo(8*second)
+	sv := sim.vms[sim.rnd.IntN(len(sim.vms))]
+	switch sim.rnd.IntN(6) {
+	case 0: // fails; its entry is removed later
+		sv.running = false
+	case 1: // gets no updates for a while
+		sv.nextUpdate = sim.now + second + sim.randomUpTo(8*second)
 	case 2:
-		me.frozen = wo.now + wo.upTo(4*second)
-	case 3: // its entry is taken away, whether it lives or not
-		delete(wo.entries, me.n)
+		sv.frozenUntil = sim.now + sim.randomUpTo(4*second)
+	case 3: // its entry is removed, whether it runs or not
+		delete(sim.entries, sv.index)
 	default:
-		if !me.up {
-			wo.start(me)
+		if !sv.running {
+			sim.start(sv)
 		}
 	}
-	if wo.rnd.IntN(400) == 0 { // all start at once
-		for _, one := range wo.vms {
-			wo.start(one)
+	if sim.rnd.IntN(400) == 0 { // all start at once
+		for _, one := range sim.vms {
+			sim.start(one)
 		}
 	}
-	for _, one := range wo.vms {
-		if _, stands := wo.entries[one.n]; one.up && !stands && wo.rnd.IntN(10) == 0 {
-			wo.entries[one.n] = wo.now
+	for _, one := range sim.vms {
+		if _, written := sim.entries[one.index]; one.running && !written && sim.rnd.IntN(10) == 0 {
+			sim.entries[one.index] = sim.now
 		}
 	}
 }
 
-// ask has a VM send a request to the cold server, or have its owner send it.
-func (wo *world) ask(me *member, hop bool) {
-	if !me.up || me.view == nil || wo.now < me.frozen {
+// request has a VM send a request to the cold server or forward it to the owner. forwarded is
+// set if another VM forwarded it, so that it is not forwarded again.
+func (sim *simulation) request(sv *simVM, forwarded bool) {
+	if !sv.running || sv.view == nil || sim.now < sv.frozenUntil {
 		return
 	}
-	up, _ := me.view.Upstreams().Find("cold")
-	wa, bound := me.view.Warming(wo.now, up)
+	up, _ := sv.view.Upstreams().Find("cold")
+	wa, bound := sv.view.Warming(sim.now, up)
 	switch {
 	case !bound:
-		panic("the server is cold")
-	case wa.Self && me.gate.Take(wo.now, up.Process(), wa.Most):
-		wo.sent = append(wo.sent, wo.now)
-	case wa.Self || hop:
+		panic("the cold server has no bound")
+	case wa.Self && sv.gate.Take(sim.now, up.Process(), wa.Most):
+		sim.sent = append(sim.sent, sim.now)
+	case wa.Self || forwarded:
 	default:
-		for _, one := range wo.vms {
+		for _, one := range sim.vms {
 			if one.vm.Addr == wa.Owner.Addr {
-				wo.ask(one, true)
+				sim.request(one, true)
 			}
 		}
 	}
 }
 
-func (wo *world) run(until time.Duration) {
-	for ; wo.now < until; wo.now += step {
-		wo.disturb()
-		for _, me := range wo.vms {
-			if !me.up || wo.now < me.frozen {
+func (sim *simulation) run(until time.Duration) {
+	for ; sim.now < until; sim.now += step {
+		sim.injectFault()
+		for _, sv := range sim.vms {
+			if !sv.running || sim.now < sv.frozenUntil {
 				continue
 			}
-			if wo.now >= me.hears {
-				wo.hear(me)
-				me.hears = wo.now + 50*ms + wo.upTo(700*ms)
+			if sim.now >= sv.nextUpdate {
+				sim.update(sv)
+				sv.nextUpdate = sim.now + 50*ms + sim.randomUpTo(700*ms)
 			}
-			if wo.now%(250*ms) == 0 {
-				me.gate.Look(wo.now, wo.now-me.asOf, me.known[me.n])
+			if sim.now%(250*ms) == 0 {
+				sv.gate.Look(sim.now, sim.now-sv.asOf, sv.known[sv.index])
 			}
 		}
 		for range 3 {
-			wo.ask(wo.vms[wo.rnd.IntN(len(wo.vms))], false)
+			sim.request(sim.vms[sim.rnd.IntN(len(sim.vms))], false)
 		}
 	}
 }
 
-// All VMs of a fleet have requests for a server that bears eleven within a second, while they
-// hear of each other late, die, start, freeze, and are cut off. A server that gets more crashes,
-// is back cold, and crashes again.
-func TestFleetKeepsBound(t *testing.T) {
+// All VMs of a fleet have requests for a server that can serve eleven within a second, while
+// VMs receive updates late, fail, start, freeze and are cut off. A server that gets more
+// crashes, is cold again after its restart, and crashes again.
+func TestFleetStaysWithinWarmUpBound(t *testing.T) {
 	const most, lasts = 11, 60 * second
 	for _, tc := range []struct {
 		size   int
@@ -218,19 +221,19 @@
 			is := is.New(t)
 			total := 0
 			for seed := range *seeds {
-				wo := newWorld(tc.size, tc.uneven, uint64(seed))
-				wo.run(lasts)
-				total += len(wo.sent)
-				for i, first := 0, 0; i < len(wo.sent); i++ {
-					for wo.sent[i]-wo.sent[first] > second {
+				sim := newSimulation(tc.size, tc.uneven, uint64(seed))
+				sim.run(lasts)
+				total += len(sim.sent)
+				for i, first := 0, 0; i < len(sim.sent); i++ {
+					for sim.sent[i]-sim.sent[first] > second {
 						first++
 					}
-					is.True(i-first+1 <= most) // overrun
+					is.True(i-first+1 <= most) // more than the bound within one second
 				}
 			}
 			used := float64(total) / float64(*seeds) / lasts.Seconds() / most
-			t.Logf("%.2f of what the server bears was used", used)
-			is.True(used > 0.05) // a bound that lets nothing through is kept too
+			t.Logf("used %.2f of the bound", used)
+			is.True(used > 0.05) // allowing no requests would satisfy the bound too
 		})
 	}
 }
--- a/core/ramp/gate.go
+++ b/core/ramp/gate.go
@@ -10,120 +10,125 @@
 )
 
 const (
-	// window is the span within which requests are counted.
+	// window is the interval to which a server's bound applies.
 	window = time.Second
-	// margin is how much longer a request is counted: the way to the server may take a
-	// little less for a later one.
-	margin = 20 * time.Millisecond
-	// askFirst is how long an owner is not asked again after it had no room, and doubles with
-	// each further time up to askMost: a request that is denied a shard's only servers has had
-	// all others work for nothing.
-	askFirst = 200 * time.Millisecond
-	askMost  = 2 * time.Second
+	// transitMargin is how much longer than window a request is counted: a later request may
+	// reach the server in slightly less time than an earlier one.
+	transitMargin = 20 * time.Millisecond
+	// minAskBackoff is how long an owner is not asked again after it denied a request. It
+	// doubles with each further denial up to maxAskBackoff: if the only servers of a shard
+	// are denied, the servers of all other shards have done useless work for that request.
+	minAskBackoff = 200 * time.Millisecond
+	maxAskBackoff = 2 * time.Second
 )
 
-// Bounds say what a server bears while it warms up, beside its own rate.
+// Bounds turn a server's configured rate during warm-up into the bound that is enforced.
 type Bounds struct {
-	// Overage is a factor on its rate, and Slack what it bears on top within a second.
+	// Overage multiplies the rate; Slack is a number of requests that is added to the
+	// product.
 	Overage float64
 	Slack   float64
 }
 
-// Most is how many requests a server may get within a second; perSecond is its rate.
+// Most returns how many requests a server may get within any second; perSecond is its
+// configured rate.
 func (bo Bounds) Most(perSecond float64) int {
-	// What a product falls short of a whole number by rounding still is that number.
+	// Without the tolerance a product that rounding puts slightly below a whole number would
+	// lose one request.
 	const tolerance = 1e-9
 	return int(math.Floor(perSecond*bo.Overage + bo.Slack + tolerance))
 }
 
-// Gate counts what this VM sends to servers that warm up. It is safe for concurrent use.
+// Gate counts the requests that this VM sends to servers that warm up. It is safe for
+// concurrent use.
 type Gate struct {
-	mu   sync.Mutex
-	sent map[origin.Process]*count
-	// stands is set while this VM may be an owner, since a time, and until is when that ends
-	// by itself.
-	stands       bool
-	since, until time.Duration
-	// news is when the store was heard, here or elsewhere.
-	news time.Duration
-	// probes are the latest VMs of other data centres that were asked for a sign of life.
+	mu      sync.Mutex
+	servers map[origin.Process]*serverState
+	// eligible is set, since eligibleSince, while this VM's entry is in a fresh copy of the
+	// store. It expires at eligibleUntil unless Look renews it.
+	eligible                     bool
+	eligibleSince, eligibleUntil time.Duration
+	// copyAsOf is the time as of which this VM's copy of the store was current.
+	copyAsOf time.Duration
+	// probes are the recent probes of VMs in other data centres.
 	probes []probe
 }
 
-// count is what one server got.
-type count struct {
-	// times are those of the requests of the last window.
+// serverState is what the Gate holds of one server.
+type serverState struct {
+	// times are when the requests of the last window were sent.
 	times []time.Duration
-	// askAt is when its owner may be asked again, and denials how many times in a row it had
-	// no room.
+	// askAt is when the server's owner may be asked again. denials counts its consecutive
+	// denials.
 	askAt   time.Duration
 	denials int
 }
 
-// New makes a gate that lets nothing through yet.
-func New() *Gate { return &Gate{sent: make(map[origin.Process]*count)} }
+// New returns a gate that allows no request until Look has been called for OwnerDelay.
+func New() *Gate { return &Gate{servers: make(map[origin.Process]*serverState)} }
 
-// Take tells whether one more request may be sent to a server that this VM owns and that may
-// get so many within a second, and counts it.
+// Take reports whether this VM may send one more request to a server that it owns, and counts
+// it. most is the server's bound within any second.
 func (ga *Gate) Take(now time.Duration, pr origin.Process, most int) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if !ga.standsAt(now) {
+	if !ga.mayActAsOwner(now) {
 		return false
 	}
-	co := ga.of(pr)
-	past := 0
-	for past < len(co.times) && now-co.times[past] > window+margin {
-		past++
+	st := ga.stateOf(pr)
+	expired := 0
+	for expired < len(st.times) && now-st.times[expired] > window+transitMargin {
+		expired++
 	}
-	co.times = co.times[past:]
-	if len(co.times) >= most {
+	st.times = st.times[expired:]
+	if len(st.times) >= most {
 		return false
 	}
-	co.times = append(co.times, now)
+	st.times = append(st.times, now)
 	return true
 }
 
-// Asked notes whether a server's owner sent a request.
+// Asked records that a server's owner was asked to send a request, and whether it did.
 func (ga *Gate) Asked(now time.Duration, pr origin.Process, sent bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	co := ga.of(pr)
+	st := ga.stateOf(pr)
 	switch {
 	case sent:
-		co.denials, co.askAt = 0, now
-	case now >= co.askAt:
-		// Of those that were under way at once the first one counts.
-		co.denials++
-		bo := retry.Backoff{First: askFirst, Most: askMost}
-		co.askAt = now + bo.Wait(co.denials, 0)
+		st.denials, st.askAt = 0, now
+	case now >= st.askAt:
+		// Of several denials in flight at once only the first counts.
+		st.denials++
+		bo := retry.Backoff{First: minAskBackoff, Most: maxAskBackoff}
+		st.askAt = now + bo.Wait(st.denials, 0)
 	}
 }
 
-// MayAsk tells whether a server's owner may have room.
+// MayAsk reports whether a server's owner may be asked to send a request, that is whether no
+// backoff after a denial is in force.
 func (ga *Gate) MayAsk(now time.Duration, pr origin.Process) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	co, ok := ga.sent[pr]
-	return !ok || now >= co.askAt
+	st, ok := ga.servers[pr]
+	return !ok || now >= st.askAt
 }
 
-func (ga *Gate) of(pr origin.Process) *count {
-	co, ok := ga.sent[pr]
+func (ga *Gate) stateOf(pr origin.Process) *serverState {
+	st, ok := ga.servers[pr]
 	if !ok {
-		co = &count{}
-		ga.sent[pr] = co
+		st = &serverState{}
+		ga.servers[pr] = st
 	}
-	return co
+	return st
 }
 
-// Keep forgets all servers but those.
+// Keep deletes the state of all servers that are not in the directory.
 func (ga *Gate) Keep(dir *origin.Directory) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for pr := range ga.sent {
+	for pr := range ga.servers {
 		if !dir.Has(pr) {
-			delete(ga.sent, pr)
+			delete(ga.servers, pr)
 		}
 	}
 }
--- a/core/ramp/gate_test.go
+++ b/core/ramp/gate_test.go
@@ -16,7 +16,7 @@
 	ms     = time.Millisecond
 )
 
-func TestMost(t *testing.T) {
+func TestBoundsMost(t *testing.T) {
 	bounds := ramp.Bounds{Overage: 1.5, Slack: 5}
 	for _, tc := range []struct {
 		perSecond float64
@@ -28,19 +28,19 @@
 	}
 }
 
-// standing is a gate of a VM that has been listed for long.
-func standing(now time.Duration) *ramp.Gate {
+// eligibleGate returns the gate of a VM that has been listed for long enough to act as owner.
+func eligibleGate(now time.Duration) *ramp.Gate {
 	ga := ramp.New()
-	looks(ga, now-2*ramp.Handover, now, 0)
+	observe(ga, now-2*ramp.OwnerDelay, now, 0)
 	return ga
 }
 
-// A request that leaves a moment later than another one may arrive a moment sooner than that
-// after it: the bound holds in any second at the server.
-func TestTakeInAnySecond(t *testing.T) {
+// The bound must hold within any second at the server, although transit times vary: a request
+// that is sent later may have a shorter transit time.
+func TestTakeBoundsEverySecond(t *testing.T) {
 	is := is.New(t)
 	pr := origin.Process{ID: "a"}
-	ga := standing(10 * second)
+	ga := eligibleGate(10 * second)
 	const most = 8
 	var taken []time.Duration
 	for now := 10 * second; now < 18*second; now += 3 * ms {
@@ -59,52 +59,53 @@
 		is.True(n <= most)
 	}
 	is.True(len(taken) >= 7*most)
-	is.True(ga.Take(18*second, origin.Process{ID: "b"}, most)) // each server has its own
+	is.True(ga.Take(18*second, origin.Process{ID: "b"}, most)) // servers are counted separately
 }
 
-// looks has a VM look at its copy of the store a few times a second.
-func looks(ga *ramp.Gate, from, to, age time.Duration) {
+// observe calls Look a few times a second.
+func observe(ga *ramp.Gate, from, to, age time.Duration) {
 	for at := from; at <= to; at += 250 * ms {
 		ga.Look(at, age, true)
 	}
 }
 
-// A VM whose news is old may not know that another one has taken its place, and one that is
-// not listed, or since a moment ago only, is not known to the one before.
-func TestWhoMaySpeakForTheFleet(t *testing.T) {
+// A VM may act as owner only while its copy of the store is fresh and its entry has been in
+// it for long enough. With an old copy it may not know that another VM has become the owner;
+// if its own entry is missing or recent, the previous owner may not know it.
+func TestMayActAsOwner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		look func(ga *ramp.Gate)
 		want bool
 	}{
-		{"listed for long", func(ga *ramp.Gate) { looks(ga, 0, 10*second, 0) }, true},
-		{"news stopped a while ago", func(ga *ramp.Gate) {
-			looks(ga, 0, 9*second, 0)
+		{"listed long enough", func(ga *ramp.Gate) { observe(ga, 0, 10*second, 0) }, true},
+		{"no update for a second", func(ga *ramp.Gate) {
+			observe(ga, 0, 9*second, 0)
 			ga.Look(10*second, second, true)
 		}, true},
-		{"started just now", func(ga *ramp.Gate) { looks(ga, 8*second, 10*second, 0) }, false},
-		{"old news", func(ga *ramp.Gate) {
-			looks(ga, 0, 9*second, 0)
+		{"just started", func(ga *ramp.Gate) { observe(ga, 8*second, 10*second, 0) }, false},
+		{"old copy", func(ga *ramp.Gate) {
+			observe(ga, 0, 9*second, 0)
 			ga.Look(10*second, 1900*ms, true)
 		}, false},
-		{"not listed any more", func(ga *ramp.Gate) {
-			looks(ga, 0, 9*second, 0)
+		{"no longer listed", func(ga *ramp.Gate) {
+			observe(ga, 0, 9*second, 0)
 			ga.Look(10*second, 0, false)
 		}, false},
-		{"not listed for a moment", func(ga *ramp.Gate) {
-			looks(ga, 0, 8*second, 0)
+		{"briefly not listed", func(ga *ramp.Gate) {
+			observe(ga, 0, 8*second, 0)
 			ga.Look(8*second, 0, false)
-			looks(ga, 8*second, 10*second, 0)
+			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"old news until just now", func(ga *ramp.Gate) {
-			looks(ga, 0, 8*second, 2*second)
-			looks(ga, 8*second, 10*second, 0)
+		{"old copy until recently", func(ga *ramp.Gate) {
+			observe(ga, 0, 8*second, 2*second)
+			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"frozen until just now", func(ga *ramp.Gate) {
-			looks(ga, 0, 6*second, 0)
+		{"frozen until now", func(ga *ramp.Gate) {
+			observe(ga, 0, 6*second, 0)
 			ga.Look(10*second, 0, true)
 		}, false},
-		{"frozen since", func(ga *ramp.Gate) { looks(ga, 0, 8*second, 0) }, false},
+		{"frozen after the last update", func(ga *ramp.Gate) { observe(ga, 0, 8*second, 0) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ga := ramp.New()
@@ -114,9 +115,9 @@
 	}
 }
 
-// An owner that has no room is asked less and less often, until it had room again. Each request
-// that it denies has had the servers of all other shards work for nothing.
-func TestAskingGrowsRare(t *testing.T) {
+// An owner that denies requests is asked with increasing backoff until it sends one again.
+// For each denied request the servers of all other shards have done useless work.
+func TestBackoffAfterDenial(t *testing.T) {
 	is := is.New(t)
 	ga := ramp.New()
 	pr := origin.Process{ID: "a"}
@@ -125,7 +126,7 @@
 		if ga.MayAsk(now, pr) {
 			asked++
 			ga.Asked(now, pr, false)
-			ga.Asked(now+ms, pr, false) // another one that was under way
+			ga.Asked(now+ms, pr, false) // a second denial in flight at once
 		}
 	}
 	is.True(asked >= 6 && asked <= 9)
@@ -137,23 +138,23 @@
 	is.True(ga.MayAsk(10*second, pr))
 }
 
-// A VM without news may be cut off with others in its place: some of those that it asks answer.
-// It must not take that for a store that is away for all, or the servers that turned cold
-// meanwhile get from all of them what they got before.
+// A VM whose copy of the store is old may be cut off together with other VMs, some of which
+// answer its probes. It must not take this for a store outage that affects all VMs: servers
+// that turned cold meanwhile would get the same load from this group as before.
 func TestBlind(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		age  time.Duration
-		// of so many VMs that were asked so many answered.
+		// asked VMs were probed, and answered of them answered.
 		asked, answered int
 		want            bool
 	}{
-		{"news", second, 0, 0, false},
-		{"no news, nobody asked", 2 * second, 0, 0, true},
-		{"no news, all answer", 2 * second, 4, 4, false},
-		{"no news, one died", 2 * second, 4, 3, false},
-		{"no news, others are cut off too", 2 * second, 4, 2, true},
-		{"no news, nobody answers", 2 * second, 4, 0, true},
+		{"updates", second, 0, 0, false},
+		{"no updates, no probes", 2 * second, 0, 0, true},
+		{"no updates, all probes answered", 2 * second, 4, 4, false},
+		{"no updates, one probed VM failed", 2 * second, 4, 3, false},
+		{"no updates, half of the probes answered", 2 * second, 4, 2, true},
+		{"no updates, no probe answered", 2 * second, 4, 0, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -163,7 +164,7 @@
 				ga.Probed(10*second, i < tc.answered)
 			}
 			is.Equal(ga.Blind(10*second), tc.want)
-			is.True(ga.Blind(13 * second)) // and no word since
+			is.True(ga.Blind(13 * second)) // the answers have expired
 		})
 	}
 }
--- a/core/ramp/stale.go
+++ b/core/ramp/stale.go
@@ -3,56 +3,58 @@
 import "time"
 
 const (
-	// doubtAfter is how old news is before others are asked for a sign of life: older than it
-	// gets while the store is heard. Their answers count for probeFor; probesLeast of them, and
-	// probesShare of those that were asked, show that this VM reaches most others.
-	doubtAfter  = 1100 * time.Millisecond
-	probeFor    = 1500 * time.Millisecond
-	probesLeast = 2
-	probesShare = 0.75
+	// probeAfter is the age of the copy of the store from which other VMs are probed. The
+	// copy stays younger than that while the store is reachable. Answers count for
+	// probeWindow. At least minProbes probes, minAnsweredShare of them answered, show that
+	// this VM reaches most other VMs.
+	probeAfter       = 1100 * time.Millisecond
+	probeWindow      = 1500 * time.Millisecond
+	minProbes        = 2
+	minAnsweredShare = 0.75
 )
 
-// probe is one of them.
+// probe is the outcome of one probe.
 type probe struct {
 	at       time.Duration
 	answered bool
 }
 
-// Probed takes in whether a VM of another data centre gave a sign of life.
+// Probed records whether a VM of another data centre answered a probe.
 func (ga *Gate) Probed(now time.Duration, answered bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.probes = append(ga.probes, probe{at: now, answered: answered})
-	for len(ga.probes) > 0 && now-ga.probes[0].at > probeFor {
+	for len(ga.probes) > 0 && now-ga.probes[0].at > probeWindow {
 		ga.probes = ga.probes[1:]
 	}
 }
 
-// Doubts tells whether VMs of other data centres should be asked for a sign of life: this VM may
-// soon count as blind.
+// Doubts reports whether VMs of other data centres should be probed, because Blind may soon
+// become true.
 func (ga *Gate) Doubts(now time.Duration) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return now-ga.news > doubtAfter
+	return now-ga.copyAsOf > probeAfter
 }
 
-// Blind tells whether servers may have turned cold without this VM's knowing: it has had no news
-// for a while, and does not reach most others, which may have some. Those that it reaches would
-// have told it. Where all VMs lack news alike, nobody can have had a data centre evacuated.
+// Blind reports whether servers may have turned cold without this VM knowing: its copy of the
+// store has not been updated for a while, and it does not reach most other VMs, which may
+// have newer copies and would have sent it the update. If all VMs lack updates alike, no
+// operator can have evacuated a data centre either.
 func (ga *Gate) Blind(now time.Duration) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if now-ga.news <= FreshFor {
+	if now-ga.copyAsOf <= FreshFor {
 		return false
 	}
-	asked, answered := 0, 0
+	probed, answered := 0, 0
 	for _, pr := range ga.probes {
-		if now-pr.at <= probeFor {
-			asked++
+		if now-pr.at <= probeWindow {
+			probed++
 			if pr.answered {
 				answered++
 			}
 		}
 	}
-	return asked < probesLeast || float64(answered) < probesShare*float64(asked)
+	return probed < minProbes || float64(answered) < minAnsweredShare*float64(probed)
 }
