--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -1,8 +1,7 @@
-// Package rank tells which VMs do what for the others: who watches the
-// key-value service, who relays between data centres, and along which tree a
-// change travels. Every VM computes it from its own list of VMs by rendezvous
-// hashing, so that it needs no lease and no agreement; VMs whose lists differ
-// disagree for a while, and two that do the same work do no harm.
+// Package rank assigns duties to VMs: which VMs watch the key-value service, which relay
+// between data centres, and along which tree a change is distributed. Every VM computes this
+// from its own list of VMs by rendezvous hashing, without a lease or agreement. VMs whose
+// lists differ disagree for a while; two VMs with the same duty do no harm.
 //
 // # Usage
 //
@@ -10,8 +9,8 @@
 //	if tb.Watches() { ... }
 //	for _, vm := range tb.Children("east", changeID, tb.Self().Addr) { ... }
 //
-// A VM that joins or leaves moves only the work that falls to it: the order of
-// the others stays. A Table is immutable; make a new one when the list changes.
+// A VM that joins or leaves moves only its own duties: the order of the others does not
+// change. A Table is immutable; make a new one when the list changes.
 package rank
 
 import (
@@ -23,37 +22,37 @@
 
 // Defaults of a Config.
 const (
-	// DefaultWatchers is how many VMs of a data centre watch the service. One
-	// would leave a gap whenever it dies.
+	// DefaultWatchers is how many VMs of a data centre watch the key-value service. A single
+	// one would leave a gap whenever it fails.
 	DefaultWatchers = 2
-	// DefaultFanout is how many VMs each VM hands a change to.
+	// DefaultFanout is how many VMs each VM forwards a change to.
 	DefaultFanout = 8
 )
 
-// VM is one VM of the fleet, named by its inner address.
+// VM is one VM of the fleet, identified by its inner address.
 type VM struct {
 	Addr       string
 	DataCentre string
 }
 
-// Config sets a Table. Zero counts take the defaults.
+// Config configures a Table. Counts of 0 take the defaults.
 type Config struct {
-	// Self is this VM; it counts as one of VMs whether listed or not.
+	// Self is this VM. It counts as one of VMs whether listed or not.
 	Self     VM
 	VMs      []VM
 	Watchers int
 	Fanout   int
 }
 
-// Table is the ranking that follows from one list of VMs.
+// Table is the immutable ranking of one list of VMs.
 type Table struct {
-	cfg     Config
-	centres []string
-	members map[string][]VM
-	watches bool
+	cfg          Config
+	dataCentres  []string
+	byDataCentre map[string][]VM
+	watches      bool
 }
 
-// New ranks the VMs.
+// New returns the ranking of the configured VMs. VMs with the same Addr count once.
 func New(cfg Config) *Table {
 	if cfg.Watchers <= 0 {
 		cfg.Watchers = DefaultWatchers
@@ -61,50 +60,51 @@
 	if cfg.Fanout <= 0 {
 		cfg.Fanout = DefaultFanout
 	}
-	tb := &Table{cfg: cfg, members: make(map[string][]VM)}
+	tb := &Table{cfg: cfg, byDataCentre: make(map[string][]VM)}
 	seen := make(map[string]bool, len(cfg.VMs)+1)
 	for _, vm := range append([]VM{cfg.Self}, cfg.VMs...) {
 		if seen[vm.Addr] {
 			continue
 		}
 		seen[vm.Addr] = true
-		tb.members[vm.DataCentre] = append(tb.members[vm.DataCentre], vm)
+		tb.byDataCentre[vm.DataCentre] = append(tb.byDataCentre[vm.DataCentre], vm)
 	}
-	for name := range tb.members {
-		tb.centres = append(tb.centres, name)
+	for name := range tb.byDataCentre {
+		tb.dataCentres = append(tb.dataCentres, name)
 	}
-	slices.Sort(tb.centres)
-	tb.watches = tb.rankedFirst(cfg.Self)
+	slices.Sort(tb.dataCentres)
+	tb.watches = tb.isWatcher(cfg.Self)
 	return tb
 }
 
+// watchSalt keeps the order of VMs for watching independent of other orders.
 const watchSalt = "watch"
 
-// Order sorts VMs by their hash with a salt, highest first. Different salts give
-// orders that have nothing to do with each other.
+// Order returns the VMs sorted by their hash with a salt, highest first. Different salts give
+// independent orders.
 func Order(vms []VM, salt string) []VM {
 	type scored struct {
 		vm    VM
 		score uint64
 	}
-	scs := make([]scored, len(vms))
+	scores := make([]scored, len(vms))
 	for i, vm := range vms {
-		scs[i] = scored{vm: vm, score: Hash(salt, vm.Addr)}
+		scores[i] = scored{vm: vm, score: Hash(salt, vm.Addr)}
 	}
-	slices.SortFunc(scs, func(a, b scored) int {
+	slices.SortFunc(scores, func(a, b scored) int {
 		if c := cmp.Compare(b.score, a.score); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.vm.Addr, b.vm.Addr)
 	})
-	out := make([]VM, len(scs))
-	for i, sc := range scs {
-		out[i] = sc.vm
+	out := make([]VM, len(scores))
+	for i, score := range scores {
+		out[i] = score.vm
 	}
 	return out
 }
 
-// Hash is the place of a name in the order with a salt.
+// Hash returns the rendezvous score of an address with a salt.
 func Hash(salt, addr string) uint64 {
 	var di xxhash.Digest
 	di.Reset()
@@ -115,51 +115,53 @@
 	return di.Sum64()
 }
 
-// Self is this VM.
+// Self returns this VM.
 func (tb *Table) Self() VM { return tb.cfg.Self }
 
-// Size is the number of VMs, this one counted.
+// Size returns the number of VMs, including this one.
 func (tb *Table) Size() int {
 	n := 0
-	for _, vms := range tb.members {
+	for _, vms := range tb.byDataCentre {
 		n += len(vms)
 	}
 	return n
 }
 
-// DataCentres lists the data centres, sorted.
-func (tb *Table) DataCentres() []string { return tb.centres }
+// DataCentres lists the data centres in alphabetical order. The caller must not modify the
+// list.
+func (tb *Table) DataCentres() []string { return tb.dataCentres }
 
-// Members lists the VMs of a data centre. The caller must not change it.
-func (tb *Table) Members(dataCentre string) []VM { return tb.members[dataCentre] }
+// Members lists the VMs of a data centre. The caller must not modify the list.
+func (tb *Table) Members(dataCentre string) []VM { return tb.byDataCentre[dataCentre] }
 
-// Ranked lists the VMs of a data centre in the order in which watching and
-// relaying fall to them. It sorts them anew at each call.
+// Ranked lists the VMs of a data centre in the order in which they are chosen for watching
+// and relaying. It sorts them at each call.
 func (tb *Table) Ranked(dataCentre string) []VM {
-	return Order(tb.members[dataCentre], watchSalt)
+	return Order(tb.byDataCentre[dataCentre], watchSalt)
 }
 
-// Watches tells whether it falls to this VM to watch the service, and to relay
-// between its data centre and the others.
+// Watches reports whether this VM has to watch the key-value service and to relay between its
+// data centre and the others.
 func (tb *Table) Watches() bool { return tb.watches }
 
-// rankedFirst counts the VMs of the data centre that come before vm, which is
-// cheaper than sorting them.
-func (tb *Table) rankedFirst(vm VM) bool {
-	before := 0
-	own := Hash(watchSalt, vm.Addr)
-	for _, other := range tb.members[vm.DataCentre] {
-		sc := Hash(watchSalt, other.Addr)
-		if sc > own || sc == own && other.Addr < vm.Addr {
-			before++
+// isWatcher reports whether a VM is among the first Watchers of its data centre. It counts
+// the VMs that rank before it, which is cheaper than sorting all.
+func (tb *Table) isWatcher(vm VM) bool {
+	rank := 0
+	ownScore := Hash(watchSalt, vm.Addr)
+	for _, other := range tb.byDataCentre[vm.DataCentre] {
+		score := Hash(watchSalt, other.Addr)
+		if score > ownScore || score == ownScore && other.Addr < vm.Addr {
+			rank++
 		}
 	}
-	return before < tb.cfg.Watchers
+	return rank < tb.cfg.Watchers
 }
 
-// Root is the VM of a data centre where the tree of a change begins.
+// Root returns the VM of a data centre at which the distribution tree of a change starts, and
+// false if the data centre has no VMs.
 func (tb *Table) Root(dataCentre, changeID string) (VM, bool) {
-	vms := tb.members[dataCentre]
+	vms := tb.byDataCentre[dataCentre]
 	if len(vms) == 0 {
 		return VM{}, false
 	}
@@ -172,16 +174,16 @@
 	return best, true
 }
 
-// Children are the VMs to which a VM hands a change on within a data centre.
-// Each change has a tree of its own, drawn by its id: with one tree for all,
-// the same few inner VMs would send every change many times and the leaves none.
+// Children lists the VMs to which a VM forwards a change within a data centre. Each change
+// has a tree of its own that depends on its ID: with a single tree the same few inner VMs
+// would send every change several times, and the leaves none.
 func (tb *Table) Children(dataCentre, changeID, addr string) []VM {
-	order := Order(tb.members[dataCentre], changeID)
-	at := slices.IndexFunc(order, func(vm VM) bool { return vm.Addr == addr })
-	if at < 0 {
+	order := Order(tb.byDataCentre[dataCentre], changeID)
+	index := slices.IndexFunc(order, func(vm VM) bool { return vm.Addr == addr })
+	if index < 0 {
 		return nil
 	}
-	from := min(at*tb.cfg.Fanout+1, len(order))
+	from := min(index*tb.cfg.Fanout+1, len(order))
 	to := min(from+tb.cfg.Fanout, len(order))
 	return order[from:to]
 }
--- a/core/rank/rank_test.go
+++ b/core/rank/rank_test.go
@@ -20,7 +20,7 @@
 	return vms
 }
 
-func TestWatchers(t *testing.T) {
+func TestWatchersAreFirstInRank(t *testing.T) {
 	for _, each := range []int{1, 2, 3, 50} {
 		is := is.New(t)
 		vms := fleet(3, each)
@@ -40,9 +40,9 @@
 	}
 }
 
-func TestTreeReachesEachOnce(t *testing.T) {
-	// Whatever the change, handing it from the root to children reaches every
-	// VM of the data centre, and each once.
+func TestTreeReachesEachVMOnce(t *testing.T) {
+	// For every change, forwarding from the root to the children reaches every VM of the data
+	// centre exactly once.
 	is := is.New(t)
 	vms := fleet(2, 100)
 	tb := rank.New(rank.Config{Self: vms[0], VMs: vms})
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestOrderMovesLittle(t *testing.T) {
-	// A VM leaves: the others keep their order, so that no work moves but its own.
+func TestOrderIsStableWhenVMLeaves(t *testing.T) {
+	// When a VM leaves, the others keep their order, so that only its own duties move.
 	is := is.New(t)
 	vms := fleet(1, 20)
 	before := rank.Order(vms, "watch")
