--- a/core/reach/enter.go
+++ b/core/reach/enter.go
@@ -2,16 +2,18 @@
 
 import "time"
 
-// enterMost bounds how long a VM that has just started stays out of the rotation for
-// another one's word: longer than the judge needs to find a cut with it.
-const enterMost = 2 * time.Second
+// maxEnterDelay bounds how long a VM that has just started stays out of the load balancer's
+// rotation because of another VM's report. It exceeds the time that the VM's own Judge needs
+// to detect a cut with such a report.
+const maxEnterDelay = 2 * time.Second
 
-// Enters tells whether a VM that has just started may enter the rotation; waited is how
-// long it could have. While a data centre is cut off, all its VMs are out, and the balancer
-// sends clients elsewhere; a VM that starts there has its configuration from its
-// neighbours, and as the only one that is ready would get the clients of all, which it
-// cannot serve. So it stays out while a neighbour has proof of a cut and it has heard
-// nothing from beyond itself: its silence is as long as it runs.
+// Enters reports whether a VM that has just started may enter the load balancer's rotation;
+// waited is how long it has been ready for that. While a data centre is cut off, all its VMs
+// are out of rotation and the balancer sends clients elsewhere. A VM that starts there gets
+// its configuration from VMs of the data centre. As the only VM in rotation it would get all
+// clients and could not serve them. So it stays out while another VM reports proof of a cut
+// (told) and nothing has been received from outside the data centre since its start (silence
+// is at least uptime).
 func Enters(told bool, silence, uptime, waited time.Duration) bool {
-	return !told || silence < uptime || waited >= enterMost
+	return !told || silence < uptime || waited >= maxEnterDelay
 }
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -1,5 +1,5 @@
-// Package reach decides whether a VM is cut off from most servers, so that
-// clients are better off with another one.
+// Package reach detects whether a VM is cut off from most servers, so that the load balancer
+// should send its clients to other VMs.
 //
 // # Usage
 //
@@ -8,149 +8,151 @@
 //
 // # Why
 //
-// The balancer sends clients to a VM as long as its check succeeds. Behind a
-// partition the VM still gets them and cannot serve them, for too few shards have
-// a server on its side. A VM that hears nobody from beyond its data centre but
-// serves its clients stays, and so does one that cannot serve them but hears the
-// others: there the servers are at fault, and no VM would do better.
+// The load balancer sends clients to a VM as long as its health check succeeds. Behind a
+// network partition the VM still gets clients but cannot serve them, because too few shards
+// have a server on its side. A VM that receives nothing from outside its data centre but
+// serves its clients stays in rotation. So does a VM that cannot serve its clients but
+// receives messages from outside: then the servers are at fault, and no other VM would do
+// better.
 //
-// How long a silence proves anything hangs on what should have been heard: a VM with
-// many requests is owed dozens of answers within a tenth of a second, one with two a
-// second hardly any. So a short silence is enough where answers are owed and VMs
-// elsewhere do not answer either: found after 0.35 s in place of 1.25, with which the
-// callers of a cut-off data centre were refused for 1.9 s in place of 2.6.
+// How long a silence must last to prove a cut depends on what should have been received: a VM
+// with many requests expects dozens of answers within a tenth of a second, one with two
+// requests a second hardly any. A short silence is therefore enough if answers are overdue
+// and VMs in other data centres do not answer probes either. This detects a cut after 0.35 s
+// instead of 1.25 s, with which the callers of a cut-off data centre were refused for 1.9 s
+// instead of 2.6 s.
 //
-// Of the VMs of a data centre only some are owed answers, but the balancer sends clients to
-// all of them as long as one of them passes its check. So whoever has proven the cut tells
-// the first VM of the data centre, from which the others hear of it at once; each then asks
-// for a sign of life itself. With 28 VMs of which two had requests, the last one found the
-// cut after 0.55 s in place of 1.65.
+// Only some VMs of a data centre have overdue answers, but the balancer sends clients to all
+// of them as long as one passes its health check. So a VM that has proven a cut reports it to
+// the first VM of the data centre, which passes the report on to the others at once; each of
+// them then sends probes itself. With 28 VMs of which two had requests, the last VM detected
+// the cut after 0.55 s instead of 1.65 s.
 //
-// All requests that were not served count, whatever was said of them: in the first
-// seconds of a partition attempts hang until a deadline, then there seems to be no
-// room, and only when all far servers count as dark there is no server.
+// All requests that were not served count, whatever the reason. In the first seconds of a
+// partition attempts hang until a deadline; then requests seem to be refused for lack of
+// capacity; and only when all remote servers are considered down is the reason that there is
+// no server.
 package reach
 
 import "time"
 
 // Defaults of a Config.
 const (
-	// DefaultSilence is how long nothing is heard from beyond the data centre
-	// before a VM whose requests fail thinks itself cut off. While the store is
-	// heard once a second, silence seldom lasts 1 s; after that a VM there is
-	// asked for a sign of life, and the rest is for its answer.
+	// DefaultSilence is how long nothing must be received from outside the data centre before
+	// a VM with failing requests counts as cut off. While the store sends an update every
+	// second, a silence seldom lasts 1 s. After 1 s a VM elsewhere is probed; the rest of the
+	// time is for its answer.
 	DefaultSilence = 1250 * time.Millisecond
-	// DefaultIdle is the same for a VM that cannot serve alone, whatever became
-	// of its own requests. It may have none; but a balancer that finds half of a
-	// data centre's VMs ready sends clients to all of them, and one that finds
-	// any does not send them elsewhere.
-	DefaultIdle = 1600 * time.Millisecond
-	// DefaultOwed is how many answers of other data centres must be overdue or lost,
-	// with none heard meanwhile, for a shorter silence to prove as much, and
-	// DefaultSoon is that silence: above the pauses of a server and of this VM's own
-	// processor, and short beside what the balancer takes to send clients elsewhere.
-	// A VM with twenty requests a second over ten shards has as many within it.
-	// Since all of them may be due to servers at fault, VMs there are asked for a sign
-	// of life too.
-	DefaultOwed = 5
-	DefaultSoon = 150 * time.Millisecond
-	// DefaultShare is the share of requests that must fail for clients to be
-	// better off elsewhere, DefaultLeast the least number that is judged, for a
-	// small VM gets one or two a second, and DefaultEvery the least time over
-	// which they are counted: half of what the balancer takes from one check to
-	// the next.
-	DefaultShare = 0.25
-	DefaultLeast = 2
-	DefaultEvery = 500 * time.Millisecond
+	// DefaultIdleSilence is the same for a VM whose local servers do not suffice, whatever
+	// became of its own requests. It may have none; but a balancer that finds half of a data
+	// centre's VMs ready sends clients to all of them, and one that finds any VM ready does
+	// not send clients elsewhere.
+	DefaultIdleSilence = 1600 * time.Millisecond
+	// DefaultMinOwed is how many answers from other data centres must be overdue or lost,
+	// with none received meanwhile, for the shorter DefaultSoon to suffice as silence.
+	// DefaultSoon exceeds the pauses of a server and of this VM's own processor, and is short
+	// compared with the time that the balancer takes to send clients elsewhere. A VM with
+	// twenty requests a second over ten shards has that many answers overdue within it. Since
+	// faulty servers could be the cause of all of them, VMs in other data centres are probed
+	// too.
+	DefaultMinOwed = 5
+	DefaultSoon    = 150 * time.Millisecond
+	// DefaultFailedShare is the share of requests that must fail for clients to be better
+	// served by other VMs. DefaultMinRequests is the minimum number of requests for this
+	// decision, since a small VM gets one or two a second. DefaultInterval is the minimum
+	// time over which requests are counted: half of the balancer's health check interval.
+	DefaultFailedShare = 0.25
+	DefaultMinRequests = 2
+	DefaultInterval    = 500 * time.Millisecond
 )
 
-// Config sets a judge; fields that are 0 take the defaults.
+// Config configures a Judge. Fields that are 0 take the defaults, which describe them.
 type Config struct {
-	Silence time.Duration
-	Idle    time.Duration
-	Soon    time.Duration
-	Owed    int
-	// Share is 0 to 1.
-	Share float64
-	Least int64
-	Every time.Duration
+	Silence      time.Duration
+	IdleSilence  time.Duration
+	ShortSilence time.Duration
+	MinOwed      int
+	// FailedShare is 0 to 1.
+	FailedShare float64
+	MinRequests int64
+	Interval    time.Duration
 }
 
-// Sight is what a VM sees at one moment.
+// Sight is what a VM observes at one moment.
 type Sight struct {
-	// Silence is the time since anything was heard from beyond the data centre.
+	// Silence is the time since anything was received from outside the data centre.
 	Silence time.Duration
-	// Owed is how many answers of other data centres are overdue, or were lost since
-	// one was heard. Mute is set if VMs there were asked for a sign of life within the
-	// silence, and gave none.
+	// Owed is how many answers from other data centres are overdue or were lost since one was
+	// received. Mute is set if VMs there were probed during the silence and none answered.
 	Owed int
 	Mute bool
-	// Told is set if another VM of the data centre has proven lately that it is cut off.
+	// Told is set if another VM of the data centre has recently reported proof that the data
+	// centre is cut off.
 	Told bool
-	// Asked counts all requests since the start, Unserved those of them that
-	// were not served.
+	// Asked counts all requests since the start, Unserved those of them that were not served.
 	Asked, Unserved int64
-	// Lacking is set if the servers of the own data centre do not suffice for
-	// some route, whoever asks.
+	// Lacking is set if the servers of this VM's data centre do not suffice for some route,
+	// whether it has requests or not.
 	Lacking bool
 }
 
-// Judge keeps what was seen. It is not safe for concurrent use.
+// Judge decides from successive observations whether a VM is cut off. It is not safe for
+// concurrent use.
 type Judge struct {
-	cfg     Config
-	dueAt   time.Duration
-	before  Sight
-	failing bool
-	off     bool
+	cfg      Config
+	countAt  time.Duration
+	baseline Sight
+	failing  bool
+	cutOff   bool
 }
 
-// New makes the judge of a VM that is not cut off.
+// New returns the Judge of a VM that is not cut off.
 func New(cfg Config) *Judge {
 	if cfg.Silence == 0 {
 		cfg.Silence = DefaultSilence
 	}
-	if cfg.Idle == 0 {
-		cfg.Idle = DefaultIdle
+	if cfg.IdleSilence == 0 {
+		cfg.IdleSilence = DefaultIdleSilence
 	}
-	if cfg.Soon == 0 {
-		cfg.Soon = DefaultSoon
+	if cfg.ShortSilence == 0 {
+		cfg.ShortSilence = DefaultSoon
 	}
-	if cfg.Owed == 0 {
-		cfg.Owed = DefaultOwed
+	if cfg.MinOwed == 0 {
+		cfg.MinOwed = DefaultMinOwed
 	}
-	if cfg.Share == 0 {
-		cfg.Share = DefaultShare
+	if cfg.FailedShare == 0 {
+		cfg.FailedShare = DefaultFailedShare
 	}
-	if cfg.Least == 0 {
-		cfg.Least = DefaultLeast
+	if cfg.MinRequests == 0 {
+		cfg.MinRequests = DefaultMinRequests
 	}
-	if cfg.Every == 0 {
-		cfg.Every = DefaultEvery
+	if cfg.Interval == 0 {
+		cfg.Interval = DefaultInterval
 	}
 	return &Judge{cfg: cfg}
 }
 
-// Look tells whether the VM is cut off. While it is, it has few requests, and is
-// until it hears somebody again.
+// Look reports whether the VM is cut off. While it is, it gets few requests and its state is
+// kept until something is received from outside the data centre again.
 func (ju *Judge) Look(now time.Duration, si Sight) bool {
-	asked, failed := si.Asked-ju.before.Asked, si.Unserved-ju.before.Unserved
-	if now >= ju.dueAt && asked >= ju.cfg.Least {
-		ju.failing = float64(failed) >= ju.cfg.Share*float64(asked)
-		ju.before, ju.dueAt = si, now+ju.cfg.Every
+	requests, failed := si.Asked-ju.baseline.Asked, si.Unserved-ju.baseline.Unserved
+	if now >= ju.countAt && requests >= ju.cfg.MinRequests {
+		ju.failing = float64(failed) >= ju.cfg.FailedShare*float64(requests)
+		ju.baseline, ju.countAt = si, now+ju.cfg.Interval
 	}
 	proven := si.Mute && ju.Doubts(si)
-	silent := proven || si.Silence > ju.cfg.Silence || ju.off && si.Silence > ju.cfg.Soon
-	idle := si.Lacking && (proven || si.Silence > ju.cfg.Idle)
-	ju.off = silent && (ju.failing || ju.off || idle)
-	return ju.off
+	silent := proven || si.Silence > ju.cfg.Silence || ju.cutOff && si.Silence > ju.cfg.ShortSilence
+	idle := si.Lacking && (proven || si.Silence > ju.cfg.IdleSilence)
+	ju.cutOff = silent && (ju.failing || ju.cutOff || idle)
+	return ju.cutOff
 }
 
-// Doubts tells whether VMs of other data centres should be asked for a sign of life: more
-// answers are owed than chance explains, or another VM here says so. That one may be at
-// fault itself, so that its word proves nothing.
+// Doubts reports whether VMs of other data centres should be probed: more answers are overdue
+// than chance explains, or another VM of this data centre reports a cut. The other VM may be
+// at fault itself, so its report alone proves nothing.
 func (ju *Judge) Doubts(si Sight) bool {
-	return si.Silence > ju.cfg.Soon && (si.Owed >= ju.cfg.Owed || si.Told)
+	return si.Silence > ju.cfg.ShortSilence && (si.Owed >= ju.cfg.MinOwed || si.Told)
 }
 
-// Failing tells whether too many of the requests lately were not served.
+// Failing reports whether too many of the recent requests were not served.
 func (ju *Judge) Failing() bool { return ju.failing }
--- a/core/reach/told_test.go
+++ b/core/reach/told_test.go
@@ -10,59 +10,59 @@
 	"laburnumvane/core/reach"
 )
 
-// A data centre of 28 VMs is cut off, and two of them are owed answers by servers
-// elsewhere. Its clients are refused until the last of the 28 fails the balancer's check,
-// and those without requests have only the long silence to go by. Told by the first VM,
-// which was told by one of the two, each asks for a sign of life and finds the cut. The
-// first VM passes the word on before it has its own proof, or the others would wait for two
-// signs of life in a row.
-func TestOneProofIsEnoughForADataCentre(t *testing.T) {
+// A data centre of 28 VMs is cut off, and only two of them have overdue answers. Its clients
+// are refused until the last of the 28 VMs fails its health check, and VMs without requests
+// would need the long silence to detect the cut. With the report of the first VM, which gets
+// it from one of the two, each sends probes and detects the cut. The first VM relays the
+// report before it has its own proof; otherwise the others would wait for two probes in a
+// row.
+func TestReportsSpeedUpDetection(t *testing.T) {
 	is := is.New(t)
-	alone, told, passed := lastToFind(tellsNobody), lastToFind(tellsProof), lastToFind(passesOn)
-	t.Logf("the last VM finds the cut after %v, told after %v, told before the first VM's proof after %v", alone, told, passed)
-	is.True(alone > 1600*ms)
-	is.True(told <= 800*ms)
-	is.True(passed <= told-150*ms)
+	without, proof, relayed := lastDetection(reportsNothing), lastDetection(reportsOwnProof), lastDetection(relaysReports)
+	t.Logf("last detection without reports: %v, with the first VM's proof: %v, with relayed reports: %v", without, proof, relayed)
+	is.True(without > 1600*ms)
+	is.True(proof <= 800*ms)
+	is.True(relayed <= proof-150*ms)
 }
 
-// telling is what the first VM does with another one's word.
-type telling int
+// reporting is what the first VM does with another VM's report.
+type reporting int
 
 const (
-	tellsNobody telling = iota
-	tellsProof
-	passesOn
+	reportsNothing reporting = iota
+	reportsOwnProof
+	relaysReports
 )
 
-// lastToFind plays a cut and returns when the last VM has found it.
-func lastToFind(tells telling) time.Duration {
+// lastDetection simulates a cut and returns when the last VM has detected it.
+func lastDetection(mode reporting) time.Duration {
 	const (
-		vms, busy = 28, 2
-		look      = 50 * ms
-		probe     = 150 * ms
+		vms, overdue = 28, 2
+		look         = 50 * ms
+		probeTime    = 150 * ms
 	)
 	judges := make([]*reach.Judge, vms)
 	found := make([]time.Duration, vms)
-	asked := make([]time.Duration, vms)
+	probedAt := make([]time.Duration, vms)
 	for i := range judges {
 		judges[i] = reach.New(reach.Config{})
 	}
 	for now := look; slices.Contains(found, 0); now += look {
 		for i, ju := range judges {
-			// VM 0 is the first; it hears from the two that are owed answers, and all
-			// others hear from it.
+			// VM 0 is the first VM. It gets reports from the VMs with overdue answers; all
+			// others get them from it.
 			source := found[0]
-			if i == 0 || tells == passesOn {
-				source = earliest(found[vms-busy:])
+			if i == 0 || mode == relaysReports {
+				source = earliestPositive(found[vms-overdue:])
 			}
-			si := reach.Sight{Silence: now, Lacking: true, Told: tells != tellsNobody && source > 0 && source < now}
-			if i >= vms-busy {
+			si := reach.Sight{Silence: now, Lacking: true, Told: mode != reportsNothing && source > 0 && source < now}
+			if i >= vms-overdue {
 				si.Owed = int(now / (20 * ms))
 			}
-			if ju.Doubts(si) && asked[i] == 0 {
-				asked[i] = now
+			if ju.Doubts(si) && probedAt[i] == 0 {
+				probedAt[i] = now
 			}
-			si.Mute = asked[i] > 0 && now >= asked[i]+probe
+			si.Mute = probedAt[i] > 0 && now >= probedAt[i]+probeTime
 			if ju.Look(now, si) && found[i] == 0 {
 				found[i] = now
 			}
@@ -71,7 +71,7 @@
 	return slices.Max(found)
 }
 
-func earliest(times []time.Duration) time.Duration {
+func earliestPositive(times []time.Duration) time.Duration {
 	first := time.Duration(0)
 	for _, at := range times {
 		if at > 0 && (first == 0 || at < first) {
@@ -81,19 +81,19 @@
 	return first
 }
 
-// A VM says that the data centre is cut off, and is at fault itself: it lost its own
-// connections. The others hear servers and VMs elsewhere, and must not leave the rotation
-// for its word.
-func TestAWordAloneProvesNothing(t *testing.T) {
+// A VM reports that the data centre is cut off but is at fault itself: it lost its own
+// connections. The other VMs receive messages from outside, and must not leave the rotation
+// because of its report alone.
+func TestReportAloneIsNoProof(t *testing.T) {
 	cases := []struct {
 		name    string
 		silence time.Duration
 		mute    bool
 		off     bool
 	}{
-		{"others are heard", 50 * ms, false, false},
-		{"silent, and VMs elsewhere answer", 300 * ms, false, false},
-		{"silent, and nobody answers", 300 * ms, true, true},
+		{"no silence", 50 * ms, false, false},
+		{"silence, probes answered", 300 * ms, false, false},
+		{"silence, no probe answered", 300 * ms, true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -104,9 +104,9 @@
 	}
 }
 
-// A VM starts in a data centre that is cut off, while all others there are out of the
-// rotation. As the only one that is ready it got the clients of all for a second and more,
-// until it found the cut itself, and refused them.
+// A VM starts in a data centre that is cut off, while all other VMs there are out of the load
+// balancer's rotation. As the only VM in rotation it got all clients for more than a second
+// until it detected the cut itself, and refused them.
 func TestEnters(t *testing.T) {
 	const uptime = 200 * ms
 	cases := []struct {
@@ -116,10 +116,10 @@
 		waited  time.Duration
 		enters  bool
 	}{
-		{"nobody speaks of a cut", false, uptime, 0, true},
-		{"a neighbour has proof", true, uptime, 0, false},
-		{"and somebody beyond was heard", true, 10 * ms, 0, true},
-		{"and the judge had its time", true, uptime, 2 * time.Second, true},
+		{"no cut reported", false, uptime, 0, true},
+		{"cut reported", true, uptime, 0, false},
+		{"cut reported, message received from outside", true, 10 * ms, 0, true},
+		{"cut reported, maximum delay passed", true, uptime, 2 * time.Second, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
