--- a/core/lead/lead.go
+++ b/core/lead/lead.go
@@ -1,5 +1,5 @@
-// Package lead works out how long before a caller's target an answer has to leave
-// this VM, so that it arrives in time.
+// Package lead computes how long before a caller's target time an answer has to leave this VM
+// to arrive in time.
 //
 // # Usage
 //
@@ -10,17 +10,17 @@
 //
 // # Why
 //
-// An answer that waits for its last part goes out just before the target, whole or
-// not. A fixed allowance for the way suits one distance of callers only: with 6 ms,
-// and callers 3 ms away, every such answer arrived a moment after the target, and
-// 88 of 100 requests were answered in time on a day with slow and lost servers.
-// With the way as the kernel sees it on the caller's own connection it was 92, and
-// with 58 small VMs 79 in place of 66.
+// An answer that waits for its last part is sent just before the target time, complete or
+// not. A fixed allowance for the transit time suits one distance of callers only: with 6 ms,
+// and callers 3 ms away, every such answer arrived a moment after the target, and 88 of 100
+// requests were answered in time on a day with slow and lost servers. With the round-trip
+// time that the kernel measures on the caller's own connection it was 92, and with 58 small
+// VMs 79 instead of 66.
 //
-// What a caller has waited before its request came counts too: half a round trip,
-// and on a connection that it opened for the request one more.
+// The time that a caller waited before its request arrived counts too: half a round trip, and
+// one more round trip if it opened the connection for the request.
 //
-// A Lead may be used from many goroutines.
+// A Lead is safe for concurrent use.
 package lead
 
 import (
@@ -31,60 +31,60 @@
 
 // Defaults of a Config.
 const (
-	// DefaultRoundTrip is assumed where the kernel does not know one: that of a
-	// caller in the same city, and some room.
+	// DefaultRoundTrip is assumed if the kernel has no measurement: the round-trip time of a
+	// caller in the same city, and some margin.
 	DefaultRoundTrip = 4500 * time.Microsecond
-	// DefaultWriting is what joining the parts, writing the answer and reading it
-	// at the other end take. With 20 records of 16 bytes it is below 1 ms on 0.4 of
-	// a core; the rest is for the spread of the way.
-	DefaultWriting = 1500 * time.Microsecond
+	// DefaultWriteTime is the time for merging the parts, writing the answer and reading it
+	// at the other end. With 20 records of 16 bytes this takes less than 1 ms on 0.4 of a
+	// core; the rest is for the variation of the transit time.
+	DefaultWriteTime = 1500 * time.Microsecond
 )
 
 const (
-	// mostLate bounds the lateness that is allowed for: a VM that stood still for
-	// seconds says nothing of the next timer.
-	mostLate = 20 * time.Millisecond
-	// raise and lower are the weights of a lateness above and below the one that
-	// is allowed for: it settles where about one timer in ten is later.
-	raise = 0.3
-	lower = 0.03
+	// maxLateness bounds the timer lateness that is allowed for: a VM that was paused for
+	// seconds says nothing about its next timer.
+	maxLateness = 20 * time.Millisecond
+	// riseWeight and fallWeight are the weights of an observed lateness above and below the
+	// current estimate. With them the estimate settles where about one timer in ten is later.
+	riseWeight = 0.3
+	fallWeight = 0.03
 )
 
-// Config sets a Lead; fields that are 0 take the defaults.
+// Config configures a Lead. Fields that are 0 take the defaults.
 type Config struct {
 	RoundTrip time.Duration
-	Writing   time.Duration
+	WriteTime time.Duration
 }
 
-// Trip is what is known of the way between a caller and this VM.
+// Trip describes the path between a caller and this VM.
 type Trip struct {
-	// RoundTrip is that of its connection; 0 if it is not known.
+	// RoundTrip is the round-trip time of its connection; 0 if unknown.
 	RoundTrip time.Duration
-	// Fresh is set for the first request of a connection, for whose opening the
-	// caller waited too.
+	// Fresh is set for the first request of a connection: the caller also waited for the
+	// connection to be opened.
 	Fresh bool
 }
 
-// Lead keeps what was seen of this VM's own timers.
+// Lead estimates the lateness of this VM's timers.
 type Lead struct {
 	cfg Config
-	// late holds the bits of a float64, in nanoseconds.
-	late atomic.Uint64
+	// latenessBits holds the bits of a float64, in nanoseconds.
+	latenessBits atomic.Uint64
 }
 
-// New makes a Lead that knows of no late timer.
+// New returns a Lead that allows for no timer lateness yet.
 func New(cfg Config) *Lead {
 	if cfg.RoundTrip <= 0 {
 		cfg.RoundTrip = DefaultRoundTrip
 	}
-	if cfg.Writing <= 0 {
-		cfg.Writing = DefaultWriting
+	if cfg.WriteTime <= 0 {
+		cfg.WriteTime = DefaultWriteTime
 	}
 	return &Lead{cfg: cfg}
 }
 
-// Away is the time that a caller waits outside this VM: before its request came, and
-// until the answer is with it.
+// Away returns the time that a caller waits outside this VM: before its request arrived, and
+// until it has the answer.
 func (ld *Lead) Away(tr Trip) time.Duration {
 	if tr.RoundTrip <= 0 {
 		tr.RoundTrip = ld.cfg.RoundTrip
@@ -95,26 +95,26 @@
 	return tr.RoundTrip
 }
 
-// Own is the time that this VM needs itself, from the moment that an answer is due
-// to the end of its writing.
-func (ld *Lead) Own() time.Duration { return ld.cfg.Writing + ld.lateness() }
+// Own returns the time that this VM itself needs, from when an answer is due until it is
+// written.
+func (ld *Lead) Own() time.Duration { return ld.cfg.WriteTime + ld.lateness() }
 
-// Time is how long before the target an answer has to leave.
+// Time returns how long before the target time an answer has to leave.
 func (ld *Lead) Time(tr Trip) time.Duration { return ld.Away(tr) + ld.Own() }
 
 func (ld *Lead) lateness() time.Duration {
-	return time.Duration(math.Float64frombits(ld.late.Load()))
+	return time.Duration(math.Float64frombits(ld.latenessBits.Load()))
 }
 
-// Woke takes in how late a timer fired. A VM whose processor is short wakes late,
-// and has to aim earlier.
+// Woke records how late a timer fired. A VM that lacks processor time runs its timers late
+// and has to set them earlier.
 func (ld *Lead) Woke(late time.Duration) {
-	seen := float64(min(max(late, 0), mostLate))
-	was := float64(ld.lateness())
-	weight := lower
-	if seen > was {
-		weight = raise
+	observed := float64(min(max(late, 0), maxLateness))
+	estimate := float64(ld.lateness())
+	weight := fallWeight
+	if observed > estimate {
+		weight = riseWeight
 	}
-	// Two at once may lose one of them, which changes nothing much.
-	ld.late.Store(math.Float64bits(was + weight*(seen-was)))
+	// Of two concurrent updates one may be lost, which hardly changes the estimate.
+	ld.latenessBits.Store(math.Float64bits(estimate + weight*(observed-estimate)))
 }
--- a/core/lead/lead_test.go
+++ b/core/lead/lead_test.go
@@ -13,10 +13,10 @@
 
 const ms = time.Millisecond
 
-// Callers stand 1, 3 and 12 ms away, on kept and on fresh connections. Each waits
-// for an answer that is sent when its time has come, and must have it by its target,
-// and not much before: each millisecond too early is one less for the last shard.
-func TestArrivesByTheTarget(t *testing.T) {
+// Callers are 1, 3 and 12 ms away, on kept and on fresh connections. Each gets an answer that
+// is sent at the computed time. It must arrive by the target time and not much earlier: each
+// millisecond too early is one less for the last shard.
+func TestAnswerArrivesByTarget(t *testing.T) {
 	const target = 60 * ms
 	cases := []struct {
 		name   string
@@ -24,37 +24,37 @@
 		fresh  bool
 	}{
 		{"near", ms, false},
-		{"near, fresh", ms, true},
+		{"near, fresh connection", ms, true},
 		{"farther", 3 * ms, false},
-		{"farther, fresh", 3 * ms, true},
+		{"farther, fresh connection", 3 * ms, true},
 		{"another region", 12 * ms, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			ld := lead.New(lead.Config{})
-			came := tc.oneWay
+			arrived := tc.oneWay
 			if tc.fresh {
-				came += 2 * tc.oneWay
+				arrived += 2 * tc.oneWay
 			}
-			leaves := target - ld.Time(lead.Trip{RoundTrip: 2 * tc.oneWay, Fresh: tc.fresh})
-			arrives := came + leaves + tc.oneWay
-			is.True(arrives <= target)
-			is.True(arrives > target-3*ms)
+			sendAt := target - ld.Time(lead.Trip{RoundTrip: 2 * tc.oneWay, Fresh: tc.fresh})
+			receivedAt := arrived + sendAt + tc.oneWay
+			is.True(receivedAt <= target)
+			is.True(receivedAt > target-3*ms)
 		})
 	}
 }
 
-func TestUnknownWay(t *testing.T) {
+func TestUnknownRoundTrip(t *testing.T) {
 	is := is.New(t)
 	ld := lead.New(lead.Config{})
-	is.Equal(ld.Time(lead.Trip{}), lead.DefaultRoundTrip+lead.DefaultWriting)
+	is.Equal(ld.Time(lead.Trip{}), lead.DefaultRoundTrip+lead.DefaultWriteTime)
 	is.Equal(ld.Away(lead.Trip{Fresh: true}), 2*lead.DefaultRoundTrip)
 }
 
-// A VM's processor is short for a while, and its timers fire some milliseconds late.
-// Answers would be late by as much; about nine in ten must be covered by what is
-// allowed for, and once the timers are on time again it must be given back.
+// A VM lacks processor time for a while, and its timers fire some milliseconds late. Without
+// an allowance answers would be late by as much. The allowance must cover about nine in ten
+// timers, and must fall again once timers are on time.
 func TestLateTimers(t *testing.T) {
 	is := is.New(t)
 	ld := lead.New(lead.Config{})
@@ -64,19 +64,19 @@
 	for range 300 {
 		ld.Woke(draw())
 	}
-	var seen []time.Duration
+	var latenesses []time.Duration
 	covered := 0
 	for range 1000 {
 		late := draw()
 		if late <= ld.Own()-idle {
 			covered++
 		}
-		seen = append(seen, late)
+		latenesses = append(latenesses, late)
 		ld.Woke(late)
 	}
-	sort.Slice(seen, func(i, j int) bool { return seen[i] < seen[j] })
+	sort.Slice(latenesses, func(i, j int) bool { return latenesses[i] < latenesses[j] })
 	is.True(covered > 850)
-	is.True(ld.Own()-idle < seen[990]+ms)
+	is.True(ld.Own()-idle < latenesses[990]+ms)
 	for range 200 {
 		ld.Woke(0)
 	}
