--- a/core/peak/peak.go
+++ b/core/peak/peak.go
@@ -1,4 +1,4 @@
-// Package peak tells the most that was in use at once within a sliding time.
+// Package peak tracks the maximum of a gauge within a sliding window.
 //
 // # Usage
 //
@@ -9,37 +9,37 @@
 
 import "time"
 
-// Peak is the most within Span, and half as long again at most. It is not safe for
-// concurrent use.
+// Peak holds the maximum of at least the last Span/2 and at most the last Span. It is not
+// safe for concurrent use.
 type Peak struct {
 	Span time.Duration
 
-	// last and before are the peaks of two spans of half the length, the newer one
-	// since begun.
-	last, before int
-	begun        time.Duration
+	// current and previous are the maxima of two consecutive intervals of Span/2. The current
+	// one began at currentSince.
+	current, previous int
+	currentSince      time.Duration
 }
 
-// Note takes in how many are in use.
+// Note records a value of the gauge.
 func (pk *Peak) Note(now time.Duration, n int) {
-	pk.roll(now)
-	pk.last = max(pk.last, n)
+	pk.rotate(now)
+	pk.current = max(pk.current, n)
 }
 
-// Most is the most that was in use at once.
+// Most returns the maximum of the recorded values in the window.
 func (pk *Peak) Most(now time.Duration) int {
-	pk.roll(now)
-	return max(pk.last, pk.before)
+	pk.rotate(now)
+	return max(pk.current, pk.previous)
 }
 
-func (pk *Peak) roll(now time.Duration) {
+func (pk *Peak) rotate(now time.Duration) {
 	switch half := pk.Span / 2; {
-	case now < pk.begun+half:
-	case now < pk.begun+2*half:
-		pk.last, pk.before = 0, pk.last
-		pk.begun += half
+	case now < pk.currentSince+half:
+	case now < pk.currentSince+2*half:
+		pk.current, pk.previous = 0, pk.current
+		pk.currentSince += half
 	default:
-		pk.last, pk.before = 0, 0
-		pk.begun = now
+		pk.current, pk.previous = 0, 0
+		pk.currentSince = now
 	}
 }
