--- a/core/toggle/toggle.go
+++ b/core/toggle/toggle.go
@@ -1,6 +1,6 @@
-// Package toggle names the mechanisms that decide about requests, and says which of
-// them are switched off. Operators switch one off when they suspect it in trouble, and
-// its worth is measured by a run without it.
+// Package toggle names the optional mechanisms of request handling and holds which of them
+// are switched off. Operators switch a mechanism off if they suspect it of causing trouble.
+// Its benefit is measured by a run without it.
 //
 // # Usage
 //
@@ -8,10 +8,10 @@
 //	if off.Off(toggle.Valve) { ... }
 //	off = off.With(toggle.Joins)
 //
-// Without any of them requests are still answered by the rules: what a mechanism adds
-// is answers in time, or cost saved. What keeps a promise (a request that may run once,
-// the budget of second attempts, a planned stop) is no mechanism here and cannot be
-// switched off.
+// Requests are answered correctly without any of them: a mechanism adds answers in time, or
+// saves cost. Whatever ensures a guarantee (running a request at most once, the budget of
+// extra attempts, graceful shutdown) is not a mechanism in this sense and cannot be switched
+// off.
 package toggle
 
 import (
@@ -19,65 +19,67 @@
 	"strings"
 )
 
-// Mechanism is one that can be switched off.
+// Mechanism is an optional part of request handling.
 type Mechanism uint8
 
 // Mechanisms.
 const (
-	// Hedges asks a second server when the first is late.
+	// Hedges sends a second attempt to another server if the first is late.
 	Hedges Mechanism = iota
-	// Windows bounds the requests of this VM at each server by its queue.
+	// Windows limits this VM's requests in flight at each server according to the server's
+	// queue.
 	Windows
-	// Moves takes what waits here for one server to another.
+	// Moves moves requests that wait on this VM for one server to another server.
 	Moves
-	// Newest starts the newest of what waits first.
+	// Newest starts the newest of the waiting requests first.
 	Newest
-	// Valve refuses a share of requests whole while shards are short of room.
+	// Valve refuses a share of requests outright while shards lack capacity.
 	Valve
-	// Homes has large VMs take the requests of small ones.
+	// Homes forwards requests from small VMs to large ones.
 	Homes
-	// Joins has a VM elsewhere join the answers of its data centre.
+	// Joins lets a VM in another data centre merge the answers of the servers there.
 	Joins
-	// Cuts takes a VM that is cut off out of the balancer's rotation.
+	// Cuts takes a VM that is cut off out of the load balancer's rotation.
 	Cuts
-	// Proofs finds a cut by the answers that are owed, not by a fixed silence.
+	// Proofs detects a cut by overdue answers instead of by a fixed silence only.
 	Proofs
-	// Trips takes the way to the client as the kernel sees it.
+	// Trips uses the kernel's round-trip time of a client's connection.
 	Trips
-	// Timers allows for this VM's own timers being late.
+	// Timers compensates for the lateness of this VM's own timers.
 	Timers
-	// Pauses passes around servers that have gone silent.
+	// Pauses avoids servers that have stopped answering.
 	Pauses
-	// Slowness remembers servers that are slow.
+	// Slowness avoids servers that have been slow.
 	Slowness
-	// Failures remembers servers that fail and refuse.
+	// Failures avoids servers that have failed or refused requests.
 	Failures
-	// Nearness prefers servers of the own data centre.
+	// Nearness prefers servers of the VM's own data centre.
 	Nearness
-	// Warnings has VMs tell which servers of their data centre are slow or silent.
+	// Warnings exchanges between VMs which servers of their data centres are slow or do not
+	// answer.
 	Warnings
-	// Absence keeps servers whose entries lapsed while the store was away.
+	// Absence keeps using servers whose entries expired while the store was unavailable.
 	Absence
-	// Asks has the owners of servers that warm up send there for other VMs.
+	// Asks sends requests for a server that warms up through the VM that owns it.
 	Asks
-	// Loads takes what servers tell of their load.
+	// Loads uses the load that servers report.
 	Loads
-	// Checks asks servers for their state before a request that may run once.
+	// Checks asks a server for its state before sending it a request that may run only once.
 	Checks
 
 	count
 )
 
-// names are those of settings, logs and metrics, by mechanism.
+// names are the names in settings, logs and metrics, indexed by mechanism.
 var names = [count]string{ //nolint:gochecknoglobals // a constant list
 	"hedges", "windows", "moves", "newest", "valve", "homes", "joins",
 	"cuts", "proofs", "trips", "timers", "pauses", "slowness", "failures", "nearness", "warnings", "absence", "asks", "loads", "checks",
 }
 
-// String is the mechanism's name.
+// String returns the name in settings, logs and metrics.
 func (me Mechanism) String() string { return names[me] }
 
-// All lists the mechanisms.
+// All lists all mechanisms in the order of their constants.
 func All() []Mechanism {
 	all := make([]Mechanism, count)
 	for i := range all {
@@ -86,38 +88,38 @@
 	return all
 }
 
-// Kind says what went wrong.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindUnknown: there is no mechanism of that name.
+	// KindUnknown means that no mechanism has the given name.
 	KindUnknown Kind = "unknown"
 )
 
-// Error is a name that cannot be used.
+// Error reports a name that is not accepted.
 type Error struct {
 	Op   string
 	Kind Kind
 	Name string
 }
 
-// Error gives operation, kind and name on one line, and the names that there are.
+// Error returns operation, kind and name on one line, followed by the valid names.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %q is none of %s", e.Op, e.Kind, e.Name, strings.Join(names[:], ", "))
 }
 
-// Set is the mechanisms that are switched off; the zero value has none. It is
-// immutable.
+// Set is an immutable set of mechanisms that are switched off. The zero value is empty.
 type Set struct {
 	bits uint32
 }
 
-// Parse reads a list of names.
+// Parse returns the set of the named mechanisms. Spaces around a name are ignored; an unknown
+// name is an *Error.
 func Parse(list []string) (Set, error) {
 	var se Set
 	for _, name := range list {
-		me, ok := find(strings.TrimSpace(name))
+		me, ok := mechanismOf(strings.TrimSpace(name))
 		if !ok {
 			return Set{}, &Error{Op: "toggle.Parse", Kind: KindUnknown, Name: name}
 		}
@@ -126,7 +128,7 @@
 	return se, nil
 }
 
-func find(name string) (Mechanism, bool) {
+func mechanismOf(name string) (Mechanism, bool) {
 	for i, known := range names {
 		if known == name {
 			return Mechanism(i), true
@@ -135,13 +137,13 @@
 	return 0, false
 }
 
-// With is the same set with one more switched off.
+// With returns the set with one more mechanism.
 func (se Set) With(me Mechanism) Set { return Set{bits: se.bits | 1<<me} }
 
-// Off tells whether a mechanism is switched off.
+// Off reports whether a mechanism is switched off.
 func (se Set) Off(me Mechanism) bool { return se.bits&(1<<me) != 0 }
 
-// Names lists those that are switched off.
+// Names lists the names of the mechanisms that are switched off.
 func (se Set) Names() []string {
 	var off []string
 	for _, me := range All() {
--- a/core/toggle/toggle_test.go
+++ b/core/toggle/toggle_test.go
@@ -16,10 +16,10 @@
 		off  []string
 		bad  string
 	}{
-		{"nothing", nil, nil, ""},
-		{"two", []string{"valve", " hedges"}, []string{"hedges", "valve"}, ""},
-		{"one twice", []string{"joins", "joins"}, []string{"joins"}, ""},
-		{"unknown", []string{"valve", "luck"}, nil, "luck"},
+		{"no names", nil, nil, ""},
+		{"two names", []string{"valve", " hedges"}, []string{"hedges", "valve"}, ""},
+		{"duplicate name", []string{"joins", "joins"}, []string{"joins"}, ""},
+		{"unknown name", []string{"valve", "luck"}, nil, "luck"},
 		{"empty", []string{""}, nil, ""},
 	}
 	for _, tc := range cases {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Each has a name of its own and is switched off alone.
-func TestEachAlone(t *testing.T) {
+// Each mechanism has a distinct name and can be switched off on its own.
+func TestMechanismsAreIndependent(t *testing.T) {
 	is := is.New(t)
 	seen := map[string]bool{}
 	for _, me := range toggle.All() {
