--- a/core/stall/example_test.go
+++ b/core/stall/example_test.go
@@ -7,7 +7,7 @@
 	"laburnumvane/core/stall"
 )
 
-// Connection "a" swallows its request while "b" goes on answering.
+// Connection "a" loses its request while "b" keeps answering.
 func ExampleTracker() {
 	tr := stall.New[string](stall.Config{})
 	now := time.Second // monotonic, from the start of the process
--- a/core/stall/measure_test.go
+++ b/core/stall/measure_test.go
@@ -10,114 +10,114 @@
 	"laburnumvane/core/stall"
 )
 
-// traffic drives one server's connections in virtual time: open arrivals, each
-// on a free connection, answered after a drawn time.
-type traffic struct {
-	tr     *stall.Tracker[int]
-	rnd    *rand.Rand
-	now    time.Duration
-	busy   map[int]time.Duration
-	conns  int
-	every  time.Duration
-	took   func(rnd *rand.Rand) time.Duration
-	budget time.Duration
+// simTraffic drives one server's connections in virtual time: open arrivals, each sent on a
+// free connection and answered after a random time.
+type simTraffic struct {
+	tr           *stall.Tracker[int]
+	rnd          *rand.Rand
+	now          time.Duration
+	busyUntil    map[int]time.Duration
+	conns        int
+	meanInterval time.Duration
+	serviceTime  func(rnd *rand.Rand) time.Duration
+	deadline     time.Duration
 }
 
-func newTraffic(seed uint64, conns int, every time.Duration, took func(*rand.Rand) time.Duration) *traffic {
-	return &traffic{
-		tr:     stall.New[int](stall.Config{}),
-		rnd:    rand.New(rand.NewPCG(seed, 7)),
-		busy:   make(map[int]time.Duration),
-		conns:  conns,
-		every:  every,
-		took:   took,
-		budget: 30 * time.Second,
+func newSimTraffic(seed uint64, conns int, every time.Duration, took func(*rand.Rand) time.Duration) *simTraffic {
+	return &simTraffic{
+		tr:           stall.New[int](stall.Config{}),
+		rnd:          rand.New(rand.NewPCG(seed, 7)),
+		busyUntil:    make(map[int]time.Duration),
+		conns:        conns,
+		meanInterval: every,
+		serviceTime:  took,
+		deadline:     30 * time.Second,
 	}
 }
 
-// step passes one millisecond.
-func (tf *traffic) step() {
+// step advances the time by one millisecond.
+func (tf *simTraffic) step() {
 	tf.now += ms
-	for cn, at := range tf.busy {
+	for cn, at := range tf.busyUntil {
 		if at <= tf.now {
-			delete(tf.busy, cn)
+			delete(tf.busyUntil, cn)
 			tf.tr.Answer(tf.now, cn)
 		}
 	}
-	if tf.rnd.Int64N(int64(tf.every)) >= int64(ms) {
+	if tf.rnd.Int64N(int64(tf.meanInterval)) >= int64(ms) {
 		return
 	}
 	for cn := 1; cn < tf.conns; cn++ {
-		if _, used := tf.busy[cn]; !used {
-			tf.busy[cn] = tf.now + tf.took(tf.rnd)
-			tf.tr.Begin(tf.now, cn, tf.now+tf.budget)
+		if _, used := tf.busyUntil[cn]; !used {
+			tf.busyUntil[cn] = tf.now + tf.serviceTime(tf.rnd)
+			tf.tr.Begin(tf.now, cn, tf.now+tf.deadline)
 			return
 		}
 	}
 }
 
-// found runs until the silent connection 0 is found; it also counts the others
-// that were given up.
-func (tf *traffic) found() (after time.Duration, wrong int) {
+// detect runs until the silent connection 0 is detected. It returns the time this took and
+// how many other connections were wrongly reported silent.
+func (tf *simTraffic) detect() (took time.Duration, wrong int) {
 	for range 5000 {
 		tf.step()
 	}
-	began := tf.now
-	tf.tr.Begin(tf.now, 0, tf.now+tf.budget)
-	for tf.now < began+tf.budget {
+	start := tf.now
+	tf.tr.Begin(tf.now, 0, tf.now+tf.deadline)
+	for tf.now < start+tf.deadline {
 		tf.step()
-		// The keeper looks, and pings when in doubt, each 250 ms.
+		// Every 250 ms silent connections are closed, and if in doubt the server is pinged.
 		if tf.now%(250*ms) != 0 {
 			continue
 		}
 		for _, cn := range tf.tr.Silent(tf.now, nil) {
 			if cn == 0 {
-				return tf.now - began, wrong
+				return tf.now - start, wrong
 			}
 			wrong++
-			delete(tf.busy, cn)
+			delete(tf.busyUntil, cn)
 			tf.tr.Drop(cn)
 		}
 		if tf.tr.Doubt(tf.now) {
 			tf.tr.Vouch(tf.now)
 		}
 	}
-	return tf.now - began, wrong
+	return tf.now - start, wrong
 }
 
-func usual(rnd *rand.Rand) time.Duration {
+func usualTime(rnd *rand.Rand) time.Duration {
 	return 2*ms + time.Duration(rnd.ExpFloat64()*float64(6*ms))
 }
 
-// straggling is usual with one in a hundred twenty times slower.
-func straggling(rnd *rand.Rand) time.Duration {
-	took := usual(rnd)
+// stragglerTime is usualTime, but one in a hundred answers takes twenty times as long.
+func stragglerTime(rnd *rand.Rand) time.Duration {
+	took := usualTime(rnd)
 	if rnd.IntN(100) == 0 {
 		took *= 20
 	}
 	return took
 }
 
-// How long a silent connection stays unnoticed, and how many that answer are
-// given up by mistake, by load and by how the server answers. With the deadline
-// alone it would be 30 s.
-func BenchmarkFound(b *testing.B) {
+// Measures how long a silent connection stays undetected, and how many working connections
+// are wrongly reported silent, by load and by the distribution of service times. With the
+// deadline alone detection would take 30 s.
+func BenchmarkDetect(b *testing.B) {
 	for _, bc := range []struct {
 		name  string
 		every time.Duration
 		took  func(*rand.Rand) time.Duration
 	}{
-		{"busy", 3 * ms, usual},
-		{"busy,stragglers", 3 * ms, straggling},
-		{"quiet", 500 * ms, usual},
-		{"quiet,stragglers", 500 * ms, straggling},
-		{"silent server beside", time.Hour, usual},
+		{"busy", 3 * ms, usualTime},
+		{"busy,stragglers", 3 * ms, stragglerTime},
+		{"quiet", 500 * ms, usualTime},
+		{"quiet,stragglers", 500 * ms, stragglerTime},
+		{"no other requests", time.Hour, usualTime},
 	} {
 		b.Run(bc.name, func(b *testing.B) {
 			var found []time.Duration
 			wrong := 0
 			for seed := uint64(0); b.Loop(); seed++ {
-				after, bad := newTraffic(seed, 8, bc.every, bc.took).found()
+				after, bad := newSimTraffic(seed, 8, bc.every, bc.took).detect()
 				found = append(found, after)
 				wrong += bad
 			}
@@ -130,7 +130,7 @@
 	}
 }
 
-// What the books of one exchange cost beside others under way.
+// Measures the cost of tracking one exchange while others are outstanding.
 func BenchmarkBeginAnswer(b *testing.B) {
 	for _, others := range []int{0, 8, 100} {
 		b.Run(fmt.Sprintf("others=%d", others), func(b *testing.B) {
--- a/core/stall/stall.go
+++ b/core/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall tells which connections to one server have gone silent, from
-// the exchanges outstanding on them against those answered on others.
+// Package stall detects which connections to one server have become silent, by comparing the
+// exchanges outstanding on them with those answered on other connections.
 //
 // # Usage
 //
@@ -14,64 +14,63 @@
 //		tr.Vouch(began)
 //	}
 //
-// A Tracker belongs to one server and is not safe for use from several
-// goroutines.
+// A Tracker covers one server and is not safe for concurrent use.
 //
-// # Why it is enough
+// # Detection
 //
-// A silent connection and a slow server look the same on one connection: no
-// reply. They differ in what others see. A server that stalls answers nobody,
-// so nothing overtakes and nothing is closed. A connection that something in
-// between has forgotten is overtaken by exchanges that began later. An exchange
-// counts as silent only when it was overtaken several times and is far older
-// than the server's slow answers, or when its own deadline, which the server
-// was told, has long passed.
+// On one connection a silent connection and a slow server look the same: no reply arrives.
+// Other connections tell them apart. A server that stalls answers on none of them, so no
+// exchange is overtaken and no connection is closed. On a connection whose state a middlebox
+// has lost, exchanges are overtaken by exchanges that began later on other connections. An
+// exchange counts as silent only if it was overtaken several times and is far older than the
+// server's slow answers, or if its own deadline, which the server knows, has long passed.
 package stall
 
 import "time"
 
 // Defaults of a Config.
 const (
-	DefaultLeastAge     = 500 * time.Millisecond
-	DefaultBlindAge     = time.Second
-	DefaultGrace        = time.Second
-	DefaultFactor       = 10
-	DefaultOvertaken    = 3
-	DefaultLeastAnswers = 4
+	DefaultMinAge        = 500 * time.Millisecond
+	DefaultMinAgeUnknown = time.Second
+	DefaultDeadlineGrace = time.Second
+	DefaultLatencyFactor = 10
+	DefaultMinOvertaken  = 3
+	DefaultMinAnswers    = 4
 )
 
 const (
-	// blindShare is the part of its deadline that an exchange may take while
-	// the server's latency is not known: a caller who allows 30 s expects a
-	// slow answer.
-	blindShare = 4
-	// slowDecay is the weight by which the slow latency falls back towards
-	// each newer answer.
-	slowDecay = 32
+	// unknownLatencyDivisor is the part of its deadline, as a divisor, that an exchange may
+	// take while the server's latency is unknown: a caller that allows 30 s expects a slow
+	// answer.
+	unknownLatencyDivisor = 4
+	// latencyDecay is the divisor of the distance by which the slow latency falls towards each
+	// faster answer.
+	latencyDecay = 32
 )
 
-// Config sets a tracker; zero values take the defaults.
+// Config configures a Tracker. Fields that are 0 take the defaults.
 type Config struct {
-	// LeastAge is the age below which no exchange counts as silent.
-	LeastAge time.Duration
-	// BlindAge is used for LeastAge while fewer than LeastAnswers were seen.
-	BlindAge     time.Duration
-	LeastAnswers int
-	// Factor times the server's slow latency is the age of a silent exchange.
-	Factor int
-	// Overtaken is the number of later exchanges that must have been answered.
-	Overtaken int
-	// Grace is how long after its deadline an exchange may still be answered.
-	Grace time.Duration
+	// MinAge is the age below which no exchange counts as silent.
+	MinAge time.Duration
+	// MinAgeUnknown replaces MinAge until MinAnswers answers have been observed.
+	MinAgeUnknown time.Duration
+	MinAnswers    int
+	// LatencyFactor times the server's slow latency is the age from which an exchange may
+	// count as silent.
+	LatencyFactor int
+	// MinOvertaken is the number of later exchanges that must have been answered.
+	MinOvertaken int
+	// DeadlineGrace is how long after its deadline an exchange may still be answered.
+	DeadlineGrace time.Duration
 }
 
 func (cf Config) withDefaults() Config {
-	cf.LeastAge = orDefault(cf.LeastAge, DefaultLeastAge)
-	cf.BlindAge = orDefault(cf.BlindAge, DefaultBlindAge)
-	cf.Grace = orDefault(cf.Grace, DefaultGrace)
-	cf.Factor = orDefault(cf.Factor, DefaultFactor)
-	cf.Overtaken = orDefault(cf.Overtaken, DefaultOvertaken)
-	cf.LeastAnswers = orDefault(cf.LeastAnswers, DefaultLeastAnswers)
+	cf.MinAge = orDefault(cf.MinAge, DefaultMinAge)
+	cf.MinAgeUnknown = orDefault(cf.MinAgeUnknown, DefaultMinAgeUnknown)
+	cf.DeadlineGrace = orDefault(cf.DeadlineGrace, DefaultDeadlineGrace)
+	cf.LatencyFactor = orDefault(cf.LatencyFactor, DefaultLatencyFactor)
+	cf.MinOvertaken = orDefault(cf.MinOvertaken, DefaultMinOvertaken)
+	cf.MinAnswers = orDefault(cf.MinAnswers, DefaultMinAnswers)
 	return cf
 }
 
@@ -82,12 +81,12 @@
 	return val
 }
 
-// Tracker holds the outstanding exchanges of one server; K names a connection.
+// Tracker tracks the outstanding exchanges of one server; K identifies a connection.
 type Tracker[K comparable] struct {
-	cfg     Config
-	open    []exchange[K]
-	slow    time.Duration
-	answers int
+	cfg         Config
+	outstanding []exchange[K]
+	slowLatency time.Duration
+	answers     int
 }
 
 type exchange[K comparable] struct {
@@ -97,18 +96,18 @@
 	overtaken int
 }
 
-// New makes a tracker that knows nothing yet.
+// New returns a Tracker without observed answers.
 func New[K comparable](cfg Config) *Tracker[K] {
 	return &Tracker[K]{cfg: cfg.withDefaults()}
 }
 
-// Begin notes that a request was written to a connection, which carries one at
-// a time. Due is its deadline.
+// Begin records that a request was written to a connection, which carries one exchange at a
+// time. due is its deadline, 0 if it has none.
 func (tr *Tracker[K]) Begin(now time.Duration, key K, due time.Duration) {
-	tr.open = append(tr.open, exchange[K]{key: key, began: now, due: due})
+	tr.outstanding = append(tr.outstanding, exchange[K]{key: key, began: now, due: due})
 }
 
-// Answer notes the whole reply of an exchange.
+// Answer records the complete reply of an exchange.
 func (tr *Tracker[K]) Answer(now time.Duration, key K) {
 	ex, ok := tr.remove(key)
 	if !ok {
@@ -116,79 +115,79 @@
 	}
 	tr.answers++
 	took := now - ex.began
-	if took >= tr.slow {
-		tr.slow = took
+	if took >= tr.slowLatency {
+		tr.slowLatency = took
 	} else {
-		tr.slow -= (tr.slow - took) / slowDecay
+		tr.slowLatency -= (tr.slowLatency - took) / latencyDecay
 	}
 	tr.Vouch(ex.began)
 }
 
-// Vouch notes that the server answered something asked at began, such as a
-// ping: all that is older has been overtaken.
+// Vouch records that the server answered something sent at began, such as a ping: all older
+// exchanges have been overtaken.
 func (tr *Tracker[K]) Vouch(began time.Duration) {
-	for i := range tr.open {
-		if tr.open[i].began < began {
-			tr.open[i].overtaken++
+	for i := range tr.outstanding {
+		if tr.outstanding[i].began < began {
+			tr.outstanding[i].overtaken++
 		}
 	}
 }
 
-// Drop forgets an exchange that ended without a reply.
+// Drop removes an exchange that ended without a reply.
 func (tr *Tracker[K]) Drop(key K) {
 	tr.remove(key)
 }
 
-// Len is the number of outstanding exchanges.
+// Len returns the number of outstanding exchanges.
 func (tr *Tracker[K]) Len() int {
-	return len(tr.open)
+	return len(tr.outstanding)
 }
 
-// Silent appends the connections that have gone silent to buf. They stay in
-// the tracker until they are dropped.
+// Silent appends the silent connections to buf. They stay in the tracker until they are
+// dropped.
 func (tr *Tracker[K]) Silent(now time.Duration, buf []K) []K {
-	for _, ex := range tr.open {
-		old := tr.old(now, ex) && ex.overtaken >= tr.cfg.Overtaken
-		if old || tr.late(now, ex) {
+	for _, ex := range tr.outstanding {
+		old := tr.isOld(now, ex) && ex.overtaken >= tr.cfg.MinOvertaken
+		if old || tr.isOverdue(now, ex) {
 			buf = append(buf, ex.key)
 		}
 	}
 	return buf
 }
 
-// Doubt tells whether an exchange is old enough to be silent but was overtaken
-// too seldom to tell, as on a quiet server: a ping would tell.
+// Doubt reports whether an exchange is old enough to count as silent but was not overtaken
+// often enough to decide, as with few requests. A ping would decide.
 func (tr *Tracker[K]) Doubt(now time.Duration) bool {
-	for _, ex := range tr.open {
-		if tr.old(now, ex) && ex.overtaken < tr.cfg.Overtaken && !tr.late(now, ex) {
+	for _, ex := range tr.outstanding {
+		if tr.isOld(now, ex) && ex.overtaken < tr.cfg.MinOvertaken && !tr.isOverdue(now, ex) {
 			return true
 		}
 	}
 	return false
 }
 
-func (tr *Tracker[K]) old(now time.Duration, ex exchange[K]) bool {
-	return now-ex.began >= tr.limit(ex)
+func (tr *Tracker[K]) isOld(now time.Duration, ex exchange[K]) bool {
+	return now-ex.began >= tr.minSilentAge(ex)
 }
 
-func (tr *Tracker[K]) late(now time.Duration, ex exchange[K]) bool {
-	return ex.due > 0 && now >= ex.due+tr.cfg.Grace
+func (tr *Tracker[K]) isOverdue(now time.Duration, ex exchange[K]) bool {
+	return ex.due > 0 && now >= ex.due+tr.cfg.DeadlineGrace
 }
 
-func (tr *Tracker[K]) limit(ex exchange[K]) time.Duration {
-	if tr.answers < tr.cfg.LeastAnswers {
-		return max(tr.cfg.BlindAge, (ex.due-ex.began)/blindShare)
+func (tr *Tracker[K]) minSilentAge(ex exchange[K]) time.Duration {
+	if tr.answers < tr.cfg.MinAnswers {
+		return max(tr.cfg.MinAgeUnknown, (ex.due-ex.began)/unknownLatencyDivisor)
 	}
-	return max(tr.cfg.LeastAge, time.Duration(tr.cfg.Factor)*tr.slow)
+	return max(tr.cfg.MinAge, time.Duration(tr.cfg.LatencyFactor)*tr.slowLatency)
 }
 
 func (tr *Tracker[K]) remove(key K) (exchange[K], bool) {
-	for i, ex := range tr.open {
+	for i, ex := range tr.outstanding {
 		if ex.key == key {
-			last := len(tr.open) - 1
-			tr.open[i] = tr.open[last]
-			tr.open[last] = exchange[K]{}
-			tr.open = tr.open[:last]
+			last := len(tr.outstanding) - 1
+			tr.outstanding[i] = tr.outstanding[last]
+			tr.outstanding[last] = exchange[K]{}
+			tr.outstanding = tr.outstanding[:last]
 			return ex, true
 		}
 	}
