--- a/core/team/bench_test.go
+++ b/core/team/bench_test.go
@@ -10,8 +10,8 @@
 	"laburnumvane/core/team"
 )
 
-// Every VM reads every change of its teams. plain is what the standard library
-// takes for the same document, without any check: the baseline.
+// Every VM parses every change of its teams' documents. The baseline is the standard library,
+// which decodes the same document without validation (plain).
 func BenchmarkParse(b *testing.B) {
 	pettigrew := readFile(b, "../../docs/examples/pettigrew.json")
 	for _, bc := range []struct {
@@ -20,7 +20,7 @@
 		raw  []byte
 	}{
 		{name: "pettigrew", team: "pettigrew", raw: pettigrew},
-		{name: "megabyte", team: "pettigrew", raw: megabyte(b, pettigrew)},
+		{name: "megabyte", team: "pettigrew", raw: megabyteDocument(b, pettigrew)},
 	} {
 		b.Run(bc.name+"/strict", func(b *testing.B) {
 			b.SetBytes(int64(len(bc.raw)))
@@ -44,8 +44,8 @@
 	}
 }
 
-// megabyte is a document with as many servers as MaxBytes lets in.
-func megabyte(b *testing.B, raw []byte) []byte {
+// megabyteDocument returns a document with as many servers as fit into MaxBytes.
+func megabyteDocument(b *testing.B, raw []byte) []byte {
 	b.Helper()
 	is := is.New(b)
 	doc, err := team.Parse("pettigrew", raw)
--- a/core/team/check.go
+++ b/core/team/check.go
@@ -7,113 +7,113 @@
 	"slices"
 )
 
-// checkName makes sure that a document is not put into another team's subtree.
-func (rd *reader) checkName(name string, doc Document) {
+// checkTeamName verifies that a document is not stored under another team's name.
+func (rd *reader) checkTeamName(name string, doc Document) {
 	if doc.Team != "" && doc.Team != name {
 		rd.addAt("team", KindInvalid, "is %q, and the document is for team %q", doc.Team, name)
 	}
 }
 
-// checkDocument compares fields with each other, once all have been read.
+// checkDocument compares fields with each other after all have been read.
 func (rd *reader) checkDocument(doc Document) {
 	for _, name := range slices.Sorted(maps.Keys(doc.Searches)) {
-		at := join("searches", name)
-		rd.checkSearch(at, doc.Searches[name])
-		rd.checkRegister(at, doc.Searches[name], doc)
+		path := joinPath("searches", name)
+		rd.checkSearch(path, doc.Searches[name])
+		rd.checkRegister(path, doc.Searches[name], doc)
 	}
 	adr := addresses{}
 	for _, name := range slices.Sorted(maps.Keys(doc.Registers)) {
 		svcs := doc.Registers[name].Services
 		for _, svc := range slices.Sorted(maps.Keys(svcs)) {
-			at := join(join("registers", name)+".services", svc)
-			rd.checkService(at, svcs[svc])
-			rd.checkAddresses(at, svcs[svc], adr)
+			path := joinPath(joinPath("registers", name)+".services", svc)
+			rd.checkService(path, svcs[svc])
+			rd.checkAddresses(path, svcs[svc], adr)
 		}
 	}
 }
 
-func (rd *reader) checkSearch(at string, sch Search) {
+func (rd *reader) checkSearch(path string, sch Search) {
 	if sch.HardDeadlineMs > 0 && sch.SoftDeadlineMs > sch.HardDeadlineMs {
-		rd.addAt(at+".softDeadlineMs", KindInvalid, "is %d, later than hardDeadlineMs, which is %d", sch.SoftDeadlineMs, sch.HardDeadlineMs)
+		rd.addAt(path+".softDeadlineMs", KindInvalid, "is %d, later than hardDeadlineMs, which is %d", sch.SoftDeadlineMs, sch.HardDeadlineMs)
 	}
-	if rd.clean(at + ".hedge") {
-		rd.checkHedge(at, sch)
+	if rd.hasNoFaults(path + ".hedge") {
+		rd.checkHedge(path, sch)
 	}
-	if rd.clean(at + ".retry") {
-		rd.checkRetry(at+".retry", sch.Retry)
+	if rd.hasNoFaults(path + ".retry") {
+		rd.checkRetry(path+".retry", sch.Retry)
 	}
 }
 
-// checkHedge refuses settings of which one undoes the other: an operator who
-// writes them believes that hedges are on when they are not, or off when a
-// search that must run once would have run twice.
-func (rd *reader) checkHedge(at string, sch Search) {
+// checkHedge rejects settings of which one disables the other: the operator would believe
+// that hedging is enabled when it is not, or disabled for a search that must run only once.
+func (rd *reader) checkHedge(path string, sch Search) {
 	hdg := sch.Hedge
 	switch {
 	case sch.NeverRepeat && (hdg.Quantile > 0 || hdg.Budget > 0):
-		rd.addAt(at+".hedge", KindInvalid, "a search with neverRepeat is never hedged: leave hedge out")
+		rd.addAt(path+".hedge", KindInvalid, "a search with neverRepeat is never hedged: leave hedge out")
 		return
 	case hdg.Quantile > 0 && hdg.Budget == 0:
-		rd.addAt(at+".hedge.budget", KindInvalid, "is 0, so the quantile has no effect: set both or neither")
+		rd.addAt(path+".hedge.budget", KindInvalid, "is 0, so the quantile has no effect: set both or neither")
 	case hdg.Quantile == 0 && hdg.Budget > 0:
-		rd.addAt(at+".hedge.quantile", KindInvalid, "is 0, so the budget has no effect: set both or neither")
+		rd.addAt(path+".hedge.quantile", KindInvalid, "is 0, so the budget has no effect: set both or neither")
 	}
 	if sch.HardDeadlineMs > 0 && hdg.MinDelayMs >= sch.HardDeadlineMs {
-		rd.addAt(at+".hedge.minDelayMs", KindInvalid, "is %d, and hardDeadlineMs is %d: no hedge could go out", hdg.MinDelayMs, sch.HardDeadlineMs)
+		rd.addAt(path+".hedge.minDelayMs", KindInvalid, "is %d, and hardDeadlineMs is %d: no hedge could go out", hdg.MinDelayMs, sch.HardDeadlineMs)
 	}
 }
 
-func (rd *reader) checkRetry(at string, rty Retry) {
+func (rd *reader) checkRetry(path string, rty Retry) {
 	if rty.PerShard > 0 && rty.Budget == 0 {
-		rd.addAt(at+".budget", KindInvalid, "is 0, so perShard has no effect: set both or neither")
+		rd.addAt(path+".budget", KindInvalid, "is 0, so perShard has no effect: set both or neither")
 	}
 	if rty.PerShard == 0 && rty.Budget > 0 {
-		rd.addAt(at+".perShard", KindInvalid, "is 0, so the budget has no effect: set both or neither")
+		rd.addAt(path+".perShard", KindInvalid, "is 0, so the budget has no effect: set both or neither")
 	}
 }
 
-func (rd *reader) checkRegister(at string, sch Search, doc Document) {
-	if sch.Register == "" || !rd.clean("registers") {
+func (rd *reader) checkRegister(path string, sch Search, doc Document) {
+	if sch.Register == "" || !rd.hasNoFaults("registers") {
 		return
 	}
 	if _, ok := doc.Registers[sch.Register]; !ok {
-		rd.addAt(at+".register", KindInvalid, "is %q, which is not among registers", sch.Register)
+		rd.addAt(path+".register", KindInvalid, "is %q, which is not among registers", sch.Register)
 	}
 }
 
-func (rd *reader) checkService(at string, svc Service) {
+func (rd *reader) checkService(path string, svc Service) {
 	if svc.ConnectionsPerServer > 0 && svc.ConnectionsPerServer < svc.SlotsPerServer {
-		rd.addAt(at+".connectionsPerServer", KindInvalid, "is %d, fewer than slotsPerServer, which is %d: slots would stay empty",
+		rd.addAt(path+".connectionsPerServer", KindInvalid, "is %d, fewer than slotsPerServer, which is %d: slots would stay empty",
 			svc.ConnectionsPerServer, svc.SlotsPerServer)
 	}
 }
 
-// addresses maps each server to the place where it was seen first. The same
-// address twice would count one server's slots and connections twice.
-type addresses map[netip.AddrPort]serverPlace
+// addresses maps each server address to its first occurrence. A duplicate address would count
+// one server's slots and connections twice.
+type addresses map[netip.AddrPort]serverPosition
 
-// serverPlace is a server's place among those of a service.
-type serverPlace struct {
+// serverPosition is the position of a server in a document. service is the path of its
+// service.
+type serverPosition struct {
 	service string
 	index   int
 }
 
-func (sp serverPlace) path() string {
+func (sp serverPosition) path() string {
 	return fmt.Sprintf("%s.servers[%d].addr", sp.service, sp.index)
 }
 
-func (rd *reader) checkAddresses(at string, svc Service, adr addresses) {
+func (rd *reader) checkAddresses(path string, svc Service, adr addresses) {
 	for i, srv := range svc.Servers {
 		ap, err := netip.ParseAddrPort(srv.Addr)
 		if err != nil {
 			continue
 		}
-		here := serverPlace{service: at, index: i}
+		position := serverPosition{service: path, index: i}
 		key := netip.AddrPortFrom(ap.Addr().Unmap(), ap.Port())
 		if first, dup := adr[key]; dup {
-			rd.addAt(here.path(), KindInvalid, "is %s, the server of %s", srv.Addr, first.path())
+			rd.addAt(position.path(), KindInvalid, "is %s, the server of %s", srv.Addr, first.path())
 			continue
 		}
-		adr[key] = here
+		adr[key] = position
 	}
 }
--- a/core/team/doc.go
+++ b/core/team/doc.go
@@ -1,11 +1,11 @@
-// Package team is a team's configuration: the document its operators write, its
-// strict reading and its validation.
+// Package team defines the configuration document that the operators of a team write, and
+// parses and validates it strictly.
 //
 // # Usage
 //
 //	doc, err := team.Parse("wash", raw)
 //
-// Parse refuses unknown fields, wrong units and limits that contradict each
-// other; every error names the path of the field. A Document is a value that
-// nothing changes once it has been parsed.
+// Parse rejects unknown fields, wrong units and contradicting limits; every error names the
+// path of its field. A parsed Document must not be modified; the With methods return changed
+// copies.
 package team
--- a/core/team/error.go
+++ b/core/team/error.go
@@ -2,37 +2,37 @@
 
 import "fmt"
 
-// Kind says what is wrong with a document.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindSyntax is text that is not one JSON value.
+	// KindSyntax means that the text is not one JSON value.
 	KindSyntax Kind = "syntax"
-	// KindTooLarge is a document of more than MaxBytes.
+	// KindTooLarge means that the document has more than MaxBytes.
 	KindTooLarge Kind = "tooLarge"
-	// KindUnknown is a field that this version of the format does not have.
+	// KindUnknown means a field that this version of the format does not have.
 	KindUnknown Kind = "unknownField"
-	// KindMissing is a required field that is not there.
+	// KindMissing means that a required field is absent.
 	KindMissing Kind = "missingField"
-	// KindType is a value of the wrong JSON type.
+	// KindType means a value of the wrong JSON type.
 	KindType Kind = "wrongType"
-	// KindInvalid is a value out of its bounds, or at odds with another one.
+	// KindInvalid means a value that is out of bounds or contradicts another one.
 	KindInvalid Kind = "invalid"
 )
 
-// Error is one fault of a document, with the path of the field.
+// Error is one fault of a document.
 type Error struct {
 	Op   string
 	Kind Kind
-	// Path leads to the field, as in searches.kiosk.softDeadlineMs or
-	// registers.members.services.desk.servers[2].addr. It is empty where the
-	// fault is in no one field.
+	// Path is the path of the field, such as searches.kiosk.softDeadlineMs or
+	// registers.members.services.desk.servers[2].addr. It is empty if the fault does not
+	// concern a single field.
 	Path string
 	Msg  string
 }
 
-// Error gives operation, path and fault on one line.
+// Error returns operation, kind, path and message on one line.
 func (e *Error) Error() string {
 	if e.Path == "" {
 		return fmt.Sprintf("%s: %s: %s", e.Op, e.Kind, e.Msg)
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("%s: %s: %s: %s", e.Op, e.Kind, e.Path, e.Msg)
 }
 
-// Faults gives every *Error within err, in the order they were found.
+// Faults lists every *Error within err in the order of detection; nil for a nil err.
 func Faults(err error) []*Error {
 	switch ev := err.(type) { //nolint:errorlint // walks the tree of errors itself
 	case nil:
--- a/core/team/example_test.go
+++ b/core/team/example_test.go
@@ -6,8 +6,8 @@
 	"laburnumvane/core/team"
 )
 
-// A unit is missing from the deadline's name, and more is wrong: all faults are
-// told at once, each with the path of its field.
+// The deadline's name lacks its unit, and there are more faults: all are reported at once
+// with the paths of their fields.
 func ExampleParse() {
 	_, err := team.Parse("wash", []byte(`{
 		"version": 1,
--- a/core/team/field.go
+++ b/core/team/field.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Names of teams, searches, registers, services and data centres.
+// Rules for the names of teams, searches, registers, services and data centres.
 const (
 	namePattern = "^[a-z0-9-]{1,64}$"
 	nameRule    = "1 to 64 of a-z, 0-9 and -"
@@ -16,17 +16,17 @@
 	maxName     = 64
 )
 
-// addrPattern lets through what may be an address; the reader is stricter.
+// addrPattern is the schema's pattern of an address; Parse is stricter.
 const addrPattern = `^([0-9]{1,3}(\.[0-9]{1,3}){3}|\[[0-9a-fA-F:.]+\]):[1-9][0-9]{0,4}$`
 
 func isName(text string) bool {
 	return text != "" && len(text) <= maxName && strings.Trim(text, nameLetters) == ""
 }
 
-// unit says what a number counts.
+// unit describes in messages what a number counts.
 type unit string
 
-// Units of the format.
+// Units used by the format.
 const (
 	unitCount  unit = "whole number"
 	unitMillis unit = "whole number of milliseconds"
@@ -34,53 +34,54 @@
 	unitRate   unit = "number a second"
 )
 
-// whole is a field with a whole number from lo to hi.
-func whole[T any, N ~int | ~int64](name, doc string, un unit, lo, hi N, ptr func(*T) *N) field[T] {
+// integerField defines a field with a whole number from lo to hi.
+func integerField[T any, N ~int | ~int64](name, doc string, un unit, lo, hi N, ptr func(*T) *N) field[T] {
 	what := fmt.Sprintf("a %s from %d to %d", un, lo, hi)
 	if lo == hi {
 		what = fmt.Sprintf("%d", lo)
 	}
 	read := func(rd *reader, raw json.RawMessage, into *T) {
-		if !rd.want(raw, typeNumber, what) {
+		if !rd.expectType(raw, typeNumber, what) {
 			return
 		}
 		num, err := strconv.ParseInt(string(raw), 10, 64)
 		if err != nil || num < int64(lo) || num > int64(hi) {
-			rd.add(KindInvalid, "is %s, must be %s", shorten(raw), what)
+			rd.add(KindInvalid, "is %s, must be %s", truncateRaw(raw), what)
 			return
 		}
 		*ptr(into) = N(num)
 	}
-	node := schemaNode{Type: "integer", Description: doc, Minimum: bound(lo), Maximum: bound(hi)}
+	node := schemaNode{Type: "integer", Description: doc, Minimum: floatPtr(lo), Maximum: floatPtr(hi)}
 	return field[T]{name: name, node: node, read: read}
 }
 
-// fraction is a field with a number from lo to hi.
-func fraction[T any](name, doc string, un unit, lo, hi float64, ptr func(*T) *float64) field[T] {
+// numberField defines a field with a number from lo to hi.
+func numberField[T any](name, doc string, un unit, lo, hi float64, ptr func(*T) *float64) field[T] {
 	what := fmt.Sprintf("a %s from %s to %s", un, decimal(lo), decimal(hi))
-	node := schemaNode{Type: "number", Description: doc, Minimum: bound(lo), Maximum: bound(hi)}
-	return numeric(name, what, node, ptr, func(num float64) bool { return num >= lo && num <= hi })
+	node := schemaNode{Type: "number", Description: doc, Minimum: floatPtr(lo), Maximum: floatPtr(hi)}
+	return floatField(name, what, node, ptr, func(num float64) bool { return num >= lo && num <= hi })
 }
 
-// quantile is a field with 0 or a number of at least lo and less than 1.
-func quantile[T any](name, doc string, lo float64, ptr func(*T) *float64) field[T] {
+// quantileField defines a field with 0 or a number of at least lo and less than 1.
+func quantileField[T any](name, doc string, lo float64, ptr func(*T) *float64) field[T] {
 	what := fmt.Sprintf("0, or at least %s and less than 1", decimal(lo))
 	zero, one := 0.0, 1.0
 	node := schemaNode{Type: "number", Description: doc, AnyOf: []schemaNode{
 		{Const: &zero},
 		{Minimum: &lo, ExclusiveMaximum: &one},
 	}}
-	return numeric(name, what, node, ptr, func(num float64) bool { return num == 0 || (num >= lo && num < 1) })
+	return floatField(name, what, node, ptr, func(num float64) bool { return num == 0 || (num >= lo && num < 1) })
 }
 
-func numeric[T any](name, what string, node schemaNode, ptr func(*T) *float64, good func(float64) bool) field[T] {
+// floatField defines a field with a number that valid accepts.
+func floatField[T any](name, what string, node schemaNode, ptr func(*T) *float64, valid func(float64) bool) field[T] {
 	read := func(rd *reader, raw json.RawMessage, into *T) {
-		if !rd.want(raw, typeNumber, what) {
+		if !rd.expectType(raw, typeNumber, what) {
 			return
 		}
 		num, err := strconv.ParseFloat(string(raw), 64)
-		if err != nil || !good(num) {
-			rd.add(KindInvalid, "is %s, must be %s", shorten(raw), what)
+		if err != nil || !valid(num) {
+			rd.add(KindInvalid, "is %s, must be %s", truncateRaw(raw), what)
 			return
 		}
 		*ptr(into) = num
@@ -88,41 +89,41 @@
 	return field[T]{name: name, node: node, read: read}
 }
 
-// flag is a field with true or false.
-func flag[T any](name, doc string, ptr func(*T) *bool) field[T] {
+// boolField defines a field with true or false.
+func boolField[T any](name, doc string, ptr func(*T) *bool) field[T] {
 	read := func(rd *reader, raw json.RawMessage, into *T) {
-		if rd.want(raw, typeBool, "true or false") {
+		if rd.expectType(raw, typeBool, "true or false") {
 			*ptr(into) = string(raw) == "true"
 		}
 	}
 	return field[T]{name: name, node: schemaNode{Type: "boolean", Description: doc}, read: read}
 }
 
-// named is a required field with a name.
-func named[T any](name, doc string, ptr func(*T) *string) field[T] {
+// nameField defines a required field with a name.
+func nameField[T any](name, doc string, ptr func(*T) *string) field[T] {
 	node := schemaNode{Type: "string", Description: doc, Pattern: namePattern}
-	return text(name, "a name", node, func(rd *reader, val string, into *T) {
+	return stringField(name, "a name", node, func(rd *reader, val string, into *T) {
 		if !isName(val) {
-			rd.add(KindInvalid, "is %q, must be a name: %s", clip(val), nameRule)
+			rd.add(KindInvalid, "is %q, must be a name: %s", truncate(val), nameRule)
 			return
 		}
 		*ptr(into) = val
 	})
 }
 
-// address is a required field with an IP address and a port.
-func address[T any](name, doc string, ptr func(*T) *string) field[T] {
+// addressField defines a required field with an IP address and a port.
+func addressField[T any](name, doc string, ptr func(*T) *string) field[T] {
 	node := schemaNode{Type: "string", Description: doc, Pattern: addrPattern}
-	return text(name, "an address", node, func(rd *reader, val string, into *T) {
+	return stringField(name, "an address", node, func(rd *reader, val string, into *T) {
 		if msg := addressFault(val); msg != "" {
-			rd.add(KindInvalid, "is %q, %s", clip(val), msg)
+			rd.add(KindInvalid, "is %q, %s", truncate(val), msg)
 			return
 		}
 		*ptr(into) = val
 	})
 }
 
-// addressFault says what is wrong with an address, or "".
+// addressFault returns what is wrong with an address, or "".
 func addressFault(val string) string {
 	ap, err := netip.ParseAddrPort(val)
 	switch {
@@ -138,37 +139,38 @@
 	return ""
 }
 
-// choice is a required field with one of several words.
-func choice[T any, S ~string](name, doc string, words []S, ptr func(*T) *S) field[T] {
+// enumField defines a required field with one of several words.
+func enumField[T any, S ~string](name, doc string, words []S, ptr func(*T) *S) field[T] {
 	list := make([]string, 0, len(words))
 	for _, word := range words {
 		list = append(list, string(word))
 	}
 	what := "one of " + strings.Join(list, ", ")
 	node := schemaNode{Type: "string", Description: doc, Enum: list}
-	return text(name, what, node, func(rd *reader, val string, into *T) {
+	return stringField(name, what, node, func(rd *reader, val string, into *T) {
 		for _, word := range words {
 			if val == string(word) {
 				*ptr(into) = word
 				return
 			}
 		}
-		rd.add(KindInvalid, "is %q, must be %s", clip(val), what)
+		rd.add(KindInvalid, "is %q, must be %s", truncate(val), what)
 	})
 }
 
-func text[T any](name, what string, node schemaNode, use func(rd *reader, val string, into *T)) field[T] {
+// stringField defines a required field with a string that use validates and stores.
+func stringField[T any](name, what string, node schemaNode, use func(rd *reader, val string, into *T)) field[T] {
 	read := func(rd *reader, raw json.RawMessage, into *T) {
-		if !rd.want(raw, typeString, what) {
+		if !rd.expectType(raw, typeString, what) {
 			return
 		}
-		use(rd, textOf(raw), into)
+		use(rd, stringValue(raw), into)
 	}
 	return field[T]{name: name, required: true, node: node, read: read}
 }
 
-// object is a field with an object of its own.
-func object[T, S any](name, doc string, flds []field[S], ptr func(*T) *S) field[T] {
+// objectField defines a field with a nested object. Absent, it is the zero value.
+func objectField[T, S any](name, doc string, flds []field[S], ptr func(*T) *S) field[T] {
 	node := objectNode(doc, flds)
 	read := func(rd *reader, raw json.RawMessage, into *T) {
 		*ptr(into) = readObject(rd, raw, flds)
@@ -176,25 +178,26 @@
 	return field[T]{name: name, node: node, read: read}
 }
 
-// mapOf is a required field with objects under names of the operators' choice.
-func mapOf[T, S any](name, doc string, least int, flds []field[S], ptr func(*T) *map[string]S) field[T] {
+// mapField defines a required field with at least minEntries objects under names that the
+// operators choose.
+func mapField[T, S any](name, doc string, minEntries int, flds []field[S], ptr func(*T) *map[string]S) field[T] {
 	sub := objectNode("", flds)
 	node := schemaNode{
-		Type: "object", Description: doc, MinProperties: least,
+		Type: "object", Description: doc, MinProperties: minEntries,
 		PropertyNames: &schemaNode{Pattern: namePattern}, AdditionalProperties: &sub,
 	}
 	read := func(rd *reader, raw json.RawMessage, into *T) {
 		vals := readMap(rd, raw, flds)
-		if typeOf(raw) == typeObject && len(vals) < least {
-			rd.add(KindInvalid, "is empty, must have at least %d", least)
+		if typeOf(raw) == typeObject && len(vals) < minEntries {
+			rd.add(KindInvalid, "is empty, must have at least %d", minEntries)
 		}
 		*ptr(into) = vals
 	}
 	return field[T]{name: name, required: true, node: node, read: read}
 }
 
-// listOf is a required field with an array of at least one object.
-func listOf[T, S any](name, doc string, flds []field[S], ptr func(*T) *[]S) field[T] {
+// listField defines a required field with an array of at least one object.
+func listField[T, S any](name, doc string, flds []field[S], ptr func(*T) *[]S) field[T] {
 	sub := objectNode("", flds)
 	node := schemaNode{Type: "array", Description: doc, MinItems: 1, Items: &sub}
 	read := func(rd *reader, raw json.RawMessage, into *T) {
@@ -207,13 +210,13 @@
 	return field[T]{name: name, required: true, node: node, read: read}
 }
 
-// must makes a field a required one.
-func must[T any](fld field[T]) field[T] {
+// required returns the field as a required one.
+func required[T any](fld field[T]) field[T] {
 	fld.required = true
 	return fld
 }
 
-// withDefault states the value that stands for an absent field.
+// withDefault returns the field with the default value for its schema.
 func withDefault[T any](fld field[T], val float64) field[T] {
 	fld.node.Default = &val
 	return fld
@@ -223,15 +226,15 @@
 	return strconv.FormatFloat(num, 'f', -1, 64)
 }
 
-// shorten keeps a value from the document fit for a message.
-func shorten(raw json.RawMessage) string {
-	return clip(string(raw))
+// truncateRaw returns a value in a length that is suitable for a message.
+func truncateRaw(raw json.RawMessage) string {
+	return truncate(string(raw))
 }
 
-func clip(val string) string {
-	const most = 80
-	if len(val) <= most {
+func truncate(val string) string {
+	const maxLen = 80
+	if len(val) <= maxLen {
 		return val
 	}
-	return strings.ToValidUTF8(val[:most], "") + "..."
+	return strings.ToValidUTF8(val[:maxLen], "") + "..."
 }
--- a/core/team/fuzz_test.go
+++ b/core/team/fuzz_test.go
@@ -9,9 +9,9 @@
 	"laburnumvane/core/team"
 )
 
-// FuzzParse holds Parse to what callers build on: it never panics, an error
-// always comes with at least one fault and no document, and what it accepts
-// reads the same by encoding/json and from its canonical form.
+// FuzzParse checks the guarantees that callers rely on: Parse never panics, an error contains
+// at least one fault and comes without a document, and an accepted document decodes to the
+// same value by encoding/json and from its canonical encoding.
 func FuzzParse(f *testing.F) {
 	f.Add(readFile(f, "testdata/good.json"))
 	f.Add(readFile(f, "../../docs/examples/pettigrew.json"))
@@ -31,16 +31,15 @@
 			is.Equal(doc, team.Document{})
 			return
 		}
-		is.Equal(plain(t, raw), doc)
+		is.Equal(decodePlain(t, raw), doc)
 		again, err := team.Parse("wash", doc.Canonical())
 		is.NoErr(err)
 		is.Equal(again, doc)
 	})
 }
 
-// plain is what encoding/json makes of a document, with the one default that
-// Parse fills in.
-func plain(t *testing.T, raw []byte) team.Document {
+// decodePlain decodes a document by encoding/json and sets the one default that Parse sets.
+func decodePlain(t *testing.T, raw []byte) team.Document {
 	t.Helper()
 	var doc team.Document
 	is.New(t).NoErr(json.Unmarshal(raw, &doc))
--- a/core/team/hint.go
+++ b/core/team/hint.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// unitSuffixes are endings by which other formats name the unit of a duration.
+// unitSuffixes lists endings that other formats use for the unit of a duration.
 func unitSuffixes() []string {
 	return []string{"milliseconds", "millis", "msec", "ms", "seconds", "secs", "sec", "s"}
 }
 
-// nameHint suggests the field that an unknown name was meant to be.
+// nameHint suggests the known field that an unknown name probably stands for.
 func nameHint(name string, known []string) string {
 	for _, cand := range known {
-		if plain(cand) == plain(name) {
+		if normaliseName(cand) == normaliseName(name) {
 			return ", did you mean " + cand + "?"
 		}
 	}
 	for _, cand := range known {
-		if strings.HasSuffix(cand, "Ms") && stem(cand) == stem(name) {
+		if strings.HasSuffix(cand, "Ms") && trimUnit(cand) == trimUnit(name) {
 			return ", did you mean " + cand + "? Durations are whole milliseconds"
 		}
 	}
 	for _, cand := range known {
-		if distance(plain(cand), plain(name)) <= 2 {
+		if editDistance(normaliseName(cand), normaliseName(name)) <= 2 {
 			return ", did you mean " + cand + "?"
 		}
 	}
 	return ""
 }
 
-// plain levels the ways of writing a name of several words.
-func plain(name string) string {
+// normaliseName removes the differences between camel case, snake case and the like.
+func normaliseName(name string) string {
 	return strings.ToLower(strings.NewReplacer("_", "", "-", "").Replace(name))
 }
 
-// stem is a name without its unit.
-func stem(name string) string {
-	low := plain(name)
+// trimUnit returns the normalised name without its unit.
+func trimUnit(name string) string {
+	low := normaliseName(name)
 	for _, suf := range unitSuffixes() {
 		if cut, ok := strings.CutSuffix(low, suf); ok && cut != "" {
 			return cut
@@ -48,24 +48,24 @@
 	return low
 }
 
-// unitHint turns a duration written as text into the number that was wanted.
+// unitHint suggests the number for a duration that was written as text.
 func unitHint(raw json.RawMessage, what string) string {
 	if typeOf(raw) != typeString || !strings.Contains(what, string(unitMillis)) {
 		return ""
 	}
-	dur, err := time.ParseDuration(textOf(raw))
+	dur, err := time.ParseDuration(stringValue(raw))
 	if err != nil || dur < time.Millisecond {
 		return ""
 	}
 	return fmt.Sprintf("; write %d", dur.Milliseconds())
 }
 
-// maxHintName bounds the work that a name of a megabyte could cause.
+// maxHintName bounds the cost of editDistance, since a name can be a megabyte long.
 const maxHintName = 40
 
-// distance is the number of letters to change, add or drop between two names;
-// names that are too long to be a slip are far from everything.
-func distance(from, to string) int {
+// editDistance returns the Levenshtein distance of two names. Names longer than maxHintName
+// are not compared and count as maxHintName apart.
+func editDistance(from, to string) int {
 	if len(from) > maxHintName || len(to) > maxHintName {
 		return maxHintName
 	}
--- a/core/team/parse.go
+++ b/core/team/parse.go
@@ -9,18 +9,17 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxBytes bounds a document: the key-value service holds no larger value.
+// MaxBytes is the maximum size of a document: the key-value service stores no larger value.
 const MaxBytes = 1 << 20
 
-// DefaultHitLimit is the HitLimit of a search that names none.
+// DefaultHitLimit is the HitLimit of a search that does not set one.
 const DefaultHitLimit = 100
 
 const opParse = "team.Parse"
 
-// Parse reads the document of the named team and checks it whole. The error,
-// where there is one, joins an *Error for each fault, so that an operator can
-// mend them in one go; Faults lists them. Past the hundredth the rest is left
-// out.
+// Parse decodes and validates the document of the named team. The error joins an *Error for
+// each fault, so that an operator can correct all of them at once; Faults lists them. Beyond
+// 100 faults only their number is reported.
 func Parse(name string, raw []byte) (Document, error) {
 	if err := checkText(raw); err != nil {
 		return Document{}, errors.Join(err)
@@ -28,7 +27,7 @@
 	rd := &reader{}
 	doc := readObject(rd, bytes.TrimLeft(raw, " \t\r\n"), documentFields())
 	fillDefaults(doc)
-	rd.checkName(name, doc)
+	rd.checkTeamName(name, doc)
 	rd.checkDocument(doc)
 	if err := rd.err(); err != nil {
 		return Document{}, err
@@ -36,8 +35,8 @@
 	return doc, nil
 }
 
-// checkText makes sure that raw is one JSON value, so that reading it level by
-// level cannot fail half way.
+// checkText verifies that raw is one valid JSON value, so that the later decoding by level
+// cannot fail halfway.
 func checkText(raw []byte) error {
 	if len(raw) > MaxBytes {
 		return &Error{Op: opParse, Kind: KindTooLarge, Msg: fmt.Sprintf("is %d bytes long, may have %d", len(raw), MaxBytes)}
@@ -58,7 +57,7 @@
 	return &Error{Op: opParse, Kind: KindSyntax, Msg: fmt.Sprint(err)}
 }
 
-// position turns the number of bytes read into a line and a column, from 1.
+// position converts an offset to a line and a column, both counted from 1.
 func position(raw []byte, offset int64) (line, col int) {
 	head := raw[:min(max(offset-1, 0), int64(len(raw)))]
 	line = 1 + bytes.Count(head, []byte("\n"))
@@ -66,7 +65,8 @@
 	return line, col
 }
 
-// fillDefaults replaces absent settings in place; the maps are still private.
+// fillDefaults sets absent fields in place. This is safe because no other code holds the maps
+// yet.
 func fillDefaults(doc Document) {
 	for name, sch := range doc.Searches {
 		if sch.HitLimit == 0 {
--- a/core/team/parse_test.go
+++ b/core/team/parse_test.go
@@ -41,14 +41,14 @@
 			is := is.New(t)
 			doc, err := team.Parse(tc.team, readFile(t, "../../docs/examples/"+tc.team+".json"))
 			is.NoErr(err)
-			svcs, srvs := count(doc)
+			svcs, srvs := countServers(doc)
 			is.Equal(svcs, tc.services)
 			is.Equal(srvs, tc.servers)
 		})
 	}
 }
 
-func count(doc team.Document) (services, servers int) {
+func countServers(doc team.Document) (services, servers int) {
 	for _, reg := range doc.Registers {
 		services += len(reg.Services)
 		for _, svc := range reg.Services {
@@ -58,10 +58,9 @@
 	return services, servers
 }
 
-// An operator offers a document with faults. Each is named with the path of its
-// field and what would be right, all in one go, and nothing of the document is
-// given back: a default in place of a faulty limit would go unnoticed until the
-// limit is needed.
+// An operator submits a document with faults. All of them are reported at once, with the path
+// of the field and what is valid, and no document is returned: a default in place of a faulty
+// limit would go unnoticed until the limit is needed.
 func TestParse_Faults(t *testing.T) {
 	is := is.New(t)
 	var got bytes.Buffer
@@ -77,9 +76,9 @@
 	golden.Check(t, "bad", got.String())
 }
 
-// A document of a megabyte can be nothing but faults. The error stays short
-// enough to be read and to be sent, and says that it leaves some out.
-func TestParse_FaultsBounded(t *testing.T) {
+// A document of a megabyte can consist of faults only. The error must stay short enough to be
+// read and sent, and must say how many faults it omits.
+func TestParse_FaultCountIsBounded(t *testing.T) {
 	is := is.New(t)
 	raw := `{"version":1,"team":"wash","searches":{},"registers":{}` + strings.Repeat(`,"x":1`, 5000) + `}`
 	_, err := team.Parse("wash", []byte(raw))
@@ -107,14 +106,14 @@
 	}
 }
 
-func TestParse_NotText(t *testing.T) {
+func TestParse_MalformedText(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		raw  string
 		kind team.Kind
 	}{
 		{name: "not UTF-8", raw: "{\"team\":\"\xff\"}", kind: team.KindSyntax},
-		{name: "nested ten thousand deep", raw: strings.Repeat("[", 20_000) + strings.Repeat("]", 20_000), kind: team.KindSyntax},
+		{name: "nested 20,000 levels deep", raw: strings.Repeat("[", 20_000) + strings.Repeat("]", 20_000), kind: team.KindSyntax},
 		{name: "byte order mark", raw: "\ufeff{}", kind: team.KindSyntax},
 		{name: "null", raw: "null", kind: team.KindType},
 	} {
--- a/core/team/reader.go
+++ b/core/team/reader.go
@@ -10,57 +10,56 @@
 	"github.com/go-faster/errors"
 )
 
-// maxFaults bounds an error's length: a megabyte can hold far more faults than
-// anybody reads.
+// maxFaults bounds the length of an error: a document of a megabyte can contain far more
+// faults than anyone would read.
 const maxFaults = 100
 
-// reader collects the faults of one document, and knows the place that it is
-// reading. The path is put into words only for a fault.
+// reader collects the faults of one document and tracks the current position in it. The path
+// is formatted only for a fault.
 type reader struct {
-	place  []step
-	faults []*Error
-	more   int
+	steps   []step
+	faults  []*Error
+	omitted int
 }
 
-// step leads from a value into one within it: by name, or by index where the
-// name is not set.
+// step leads from a value to one inside it: by name if named is set, else by index.
 type step struct {
 	name  string
 	named bool
 	index int
 }
 
-// within reads one value inside the present one.
+// within calls read for a value inside the current one.
 func (rd *reader) within(st step, read func()) {
-	rd.place = append(rd.place, st)
+	rd.steps = append(rd.steps, st)
 	read()
-	rd.place = rd.place[:len(rd.place)-1]
+	rd.steps = rd.steps[:len(rd.steps)-1]
 }
 
-// path is the present place in words.
+// path formats the current position.
 func (rd *reader) path() string {
-	at := ""
-	for _, st := range rd.place {
+	out := ""
+	for _, st := range rd.steps {
 		if st.named {
-			at = join(at, st.name)
+			out = joinPath(out, st.name)
 			continue
 		}
-		at = fmt.Sprintf("%s[%d]", at, st.index)
+		out = fmt.Sprintf("%s[%d]", out, st.index)
 	}
-	return at
+	return out
 }
 
-// add notes a fault of the present place.
+// add records a fault at the current position.
 func (rd *reader) add(kind Kind, format string, args ...any) {
 	rd.addAt(rd.path(), kind, format, args...)
 }
 
-func (rd *reader) addAt(at string, kind Kind, format string, args ...any) {
+func (rd *reader) addAt(path string, kind Kind, format string, args ...any) {
 	if len(rd.faults) == maxFaults {
-		rd.more++
+		rd.omitted++
 		return
 	}
-	rd.faults = append(rd.faults, &Error{Op: opParse, Kind: kind, Path: at, Msg: fmt.Sprintf(format, args...)})
+	rd.faults = append(rd.faults, &Error{Op: opParse, Kind: kind, Path: path, Msg: fmt.Sprintf(format, args...)})
 }
 
 func (rd *reader) err() error {
@@ -71,25 +70,25 @@
 	for _, flt := range rd.faults {
 		errs = append(errs, flt)
 	}
-	if rd.more > 0 {
-		errs = append(errs, &Error{Op: opParse, Kind: KindInvalid, Msg: fmt.Sprintf("%d further faults are left out", rd.more)})
+	if rd.omitted > 0 {
+		errs = append(errs, &Error{Op: opParse, Kind: KindInvalid, Msg: fmt.Sprintf("%d further faults are left out", rd.omitted)})
 	}
 	return errors.Join(errs...)
 }
 
-// clean reports whether nothing at or below a path has been found faulty. A
-// comparison of two fields is only worth making where both were read.
-func (rd *reader) clean(at string) bool {
+// hasNoFaults reports whether no fault has been recorded at or below a path. Two fields are
+// compared only if both were read without faults.
+func (rd *reader) hasNoFaults(path string) bool {
 	for _, flt := range rd.faults {
-		if flt.Path == at || strings.HasPrefix(flt.Path, at+".") || strings.HasPrefix(flt.Path, at+"[") {
+		if flt.Path == path || strings.HasPrefix(flt.Path, path+".") || strings.HasPrefix(flt.Path, path+"[") {
 			return false
 		}
 	}
 	return true
 }
 
-// want reports whether a value has the type, and adds a fault where not.
-func (rd *reader) want(raw json.RawMessage, typ jsonType, what string) bool {
+// expectType reports whether a value has the type, and records a fault if not.
+func (rd *reader) expectType(raw json.RawMessage, typ jsonType, what string) bool {
 	got := typeOf(raw)
 	if got == typ {
 		return true
@@ -98,8 +97,8 @@
 	return false
 }
 
-// field is one field of an object that is read into a T: the one place that
-// says what the field is called, what it may hold and how it is described.
+// field defines one field of an object that is decoded into a T: its name, its valid values
+// and its schema.
 type field[T any] struct {
 	name     string
 	required bool
@@ -107,25 +106,25 @@
 	read     func(rd *reader, raw json.RawMessage, into *T)
 }
 
-// readObject reads an object with exactly these fields.
+// readObject decodes an object that may have only these fields.
 func readObject[T any](rd *reader, raw json.RawMessage, flds []field[T]) T {
 	var val T
-	if !rd.want(raw, typeObject, "an object") {
+	if !rd.expectType(raw, typeObject, "an object") {
 		return val
 	}
-	// One bit for each field that has been seen.
+	// One bit per field that has occurred.
 	seen := uint64(0)
 	eachMember(raw, func(name string, sub json.RawMessage) {
 		rd.within(step{name: name, named: true}, func() {
-			at := indexOf(flds, name)
+			index := indexOf(flds, name)
 			switch {
-			case at < 0:
+			case index < 0:
 				rd.add(KindUnknown, "there is no such field%s", nameHint(name, fieldNames(flds)))
-			case seen&(1<<at) != 0:
+			case seen&(1<<index) != 0:
 				rd.add(KindInvalid, "appears twice")
 			default:
-				seen |= 1 << at
-				flds[at].read(rd, sub, &val)
+				seen |= 1 << index
+				flds[index].read(rd, sub, &val)
 			}
 		})
 	})
@@ -137,10 +136,10 @@
 	return val
 }
 
-// readMap reads an object whose names the operators choose.
+// readMap decodes an object whose member names are chosen by the operators.
 func readMap[T any](rd *reader, raw json.RawMessage, flds []field[T]) map[string]T {
 	vals := map[string]T{}
-	if !rd.want(raw, typeObject, "an object") {
+	if !rd.expectType(raw, typeObject, "an object") {
 		return vals
 	}
 	eachMember(raw, func(name string, sub json.RawMessage) {
@@ -158,9 +157,9 @@
 	return vals
 }
 
-// readList reads an array of objects.
+// readList decodes an array of objects.
 func readList[T any](rd *reader, raw json.RawMessage, flds []field[T]) []T {
-	if !rd.want(raw, typeArray, "an array") {
+	if !rd.expectType(raw, typeArray, "an array") {
 		return nil
 	}
 	var vals []T
@@ -170,7 +169,7 @@
 	return vals
 }
 
-// indexOf finds a field by its name, or gives -1.
+// indexOf returns the index of a field by its name, or -1.
 func indexOf[T any](flds []field[T], name string) int {
 	return slices.IndexFunc(flds, func(fld field[T]) bool { return fld.name == name })
 }
@@ -183,17 +182,17 @@
 	return names
 }
 
-// join adds a name to a path; a name that would blur the path is quoted.
-func join(at, name string) string {
-	if name == "" || strings.ContainsFunc(name, blursPath) {
-		return at + "[" + strconv.Quote(name) + "]"
+// joinPath appends a name to a path. A name that would make the path ambiguous is quoted.
+func joinPath(path, name string) string {
+	if name == "" || strings.ContainsFunc(name, needsQuoting) {
+		return path + "[" + strconv.Quote(name) + "]"
 	}
-	if at == "" {
+	if path == "" {
 		return name
 	}
-	return at + "." + name
+	return path + "." + name
 }
 
-func blursPath(rn rune) bool {
+func needsQuoting(rn rune) bool {
 	return !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_", rn)
 }
--- a/core/team/scan.go
+++ b/core/team/scan.go
@@ -5,15 +5,14 @@
 	"encoding/json"
 )
 
-// The functions of this file take apart JSON that checkText has found valid, in
-// place. A json.Decoder for each level would copy a document once for every
-// level it has, and scan it as often; at a megabyte that is a pause which the
-// searches of a small VM feel.
+// The functions of this file scan JSON that checkText has found valid, in place. A
+// json.Decoder per level would copy and scan the document once for every level; for a
+// megabyte this takes long enough to delay the searches of a small VM.
 
 // jsonType is the type of a JSON value.
 type jsonType string
 
-// Types as a reader of JSON knows them.
+// JSON types as named in messages.
 const (
 	typeObject jsonType = "an object"
 	typeArray  jsonType = "an array"
@@ -23,7 +22,7 @@
 	typeNull   jsonType = "null"
 )
 
-// typeOf needs a value without white space before it.
+// typeOf returns the type of a value, which must not begin with white space.
 func typeOf(raw json.RawMessage) jsonType {
 	switch raw[0] {
 	case '{':
@@ -40,12 +39,12 @@
 	return typeNumber
 }
 
-// eachMember visits an object's members in the order they are written, repeated
-// names included: encoding/json alone would keep the last one in silence.
+// eachMember calls visit for an object's members in the order in which they are written,
+// including duplicate names: encoding/json alone would silently keep the last one.
 func eachMember(raw json.RawMessage, visit func(name string, val json.RawMessage)) {
 	for pos := skipSpace(raw, 1); raw[pos] != '}'; {
 		end := skipString(raw, pos)
-		name := textOf(raw[pos:end])
+		name := stringValue(raw[pos:end])
 		pos = skipSpace(raw, skipSpace(raw, end)+1)
 		end = skipValue(raw, pos)
 		visit(name, raw[pos:end])
@@ -53,7 +52,7 @@
 	}
 }
 
-// eachElement visits an array's values.
+// eachElement calls visit for an array's values.
 func eachElement(raw json.RawMessage, visit func(val json.RawMessage)) {
 	for pos := skipSpace(raw, 1); raw[pos] != ']'; {
 		end := skipValue(raw, pos)
@@ -62,8 +61,8 @@
 	}
 }
 
-// textOf is the text of a string value.
-func textOf(raw json.RawMessage) string {
+// stringValue returns the decoded text of a JSON string.
+func stringValue(raw json.RawMessage) string {
 	if bytes.IndexByte(raw, '\\') < 0 {
 		return string(raw[1 : len(raw)-1])
 	}
@@ -81,7 +80,7 @@
 	return pos
 }
 
-// skipComma goes to the next member or element, or to the closing bracket.
+// skipComma returns the position of the next member or element, or of the closing bracket.
 func skipComma(raw []byte, pos int) int {
 	pos = skipSpace(raw, pos)
 	if raw[pos] == ',' {
@@ -90,7 +89,7 @@
 	return pos
 }
 
-// skipString gives the place after a string that begins at pos.
+// skipString returns the position after the string that begins at pos.
 func skipString(raw []byte, pos int) int {
 	for pos++; raw[pos] != '"'; pos++ {
 		if raw[pos] == '\\' {
@@ -100,7 +99,7 @@
 	return pos + 1
 }
 
-// skipValue gives the place after a value that begins at pos.
+// skipValue returns the position after the value that begins at pos.
 func skipValue(raw []byte, pos int) int {
 	switch raw[pos] {
 	case '"':
@@ -114,7 +113,8 @@
 	return pos
 }
 
-// skipNested counts brackets of both kinds together: in valid JSON they match.
+// skipNested returns the position after the object or array that begins at pos. It counts
+// brackets of both kinds together: in valid JSON they match.
 func skipNested(raw []byte, pos int) int {
 	for depth := 0; ; pos++ {
 		switch raw[pos] {
--- a/core/team/schema.go
+++ b/core/team/schema.go
@@ -10,7 +10,7 @@
 	schemaID      = "urn:laburnumvane:schema:team:1"
 )
 
-// schemaNode is one JSON schema.
+// schemaNode is a JSON Schema.
 type schemaNode struct {
 	Schema           string   `json:"$schema,omitempty"`
 	ID               string   `json:"$id,omitempty"`
@@ -37,8 +37,9 @@
 	AnyOf    []schemaNode `json:"anyOf,omitempty"`
 }
 
-// Schema is the JSON schema of a document, indented, made from the same fields
-// that Parse reads by. A schema cannot compare two fields: Parse refuses more.
+// Schema returns the indented JSON Schema of a document. It is generated from the field
+// definitions that Parse uses. A schema cannot compare two fields, so Parse rejects more
+// documents.
 func Schema() ([]byte, error) {
 	node := objectNode("The configuration of one team.", documentFields())
 	node.Schema = schemaDialect
@@ -66,7 +67,7 @@
 	return node
 }
 
-func bound[N ~int | ~int64 | ~float64](val N) *float64 {
+func floatPtr[N ~int | ~int64 | ~float64](val N) *float64 {
 	num := float64(val)
 	return &num
 }
--- a/core/team/with_test.go
+++ b/core/team/with_test.go
@@ -10,7 +10,7 @@
 	"laburnumvane/core/team"
 )
 
-func TestDocument_Canonical(t *testing.T) {
+func TestDocument_CanonicalRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
 		doc := drawDocument(rt)
@@ -21,10 +21,10 @@
 	})
 }
 
-// Two goroutines hold the same document. One makes a changed copy: the other
-// must go on seeing what was accepted, or a limit would change without a
-// revision. Copies that share a map or slice would do just that.
-func TestDocument_WithLeavesOriginal(t *testing.T) {
+// Two goroutines share a document, and one makes a changed copy. The other must not see the
+// change: a limit would change without a new revision. That would happen if copies shared a
+// map or slice.
+func TestDocument_WithCopies(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(rt)
 		doc := drawDocument(rt)
@@ -46,7 +46,7 @@
 	})
 }
 
-// drawDocument draws a document that Parse accepts.
+// drawDocument generates a document that Parse accepts.
 func drawDocument(rt *rapid.T) team.Document {
 	doc := team.Document{
 		Version: team.FormatVersion,
@@ -64,7 +64,7 @@
 	for i := range rapid.IntRange(1, 4).Draw(rt, "services") {
 		doc.Registers["members"].Services[fmt.Sprintf("desk-%d", i)] = drawService(rt, i)
 	}
-	// desk-0 is what the tests change.
+	// The tests change desk-0.
 	doc.Registers["members"].Services["desk-0"] = drawService(rt, 9)
 	return doc
 }
