--- a/core/origin/table.go
+++ b/core/origin/table.go
@@ -35,7 +35,8 @@
 	tombstones map[string]tombstone
 	// evacuated holds the data centres whose servers get no new requests.
 	evacuated map[string]struct{}
-	// suspect is set until suspectUntil: the removal of an entry proves nothing meanwhile.
+	// suspect is set until suspectUntil: in this period the removal of an entry proves
+	// nothing.
 	suspect      bool
 	suspectUntil time.Duration
 }
--- a/core/plan/forward.go
+++ b/core/plan/forward.go
@@ -31,8 +31,8 @@
 
 // Homes lists the VMs to which this VM should forward a request, as Upstreams with their
 // inner addresses as ID and Addr. It is empty if this VM should handle the request itself. A
-// request that must not run twice is never forwarded: each VM on its way that may fail adds a
-// case in which it is unknown whether the request ran. The caller must not modify the list.
+// request that must not run twice is never forwarded, since the failure of a forwarding VM
+// would leave unknown whether the request ran. The caller must not modify the list.
 func (vw *View) Homes(rt *route.Route) []*origin.Upstream {
 	switch {
 	case !rt.Idempotent:
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	ju := reach.New(reach.Config{})
-//	off := ju.Look(now, reach.Sight{Silence: silence, Asked: asked, Unserved: unserved})
+//	cutOff := ju.Look(now, reach.Sight{Silence: silence, Asked: asked, Unserved: unserved})
 //
 // # Why
 //
@@ -66,7 +66,7 @@
 	DefaultInterval    = 500 * time.Millisecond
 )
 
-// Config configures a Judge. Fields that are 0 take the defaults, which describe them.
+// Config configures a Judge. Fields that are 0 take the defaults; their comments describe the fields.
 type Config struct {
 	Silence      time.Duration
 	IdleSilence  time.Duration
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -27,9 +27,9 @@
 	lastHeard time.Duration
 }
 
-// run simulates some time. unserved is the share of requests that are not served; hears tells
-// whether messages from outside the data centre arrive. It returns when the VM first counted
-// as cut off, or -1.
+// run simulates a period in which a share of the requests is not served. hears is whether
+// messages from outside the data centre arrive. It returns when the VM first counted as cut
+// off, or -1.
 func (v *simVM) run(length time.Duration, unserved float64, hears bool) time.Duration {
 	found := time.Duration(-1)
 	for end := v.now + length; v.now < end; v.now += tick {
--- a/core/reach/told_test.go
+++ b/core/reach/told_test.go
@@ -81,9 +81,9 @@
 	return first
 }
 
-// A VM reports that the data centre is cut off but is at fault itself: it lost its own
-// connections. The other VMs receive messages from outside, and must not leave the rotation
-// because of its report alone.
+// A VM reports that the data centre is cut off, but only its own connections are lost. The
+// other VMs receive messages from outside, and must not leave the rotation because of its
+// report alone.
 func TestReportAloneIsNoProof(t *testing.T) {
 	cases := []struct {
 		name    string
