--- a/core/stall/measure_test.go
+++ b/core/stall/measure_test.go
@@ -66,7 +66,8 @@
 	tf.tr.Begin(tf.now, 0, tf.now+tf.deadline)
 	for tf.now < start+tf.deadline {
 		tf.step()
-		// Every 250 ms silent connections are closed, and if in doubt the server is pinged.
+		// Every 250 ms the connections that are reported silent are closed, and the server is
+		// pinged if Doubt is true.
 		if tf.now%(250*ms) != 0 {
 			continue
 		}
--- a/core/stall/stall.go
+++ b/core/stall/stall.go
@@ -39,9 +39,9 @@
 )
 
 const (
-	// unknownLatencyDivisor is the part of its deadline, as a divisor, that an exchange may
-	// take while the server's latency is unknown: a caller that allows 30 s expects a slow
-	// answer.
+	// unknownLatencyDivisor is the fraction of its deadline, as a divisor, that an exchange
+	// may take while the server's latency is unknown. A caller that allows 30 s expects a
+	// slow answer.
 	unknownLatencyDivisor = 4
 	// latencyDecay is the divisor of the distance by which the slow latency falls towards each
 	// faster answer.
@@ -55,8 +55,7 @@
 	// MinAgeUnknown replaces MinAge until MinAnswers answers have been observed.
 	MinAgeUnknown time.Duration
 	MinAnswers    int
-	// LatencyFactor times the server's slow latency is the age from which an exchange may
-	// count as silent.
+	// LatencyFactor times the server's slow latency is the minimum age of a silent exchange.
 	LatencyFactor int
 	// MinOvertaken is the number of later exchanges that must have been answered.
 	MinOvertaken int
@@ -85,14 +84,16 @@
 type Tracker[K comparable] struct {
 	cfg         Config
 	outstanding []exchange[K]
+	// slowLatency is a decaying maximum of the latencies of answers.
 	slowLatency time.Duration
 	answers     int
 }
 
 type exchange[K comparable] struct {
-	key       K
-	began     time.Duration
-	due       time.Duration
+	key   K
+	began time.Duration
+	due   time.Duration
+	// overtaken is how many exchanges began later and were answered.
 	overtaken int
 }
 
