--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -14,48 +14,49 @@
 )
 
 const (
-	// dialTime bounds the opening of a connection: a server takes some
-	// milliseconds, one that is gone never answers.
-	dialTime = 1 * time.Second
-	// maxWaiting bounds the requests that wait for a connection to one server.
-	maxWaiting = 64
-	// freshFor is how lately a connection must have been used for a request
-	// that may not be sent again.
-	freshFor = 500 * time.Millisecond
-	// proofTime is how long, beyond the time that its opening took, a new
-	// connection is watched before it is used: a reset takes a round trip.
-	proofTime = time.Millisecond
-	// dialBackoff is how long no connection is opened after one was refused. For one
-	// that is only to be kept open it doubles with each up to warmBackoff: nobody
-	// waits for it, and each opening takes a place at a server that has none left.
-	dialBackoff = 200 * time.Millisecond
-	warmBackoff = 5 * time.Second
-	// unprovenMost bounds the openings under way at a server to which no connection is
-	// open: towards one out of reach each hangs for dialTime, and it is found as soon
-	// with two. Once one succeeds the others follow.
-	unprovenMost = 2
-	// warmJitter spreads the openings of VMs that lost their connections together.
-	warmJitter = 0.5
-	// brokenFor is how long after a connection broke under a request the refusal of a new
-	// one shows that the server has ended: those of a process end together.
-	brokenFor = time.Second
-	// peakSpan is the time within which connections were in use at once that are worth
-	// keeping open: longer than the gaps between requests, and shorter than the time
-	// after which servers close idle connections.
-	peakSpan = 10 * time.Second
+	// dialTimeout limits the opening of a connection: a server accepts it within some
+	// milliseconds, and one that has gone never answers.
+	dialTimeout = 1 * time.Second
+	// maxQueued limits the requests that wait for a connection to one server.
+	maxQueued = 64
+	// maxFreshIdle is how long a connection may have been idle for a request that may not be
+	// sent again.
+	maxFreshIdle = 500 * time.Millisecond
+	// verifyTime is how long, beyond the time that opening it took, a new connection is watched
+	// before it is used: a reset arrives one round trip later.
+	verifyTime = time.Millisecond
+	// dialBackoff is how long no connection is opened after one was refused. For a connection
+	// without demand the wait doubles each time up to maxIdleBackoff: no request waits for it,
+	// and each dial takes a slot at a server that has none left.
+	dialBackoff    = 200 * time.Millisecond
+	maxIdleBackoff = 5 * time.Second
+	// maxUnprovenDials limits the concurrent dials to a server to which no connection is open.
+	// To an unreachable server each takes dialTimeout, and two find that out as soon as more
+	// would. Once one succeeds the others follow.
+	maxUnprovenDials = 2
+	// idleJitter spreads the dials of VMs that lost their connections at the same time.
+	idleJitter = 0.5
+	// brokenWindow is how long after a connection broke under a request a refused dial shows
+	// that the server has ended: the connections of a process end together.
+	brokenWindow = time.Second
+	// peakWindow is the period over which the peak of busy connections is measured, to decide
+	// how many to keep open. It is longer than the gaps between requests, and shorter than the
+	// time after which servers close idle connections.
+	peakWindow = 10 * time.Second
 )
 
-// Limits bound the connections to one server.
+// Limits are the limits of the connections to one server.
 type Limits struct {
-	// Warm is how many are kept open without demand.
-	Warm int
-	// Most is how many there may be.
-	Most int
-	// Halted is set while the server may get no request: none is begun, and none waits.
+	// Idle is how many are kept open without demand.
+	Idle int
+	// Max is the maximum number of connections.
+	Max int
+	// Halted is set while the server must not get requests: none is started, and none is
+	// queued.
 	Halted bool
 }
 
-// Server is one upstream with the connections to it.
+// Server is one upstream server with the connections to it.
 type Server struct {
 	cfg     *Config
 	process origin.Process
@@ -64,32 +65,32 @@
 	mu     sync.Mutex
 	limits Limits
 	idle   []*conn
-	// open counts connections, those being opened too.
+	// open counts connections, including those being opened.
 	open    int
 	dialing int
-	// busy counts those with a request, window bounds them; 0 is no bound.
-	busy    int
-	window  int
-	waiting queue.Line[*Call]
-	shut    bool
-	// backoff is when opening may be tried again, warmAt the same for one without
-	// demand, and fails how many openings in a row came to nothing.
-	backoff time.Duration
-	warmAt  time.Duration
-	fails   int
-	// broken is when the server last ended a connection under a request, and doubted is
-	// set until it is known whether it has ended itself.
-	// Under are the ids of requests under which it did.
-	broken  time.Duration
-	doubted bool
-	under   []string
-	// peak is how many connections were busy at once lately.
+	// busy counts the connections with a request; window limits them, and 0 means no limit.
+	busy   int
+	window int
+	queue  queue.Line[*Call]
+	closed bool
+	// dialAfter is when a dial may be tried again, idleDialAfter the same for a connection
+	// without demand. dialFails counts consecutive dials that failed.
+	dialAfter     time.Duration
+	idleDialAfter time.Duration
+	dialFails     int
+	// brokenAt is when the server last closed a connection under a request. mayHaveEnded is set
+	// until it is known whether the server itself has ended, and brokenIDs are the ids of the
+	// requests concerned.
+	brokenAt     time.Duration
+	mayHaveEnded bool
+	brokenIDs    []string
+	// peak tracks how many connections were busy at once recently.
 	peak peak.Peak
 
-	used time.Duration
+	lastUsed time.Duration
 }
 
-// Send sends a request on a connection that is free, or on the next one that is.
+// Send sends a request on a free connection, or queues it for the next one.
 func (sv *Server) Send(rq Request) *Call {
 	ca := &Call{rq: rq, sv: sv}
 	sv.dispatch(ca)
@@ -100,10 +101,10 @@
 func (sv *Server) dispatch(ca *Call) {
 	now := sv.cfg.Clock()
 	sv.mu.Lock()
-	sv.used = now
-	if sv.hasRoom() && !sv.limits.Halted {
+	sv.lastUsed = now
+	if sv.hasCapacity() && !sv.limits.Halted {
 		if cn := sv.takeIdle(now, &ca.rq); cn != nil {
-			sv.begin(now)
+			sv.countBusy(now)
 			sv.mu.Unlock()
 			cn.start(ca)
 			return
@@ -116,48 +117,49 @@
 	}
 }
 
-// begin counts a request that gets a connection. The caller holds the lock.
-func (sv *Server) begin(now time.Duration) {
+// countBusy counts a request that gets a connection. The caller holds the lock.
+func (sv *Server) countBusy(now time.Duration) {
 	sv.busy++
 	sv.peak.Note(now, sv.busy)
 }
 
-func (sv *Server) hasRoom() bool { return sv.window == 0 || sv.busy < sv.window }
+func (sv *Server) hasCapacity() bool { return sv.window == 0 || sv.busy < sv.window }
 
-// enqueue lets a call wait, or tells why it may not.
+// enqueue queues a call, or returns the kind of error if that is not possible.
 func (sv *Server) enqueue(now time.Duration, ca *Call) Kind {
 	switch {
-	case sv.shut || sv.limits.Halted:
+	case sv.closed || sv.limits.Halted:
 		return KindClosed
-	case sv.waiting.Len() >= maxWaiting:
+	case sv.queue.Len() >= maxQueued:
 		return KindNoRoom
-	case sv.open == 0 && now < sv.backoff:
+	case sv.open == 0 && now < sv.dialAfter:
 		return KindBackoff
 	}
-	sv.waiting.Push(ca.rq.Priority, ca)
-	sv.dialForWaiting(now)
+	sv.queue.Push(ca.rq.Priority, ca)
+	sv.dialForQueued(now)
 	return ""
 }
 
-// takeIdle returns the connection used last, so that those not needed grow old. One
-// on which the same request was refused is passed over for the one used before it.
+// takeIdle returns the connection used last, so that connections that are not needed expire. If
+// the same request was refused on it, the one used before it is preferred.
 func (sv *Server) takeIdle(now time.Duration, rq *Request) *conn {
-	if n := len(sv.idle); n > 1 && sv.idle[n-1].carried(rq.ID) {
+	if n := len(sv.idle); n > 1 && sv.idle[n-1].lastCarried(rq.ID) {
 		sv.idle[n-1], sv.idle[n-2] = sv.idle[n-2], sv.idle[n-1]
 	}
 	for n := len(sv.idle); n > 0; n = len(sv.idle) {
 		cn := sv.idle[n-1]
-		if rq.Fresh && cn.idleFor(now) > freshFor {
-			if sv.open < sv.limits.Most {
+		if rq.FreshConn && cn.idleFor(now) > maxFreshIdle {
+			if sv.open < sv.limits.Max {
 				return nil
 			}
-			// All places are taken by old ones: make room for a new one.
+			// All connections that the limit allows are old: close one to make room for a new
+			// one.
 			sv.idle = sv.idle[1:]
 			go cn.close()
 			return nil
 		}
 		sv.idle = sv.idle[:n-1]
-		if !cn.stale(now, sv.cfg.IdleClose) {
+		if !cn.stale(now, sv.cfg.IdleTimeout) {
 			return cn
 		}
 		go cn.close()
@@ -165,13 +167,13 @@
 	return nil
 }
 
-// dialForWaiting opens a connection if a call waits that has room but none. The caller
-// holds the lock.
-func (sv *Server) dialForWaiting(now time.Duration) {
-	if sv.open == sv.dialing && sv.dialing >= unprovenMost {
+// dialForQueued opens a connection if a call is queued that the window admits but no connection
+// is free for. The caller holds the lock.
+func (sv *Server) dialForQueued(now time.Duration) {
+	if sv.open == sv.dialing && sv.dialing >= maxUnprovenDials {
 		return
 	}
-	if sv.hasRoom() && sv.open < sv.limits.Most && sv.dialing < sv.waiting.Len() && now >= sv.backoff && !sv.shut {
+	if sv.hasCapacity() && sv.open < sv.limits.Max && sv.dialing < sv.queue.Len() && now >= sv.dialAfter && !sv.closed {
 		sv.dial()
 	}
 }
@@ -186,63 +188,63 @@
 func (sv *Server) connect() {
 	sv.cfg.Count("open")
 	began := sv.cfg.Clock()
-	nc, err := sv.cfg.Dial(sv.addr, dialTime)
+	nc, err := sv.cfg.Dial(sv.addr, dialTimeout)
 	now := sv.cfg.Clock()
-	sv.cfg.Reached(sv.process, err == nil)
+	sv.cfg.Dialled(sv.process, err == nil)
 	if err != nil {
 		sv.cfg.Count("openFailed")
 		sv.dialFailed(now, err)
 		return
 	}
 	sv.cfg.Opened()
-	cn := &conn{sv: sv, nc: nc, br: bufio.NewReaderSize(nc, readBuffer), opened: now, used: now}
-	go cn.read()
-	// A server that has enough connections accepts one more and resets it. A
-	// request on it would be lost, and could not be told from one that ran.
-	time.Sleep(now - began + proofTime)
+	cn := &conn{sv: sv, nc: nc, br: bufio.NewReaderSize(nc, readBufferBytes), opened: now, lastUsed: now}
+	go cn.readLoop()
+	// A server at its connection limit accepts one more and resets it. A request lost on such a
+	// connection could not be distinguished from one that ran.
+	time.Sleep(now - began + verifyTime)
 	sv.mu.Lock()
 	sv.dialing--
 	sv.mu.Unlock()
 	if cn.isClosed() {
-		// Its end was counted as a failed opening.
+		// removeConn has already counted it as a failed dial.
 		sv.cfg.Count("openReset")
 		return
 	}
-	sv.opened(cn)
+	sv.addConn(cn)
 }
 
-// opened puts a new connection to use, and goes on opening what calls wait for.
-func (sv *Server) opened(cn *conn) {
+// addConn puts a new connection to use, and opens another if calls are still queued.
+func (sv *Server) addConn(cn *conn) {
 	sv.mu.Lock()
-	sv.fails = 0
-	sv.doubted = false
+	sv.dialFails = 0
+	sv.mayHaveEnded = false
 	sv.mu.Unlock()
 	sv.put(cn)
 	sv.mu.Lock()
-	sv.dialForWaiting(sv.cfg.Clock())
+	sv.dialForQueued(sv.cfg.Clock())
 	sv.mu.Unlock()
 }
 
-// holdOff waits before the next opening. The caller holds the lock.
-func (sv *Server) holdOff(now time.Duration) {
-	sv.fails++
-	sv.backoff = now + dialBackoff
-	warm := retry.Backoff{First: dialBackoff, Most: warmBackoff, Jitter: warmJitter}
-	sv.warmAt = now + warm.Wait(sv.fails, rand.Float64())
+// backOff sets the wait before the next dial. The caller holds the lock.
+func (sv *Server) backOff(now time.Duration) {
+	sv.dialFails++
+	sv.dialAfter = now + dialBackoff
+	warm := retry.Backoff{First: dialBackoff, Most: maxIdleBackoff, Jitter: idleJitter}
+	sv.idleDialAfter = now + warm.Wait(sv.dialFails, rand.Float64())
 }
 
-// dialFailed lets the calls that wait try elsewhere, if there is no connection
+// dialFailed fails the queued calls, so that they can try other servers, if no connection is
 // left that could serve them.
 func (sv *Server) dialFailed(now time.Duration, err error) {
 	sv.mu.Lock()
 	sv.open--
 	sv.dialing--
-	sv.holdOff(now)
+	sv.backOff(now)
 	var failed []*Call
 	if sv.open == 0 {
-		failed = sv.waiting.Drain()
+		failed = sv.queue.Drain()
 	}
-	ended, under := sv.endShown(now, err)
+	ended, under := sv.confirmEnd(now, err)
 	sv.mu.Unlock()
 	if ended {
 		sv.cfg.Ended(sv.process, under)
@@ -252,40 +254,40 @@
 	}
 }
 
-// free takes a connection back whose request is over.
-func (sv *Server) free(cn *conn) {
+// release returns a connection whose request has ended.
+func (sv *Server) release(cn *conn) {
 	sv.mu.Lock()
 	sv.busy--
 	sv.mu.Unlock()
 	sv.put(cn)
 }
 
-// put gives a connection to a call that waits, or keeps it.
+// put gives a connection to a queued call, or keeps it idle.
 func (sv *Server) put(cn *conn) {
 	sv.mu.Lock()
-	if sv.shut {
+	if sv.closed {
 		sv.mu.Unlock()
 		cn.close()
 		return
 	}
-	if sv.waiting.Len() == 0 || !sv.hasRoom() {
+	if sv.queue.Len() == 0 || !sv.hasCapacity() {
 		sv.idle = append(sv.idle, cn)
 		sv.mu.Unlock()
 		return
 	}
-	ca, _ := sv.waiting.Pop()
-	sv.begin(sv.cfg.Clock())
+	ca, _ := sv.queue.Pop()
+	sv.countBusy(sv.cfg.Clock())
 	sv.mu.Unlock()
 	cn.start(ca)
 }
 
-// allow bounds the requests under way, and starts one that fits now.
-func (sv *Server) allow(window int) {
+// setWindow limits the concurrent requests, and starts a queued one if the new limit admits it.
+func (sv *Server) setWindow(window int) {
 	sv.mu.Lock()
 	grown := window > sv.window
 	sv.window = window
 	var cn *conn
-	if n := len(sv.idle); grown && n > 0 && sv.waiting.Len() > 0 && sv.hasRoom() {
+	if n := len(sv.idle); grown && n > 0 && sv.queue.Len() > 0 && sv.hasCapacity() {
 		cn = sv.idle[n-1]
 		sv.idle = sv.idle[:n-1]
 	}
@@ -300,22 +302,22 @@
 	sv.mu.Lock()
 	sv.busy--
 	sv.mu.Unlock()
-	if ca.isOver() {
+	if ca.isDone() {
 		return
 	}
 	sv.dispatch(ca)
 }
 
-// lost takes a closed connection out of the counts.
-func (sv *Server) lost(cn *conn, busy bool) {
+// removeConn removes a closed connection from the counts.
+func (sv *Server) removeConn(cn *conn, busy bool) {
 	now := sv.cfg.Clock()
 	sv.mu.Lock()
 	sv.open--
 	if busy {
 		sv.busy--
 	}
-	if cn.wasTurnedAway(now) {
-		sv.holdOff(now)
+	if cn.wasRejected(now) {
+		sv.backOff(now)
 	}
 	for i, other := range sv.idle {
 		if other == cn {
@@ -323,11 +325,11 @@
 			break
 		}
 	}
-	sv.dialForWaiting(now)
-	sv.dialIfDoubted(now)
+	sv.dialForQueued(now)
+	sv.dialIfEndPossible(now)
 	var failed []*Call
 	if sv.open == 0 {
-		failed = sv.waiting.Drain()
+		failed = sv.queue.Drain()
 	}
 	sv.mu.Unlock()
 	for _, ca := range failed {
@@ -336,25 +338,25 @@
 	sv.cfg.Closed()
 }
 
-// withdraw takes a call out of those that wait.
-func (sv *Server) withdraw(ca *Call) bool {
+// dequeue removes a call from the queue and reports whether it was there.
+func (sv *Server) dequeue(ca *Call) bool {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
-	return sv.waiting.Remove(ca)
+	return sv.queue.Remove(ca)
 }
 
-// tick closes connections that are old or too many and opens one that the plan
-// wants; it tells whether it opened one.
+// tick closes connections that are old or exceed the plan, and opens one that is needed. It
+// reports whether it opened one.
 func (sv *Server) tick(now time.Duration, mayOpen bool) bool {
 	sv.mu.Lock()
 	var old []*conn
-	warm := min(sv.limits.Warm, max(1, sv.peak.Most(now)))
+	warm := min(sv.limits.Idle, max(1, sv.peak.Most(now)))
 	kept := sv.idle[:0]
 	for _, cn := range sv.idle {
 		switch {
-		case cn.stale(now, sv.cfg.IdleClose):
+		case cn.stale(now, sv.cfg.IdleTimeout):
 			sv.cfg.Count("old")
-		case sv.open-len(old) > warm && cn.idleFor(now) > sv.cfg.SpareClose:
+		case sv.open-len(old) > warm && cn.idleFor(now) > sv.cfg.SpareTimeout:
 			sv.cfg.Count("spare")
 		default:
 			kept = append(kept, cn)
@@ -364,7 +366,7 @@
 	}
 	sv.idle = kept
 	want := warm + len(old)
-	opens := mayOpen && !sv.shut && sv.open < want && now >= max(sv.backoff, sv.warmAt)
+	opens := mayOpen && !sv.closed && sv.open < want && now >= max(sv.dialAfter, sv.idleDialAfter)
 	if opens {
 		sv.dial()
 	}
@@ -375,8 +377,8 @@
 	return opens
 }
 
-// setLimits sets the plan's limits and returns the calls that have to go elsewhere, where no
-// request may be begun any more.
+// setLimits sets the plan's limits. If the server is halted it returns the queued calls, which
+// have to go to other servers.
 func (sv *Server) setLimits(li Limits) []*Call {
 	sv.mu.Lock()
 	defer sv.mu.Unlock()
@@ -384,14 +386,14 @@
 	if !li.Halted {
 		return nil
 	}
-	return sv.waiting.Drain()
+	return sv.queue.Drain()
 }
 
-// close gives the server up: idle connections end, calls under way go on.
+// close removes the server: idle connections are closed, calls that were sent continue.
 func (sv *Server) close() {
 	sv.mu.Lock()
-	sv.shut = true
-	idle, waiting := sv.idle, sv.waiting.Drain()
+	sv.closed = true
+	idle, waiting := sv.idle, sv.queue.Drain()
 	sv.idle = nil
 	sv.mu.Unlock()
 	for _, cn := range idle {
@@ -402,15 +404,15 @@
 	}
 }
 
-// Dial opens a TCP connection that notices when the other end is gone: a server
-// that lost its power says nothing, and requests on connections to it would wait
-// for their deadlines.
+// Dial opens a TCP connection that detects when the other end is gone. A server that lost its
+// power sends nothing more, and requests on connections to it would otherwise wait for their
+// deadlines.
 func Dial(addr string, timeout time.Duration) (net.Conn, error) {
 	di := net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable:   true,
-		Idle:     probeIdle,
-		Interval: probeInterval,
-		Count:    probeCount,
+		Idle:     keepAliveIdle,
+		Interval: keepAliveInterval,
+		Count:    keepAliveCount,
 	}, Control: setUserTimeout}
 	return di.Dial("tcp", addr)
 }
