--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -1,17 +1,18 @@
-// Package carry has other VMs take gathers in place of this one.
+// Package carry has other VMs run requests or send sub-requests in place of this one, over the
+// inner.Home service.
 //
 // # Usage
 //
 //	cl := carry.New(carry.Config{Clock: clock, DataCentre: "east"})
-//	rp, err := cl.Carry(ctx, homes, usual, rq)
+//	rp, addr, err := cl.Carry(ctx, vms, usual, rq)
 //	if err != nil && !carry.MayHaveRun(err) {
-//		// take it here
+//		// run it on this VM
 //	}
 //
-// A VM that declines, or to which nothing was sent, did nothing, and the next
-// one is asked. One that was asked and then says nothing may have run the
-// request: it is not sent to another, or its shards could run it on more servers
-// than the route allows.
+// If a VM declines a request, or nothing was sent to it, the request did not run there and the
+// next VM is asked. If a VM received the request and does not respond, it may have run it. The
+// request is then not sent to another VM, because its shards could run it on more servers than
+// the route allows.
 package carry
 
 import (
@@ -33,43 +34,42 @@
 )
 
 const (
-	// mostTries bounds the VMs that are asked for one request; each costs a
-	// round trip, and a target is some tens of milliseconds.
-	mostTries = 3
-	// dialTime bounds the opening of a connection within a region.
-	dialTime = 200 * time.Millisecond
-	// idlePerHome is how many connections are kept to each.
-	idlePerHome = 8
-	// doubtAfter is how long a VM may say nothing at all, to any request of this
-	// one, before it is asked whether it lives; probeTime is how long it may
-	// take to say so, and doubtAgain the wait until it is asked again. A VM that
-	// is cut off from servers is slow with every request, and is not dead.
-	doubtAfter = 800 * time.Millisecond
-	probeTime  = 300 * time.Millisecond
-	doubtAgain = 500 * time.Millisecond
+	// maxTries limits the VMs that are asked for one request; each costs a round trip, and a
+	// target is some tens of milliseconds.
+	maxTries = 3
+	// dialTimeout limits the opening of a connection within a region.
+	dialTimeout = 200 * time.Millisecond
+	// idleConnsPerVM is how many idle connections are kept to each VM.
+	idleConnsPerVM = 8
+	// silentAfter is how long a VM may send no response to any request of this VM before it is
+	// probed. probeTimeout limits the probe, and probeInterval is the wait until the next one.
+	// A VM that is cut off from servers is slow with every request, but not dead.
+	silentAfter   = 800 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
 )
 
-// Kind says what went wrong.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindNone: no VM could be asked, or all declined; nothing ran.
+	// KindNone: no VM could be asked, or all declined; the request did not run.
 	KindNone Kind = "none"
-	// KindLost: a VM was asked and gave no answer; it may have run.
+	// KindLost: a VM received the request and did not respond; it may have run.
 	KindLost Kind = "lost"
 )
 
-// Error is a request that no other VM took to its end.
+// Error is a request for which no other VM returned a result.
 type Error struct {
 	Op   string
 	Kind Kind
-	// Addr is the VM that was lost.
+	// Addr is the address of the VM concerned; it may be empty with KindNone.
 	Addr string
 	Err  error
 }
 
-// Error gives operation, kind and VM on one line.
+// Error returns operation, kind, VM and cause on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %s: %v", e.Op, e.Kind, e.Addr, e.Err)
 }
@@ -77,99 +77,101 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// MayHaveRun tells whether a request that ended with an error may have run.
+// MayHaveRun reports whether a request that ended with an error may have run.
 func MayHaveRun(err error) bool {
 	var ce *Error
 	return errors.As(err, &ce) && ce.Kind == KindLost
 }
 
-// ReasonOtherRoute is why a VM declines a request whose route is not the same in
-// the version of the configuration that it knows. It has room all the same.
+// ReasonOtherRoute is the reason with which a VM declines a request if the request's route
+// differs in the version of the configuration that it has. It does not mean that the VM is
+// busy.
 const ReasonOtherRoute = "otherRoute"
 
 var (
-	errNobody = errors.New("no VM takes it")
-	errSilent = errors.New("it says nothing any more")
+	errNoVM   = errors.New("no VM accepted the request")
+	errSilent = errors.New("the VM stopped responding")
 )
 
-// Config sets a client.
+// Config configures a client. All fields are required.
 type Config struct {
 	Clock      func() time.Duration
 	DataCentre string
 }
 
-// Client asks other VMs.
+// Client calls other VMs, and chooses among them by their latency.
 type Client struct {
 	cfg   Config
 	table *steer.Table
-	to    *stubs.Pool[inner.Home]
+	stubs *stubs.Pool[inner.Home]
 }
 
-// New makes a client without connections.
+// New creates a client without connections.
 func New(cfg Config) *Client {
 	return &Client{
 		cfg:   cfg,
 		table: steer.New(steer.Config{DataCentre: cfg.DataCentre}),
-		to: stubs.New(stubs.Config[inner.Home]{
+		stubs: stubs.New(stubs.Config[inner.Home]{
 			Make:     func(base string, hc *http.Client) inner.Home { return inner.NewHomeProtobufClient(base, hc) },
-			DialTime: dialTime,
-			Idle:     idlePerHome,
+			DialTime: dialTimeout,
+			Idle:     idleConnsPerVM,
 		}),
 	}
 }
 
-// Carry has one of the VMs take a request. Usual is what such a request takes.
-func (cl *Client) Carry(ctx context.Context, homes []*origin.Upstream, usual time.Duration, rq *inner.CarryRequest) (*inner.CarryReply, string, error) {
+// Carry forwards a request to one of the VMs and returns its reply and address. usual is the
+// usual latency of such a request.
+func (cl *Client) Carry(ctx context.Context, vms []*origin.Upstream, usual time.Duration, rq *inner.CarryRequest) (*inner.CarryReply, string, error) {
 	var tried []*origin.Upstream
-	for range mostTries {
-		ho, ok := cl.table.Pick(cl.cfg.Clock(), steer.Kind{Usual: usual}, homes, tried, rand.Float64)
+	for range maxTries {
+		vm, ok := cl.table.Pick(cl.cfg.Clock(), steer.Kind{Usual: usual}, vms, tried, rand.Float64)
 		if !ok {
 			break
 		}
-		tried = append(tried, ho)
-		rp, sent, err := cl.ask(ctx, ho, usual, rq)
+		tried = append(tried, vm)
+		rp, sent, err := cl.call(ctx, vm, usual, rq)
 		switch {
 		case err == nil && !rp.GetDeclined():
-			return rp, ho.Addr, nil
+			return rp, vm.Addr, nil
 		case err != nil && sent:
-			return nil, ho.Addr, &Error{Op: "carry.Carry", Kind: KindLost, Addr: ho.Addr, Err: err}
+			return nil, vm.Addr, &Error{Op: "carry.Carry", Kind: KindLost, Addr: vm.Addr, Err: err}
 		}
 	}
-	return nil, "", &Error{Op: "carry.Carry", Kind: KindNone, Err: errNobody}
+	return nil, "", &Error{Op: "carry.Carry", Kind: KindNone, Err: errNoVM}
 }
 
-// ask sends a request to one VM and tells whether any of it may have left.
-func (cl *Client) ask(ctx context.Context, ho *origin.Upstream, usual time.Duration, rq *inner.CarryRequest) (*inner.CarryReply, bool, error) {
+// call sends a request to one VM and reports whether any of it may have been sent.
+func (cl *Client) call(ctx context.Context, vm *origin.Upstream, usual time.Duration, rq *inner.CarryRequest) (*inner.CarryReply, bool, error) {
 	began := cl.cfg.Clock()
-	cl.table.Begin(began, usual, ho.Process())
+	cl.table.Begin(began, usual, vm.Process())
 	bounded, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stop := cl.watch(ho, cancel)
+	stop := cl.cancelIfSilent(vm, cancel)
 	defer stop()
 	sent := false
 	traced := httptrace.WithClientTrace(bounded, &httptrace.ClientTrace{
 		WroteHeaders: func() { sent = true },
 	})
-	rp, err := cl.to.At(ho.Addr).Carry(traced, rq)
+	rp, err := cl.stubs.At(vm.Addr).Carry(traced, rq)
 	now := cl.cfg.Clock()
 	switch {
 	case err == nil && rp.GetDeclined():
-		cl.declined(now, ho.Process(), rp.GetReason())
+		cl.recordDeclined(now, vm.Process(), rp.GetReason())
 	case err == nil:
-		cl.table.End(now, ho.Process(), steer.Attempt{Verdict: fanout.Served, Took: now - began, Usual: usual})
+		cl.table.End(now, vm.Process(), steer.Attempt{Verdict: fanout.Served, Took: now - began, Usual: usual})
 	case ctx.Err() != nil:
-		// The client left.
-		cl.table.Withdraw(now, ho.Process(), now-began)
+		// The client disconnected.
+		cl.table.Withdraw(now, vm.Process(), now-began)
 	default:
-		cl.table.Withdraw(now, ho.Process(), 0)
-		cl.table.Reached(now, ho.Process(), false)
-		cl.to.Drop(ho.Addr)
+		cl.table.Withdraw(now, vm.Process(), 0)
+		cl.table.Reached(now, vm.Process(), false)
+		cl.stubs.Drop(vm.Addr)
 	}
 	return rp, sent, err
 }
 
-// declined settles a request that a VM did not take.
-func (cl *Client) declined(now time.Duration, pr origin.Process, reason string) {
+// recordDeclined ends the statistics of a request that a VM declined.
+func (cl *Client) recordDeclined(now time.Duration, pr origin.Process, reason string) {
 	if reason == ReasonOtherRoute {
 		cl.table.Withdraw(now, pr, 0)
 		return
@@ -177,11 +179,11 @@
 	cl.table.End(now, pr, steer.Attempt{Verdict: fanout.Refused})
 }
 
-// watch ends a request whose VM has said nothing for long and does not say that it
-// lives.
-func (cl *Client) watch(ho *origin.Upstream, cancel context.CancelCauseFunc) (stop func()) {
+// cancelIfSilent cancels a request if its VM has sent no response for silentAfter and then does
+// not respond to a probe.
+func (cl *Client) cancelIfSilent(vm *origin.Upstream, cancel context.CancelCauseFunc) (stop func()) {
 	done := make(chan struct{})
-	tm := time.NewTimer(doubtAfter)
+	tm := time.NewTimer(silentAfter)
 	go func() {
 		defer tm.Stop()
 		for {
@@ -190,21 +192,21 @@
 				return
 			case <-tm.C:
 			}
-			if cl.table.Quiet(cl.cfg.Clock(), ho.Process()) >= doubtAfter && !cl.Lives(ho.Addr, probeTime) {
+			if cl.table.Quiet(cl.cfg.Clock(), vm.Process()) >= silentAfter && !cl.Alive(vm.Addr, probeTimeout) {
 				cancel(errSilent)
 				return
 			}
-			tm.Reset(doubtAgain)
+			tm.Reset(probeInterval)
 		}
 	}()
 	return func() { close(done) }
 }
 
-// Lives asks a VM for a sign of life and waits so long for it at most.
-func (cl *Client) Lives(addr string, wait time.Duration) bool {
+// Alive probes a VM and reports whether it responds within wait.
+func (cl *Client) Alive(addr string, wait time.Duration) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	// A connection of its own: the one in use may be what has gone silent.
+	// The probe uses its own connection: the existing one may be what no longer works.
 	tr := &http.Transport{DialContext: (&net.Dialer{Timeout: wait}).DialContext, DisableKeepAlives: true}
 	defer tr.CloseIdleConnections()
 	_, err := inner.NewHomeProtobufClient("http://"+addr, &http.Client{Transport: tr}).Carry(ctx, &inner.CarryRequest{})
@@ -212,4 +214,4 @@
 }
 
 // Close closes idle connections.
-func (cl *Client) Close() { cl.to.Close() }
+func (cl *Client) Close() { cl.stubs.Close() }
--- a/io/carry/carry_test.go
+++ b/io/carry/carry_test.go
@@ -16,59 +16,59 @@
 )
 
 const (
-	patience = 20 * time.Second
-	usual    = 20 * time.Millisecond
+	testTimeout = 20 * time.Second
+	usual       = 20 * time.Millisecond
 )
 
-// home answers as it is told.
-type home struct {
+// fakeVM answers as configured.
+type fakeVM struct {
 	delay    time.Duration
 	declines bool
-	// mute VMs answer nothing at all.
-	mute  bool
-	asked atomic.Int64
+	// silent VMs never respond.
+	silent   bool
+	requests atomic.Int64
 }
 
-func (ho *home) Carry(ctx context.Context, rq *inner.CarryRequest) (*inner.CarryReply, error) {
-	if ho.mute {
+func (vm *fakeVM) Carry(ctx context.Context, rq *inner.CarryRequest) (*inner.CarryReply, error) {
+	if vm.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	if rq.GetId() == "" {
 		return &inner.CarryReply{Declined: true}, nil
 	}
-	ho.asked.Add(1)
-	if ho.declines {
+	vm.requests.Add(1)
+	if vm.declines {
 		return &inner.CarryReply{Declined: true, Reason: "busy"}, nil
 	}
 	select {
-	case <-time.After(ho.delay):
+	case <-time.After(vm.delay):
 	case <-ctx.Done():
 	}
 	return &inner.CarryReply{Status: http.StatusOK}, nil
 }
 
-// Join answers that all servers served.
-func (ho *home) Join(ctx context.Context, rq *inner.JoinRequest) (*inner.JoinReply, error) {
-	if ho.mute {
+// Join replies that all servers served.
+func (vm *fakeVM) Join(ctx context.Context, rq *inner.JoinRequest) (*inner.JoinReply, error) {
+	if vm.silent {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	ho.asked.Add(1)
-	rp := &inner.JoinReply{Declined: ho.declines}
+	vm.requests.Add(1)
+	rp := &inner.JoinReply{Declined: vm.declines}
 	for k := range rq.GetServers() {
 		rp.Parts = append(rp.Parts, &inner.JoinPart{Verdict: inner.Verdict_SERVED, Server: uint32(k)})
 	}
 	return rp, nil
 }
 
-func serve(t *testing.T, ho *home) *origin.Upstream {
+func serve(t *testing.T, vm *fakeVM) *origin.Upstream {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	srv := &http.Server{Handler: inner.NewHomeServer(ho), ReadHeaderTimeout: patience}
+	srv := &http.Server{Handler: inner.NewHomeServer(vm), ReadHeaderTimeout: testTimeout}
 	go func() {
-		// It ends with Close.
+		// Serve returns when the test closes the server.
 		_ = srv.Serve(ln)
 	}()
 	t.Cleanup(func() { _ = srv.Close() })
@@ -84,54 +84,54 @@
 	return cl
 }
 
-func ask(t *testing.T, cl *carry.Client, homes ...*origin.Upstream) (*inner.CarryReply, error) {
+func carryTo(t *testing.T, cl *carry.Client, vms ...*origin.Upstream) (*inner.CarryReply, error) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	rp, _, err := cl.Carry(ctx, homes, usual, &inner.CarryRequest{Id: "x"})
+	rp, _, err := cl.Carry(ctx, vms, usual, &inner.CarryRequest{Id: "x"})
 	return rp, err
 }
 
-func TestDeclinedGoesToTheNext(t *testing.T) {
+func TestDeclinedRequestGoesToNextVM(t *testing.T) {
 	is := is.New(t)
-	busy, free := &home{declines: true}, &home{}
-	rp, err := ask(t, newClient(t), serve(t, busy), serve(t, free))
+	busy, free := &fakeVM{declines: true}, &fakeVM{}
+	rp, err := carryTo(t, newClient(t), serve(t, busy), serve(t, free))
 	is.NoErr(err)
 	is.Equal(rp.GetStatus(), uint32(http.StatusOK))
-	is.Equal(free.asked.Load(), int64(1))
+	is.Equal(free.requests.Load(), int64(1))
 }
 
-// Nobody is there. Nothing was sent, so that the request may be taken here.
-func TestNobody(t *testing.T) {
+// No VM is reachable. Nothing was sent, so the request may run on this VM.
+func TestNothingRanIfNoVMIsReachable(t *testing.T) {
 	is := is.New(t)
-	gone := &origin.Upstream{ID: "gone", Addr: "127.0.0.1:1", DataCentre: "east"}
-	_, err := ask(t, newClient(t), gone)
+	unreachable := &origin.Upstream{ID: "gone", Addr: "127.0.0.1:1", DataCentre: "east"}
+	_, err := carryTo(t, newClient(t), unreachable)
 	is.True(err != nil)
 	is.True(!carry.MayHaveRun(err))
 }
 
-// A VM is cut off from most servers, so that each of its gathers takes long. It
-// lives: to give it up would fail requests that it still answers, and send the
-// next ones to VMs that are farther away.
-func TestSlowIsNotDead(t *testing.T) {
+// A VM is cut off from most servers, so that each of its gathers takes long. It is alive:
+// giving it up would fail requests that it still answers, and send the next ones to VMs that
+// are farther away.
+func TestSlowVMIsNotGivenUp(t *testing.T) {
 	is := is.New(t)
-	slow := &home{delay: 1500 * time.Millisecond}
-	rp, err := ask(t, newClient(t), serve(t, slow))
+	slow := &fakeVM{delay: 1500 * time.Millisecond}
+	rp, err := carryTo(t, newClient(t), serve(t, slow))
 	is.NoErr(err)
 	is.Equal(rp.GetStatus(), uint32(http.StatusOK))
 }
 
-// A VM has the request and lost its power. The request may have run and is not
-// sent to another one; the client is told within moments of the doubt.
-func TestMuteIsGivenUp(t *testing.T) {
+// A VM loses its power after it received a request. The request may have run and is not sent to
+// another VM, and the client gets an error within seconds.
+func TestSilentVMIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	mute, other := &home{mute: true}, &home{}
-	first := serve(t, mute)
+	silent, other := &fakeVM{silent: true}, &fakeVM{}
+	first := serve(t, silent)
 	second := serve(t, other)
 	second.DataCentre = "west"
 	began := time.Now()
-	_, err := ask(t, newClient(t), first, second)
+	_, err := carryTo(t, newClient(t), first, second)
 	is.True(carry.MayHaveRun(err))
-	is.Equal(other.asked.Load(), int64(0))
+	is.Equal(other.requests.Load(), int64(0))
 	is.True(time.Since(began) < 5*time.Second)
 }
--- a/io/carry/join.go
+++ b/io/carry/join.go
@@ -12,18 +12,18 @@
 	"laburnumvane/io/inner"
 )
 
-// Join has one of the VMs send a request to servers of its data centre. Nothing
-// ran there if the error is of KindNone. The VM can be asked with Follow for the
-// servers that the reply leaves out.
-func (cl *Client) Join(ctx context.Context, joiners []*origin.Upstream, usual time.Duration, rq *inner.JoinRequest) (*inner.JoinReply, *origin.Upstream, error) {
+// Join has one of the VMs send a request to servers of its data centre. If the error is of
+// KindNone nothing ran there. The results that the reply leaves out can be requested from the
+// VM with Follow.
+func (cl *Client) Join(ctx context.Context, vms []*origin.Upstream, usual time.Duration, rq *inner.JoinRequest) (*inner.JoinReply, *origin.Upstream, error) {
 	began := cl.cfg.Clock()
-	vm, ok := cl.table.Pick(began, steer.Kind{Usual: usual}, joiners, nil, rand.Float64)
+	vm, ok := cl.table.Pick(began, steer.Kind{Usual: usual}, vms, nil, rand.Float64)
 	if !ok {
-		return nil, nil, &Error{Op: "carry.Join", Kind: KindNone, Err: errNobody}
+		return nil, nil, &Error{Op: "carry.Join", Kind: KindNone, Err: errNoVM}
 	}
 	cl.table.Begin(began, usual, vm.Process())
 	sent := false
-	rp, err := cl.to.At(vm.Addr).Join(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	rp, err := cl.stubs.At(vm.Addr).Join(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaders: func() { sent = true },
 	}), rq)
 	now := cl.cfg.Clock()
@@ -31,7 +31,7 @@
 		cl.table.Withdraw(now, vm.Process(), now-began)
 		if ctx.Err() == nil {
 			cl.table.Reached(now, vm.Process(), false)
-			cl.to.Drop(vm.Addr)
+			cl.stubs.Drop(vm.Addr)
 		}
 		kind := KindNone
 		if sent {
@@ -40,21 +40,21 @@
 		return nil, vm, &Error{Op: "carry.Join", Kind: kind, Addr: vm.Addr, Err: err}
 	}
 	if rp.GetDeclined() {
-		cl.declined(now, vm.Process(), rp.GetReason())
-		return nil, vm, &Error{Op: "carry.Join", Kind: KindNone, Addr: vm.Addr, Err: errNobody}
+		cl.recordDeclined(now, vm.Process(), rp.GetReason())
+		return nil, vm, &Error{Op: "carry.Join", Kind: KindNone, Addr: vm.Addr, Err: errNoVM}
 	}
 	cl.table.End(now, vm.Process(), steer.Attempt{Verdict: fanout.Served, Took: now - began, Usual: usual})
 	return rp, vm, nil
 }
 
-// Follow asks a VM for what its reply to Join left out.
+// Follow requests from a VM the results that its reply to Join left out.
 func (cl *Client) Follow(ctx context.Context, vm *origin.Upstream, token uint64) (*inner.JoinReply, error) {
-	rp, err := cl.to.At(vm.Addr).Join(ctx, &inner.JoinRequest{Follow: token})
+	rp, err := cl.stubs.At(vm.Addr).Join(ctx, &inner.JoinRequest{Follow: token})
 	switch {
 	case err != nil:
 		return nil, &Error{Op: "carry.Follow", Kind: KindLost, Addr: vm.Addr, Err: err}
 	case rp.GetDeclined():
-		return nil, &Error{Op: "carry.Follow", Kind: KindLost, Addr: vm.Addr, Err: errNobody}
+		return nil, &Error{Op: "carry.Follow", Kind: KindLost, Addr: vm.Addr, Err: errNoVM}
 	}
 	return rp, nil
 }
--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -76,7 +76,7 @@
 	for _, vm := range vms {
 		eg.workers.submit(func() {
 			eg.meter.Count(meter.Platform, "probe")
-			alive := eg.homeClient.Lives(vm.Addr, probeTimeout)
+			alive := eg.homeClient.Alive(vm.Addr, probeTimeout)
 			eg.ramp.Probed(eg.clock(), alive)
 			if alive {
 				eg.follow.Touch()
--- a/io/edge/silent.go
+++ b/io/edge/silent.go
@@ -63,7 +63,7 @@
 	var dead []feed.Item
 	for _, ot := range silent {
 		wg.Go(func() {
-			if eg.homeClient.Lives(ot.Addr, probeTimeout) {
+			if eg.homeClient.Alive(ot.Addr, probeTimeout) {
 				eg.follow.Note(ot.Addr)
 				return
 			}
