--- a/io/accept/accept_test.go
+++ b/io/accept/accept_test.go
@@ -17,10 +17,10 @@
 	"laburnumvane/io/accept"
 )
 
-// bound ends a test that hangs; no verdict depends on it.
-const bound = 20 * time.Second
+// testTimeout ends a test that hangs; no result depends on it.
+const testTimeout = 20 * time.Second
 
-type bench struct {
+type testServer struct {
 	ln      *accept.Listener
 	srv     *server.Hertz
 	ended   chan error
@@ -28,14 +28,14 @@
 	release chan struct{}
 }
 
-func start(t *testing.T) *bench {
+func start(t *testing.T) *testServer {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	be := &bench{ln: accept.New(ln), ended: make(chan error, 1), entered: make(chan struct{}, 16), release: make(chan struct{})}
-	be.srv = server.New(
-		server.WithListener(be.ln),
+	ts := &testServer{ln: accept.New(ln), ended: make(chan error, 1), entered: make(chan struct{}, 16), release: make(chan struct{})}
+	ts.srv = server.New(
+		server.WithListener(ts.ln),
 		server.WithTransport(standard.NewTransporter),
 		server.WithSenseClientDisconnection(true),
 		server.WithIdleTimeout(time.Minute),
@@ -43,33 +43,33 @@
 		server.WithDisablePrintRoute(true),
 		server.WithOnAccept(accept.Context),
 	)
-	be.srv.Use(func(ctx context.Context, rc *app.RequestContext) {
+	ts.srv.Use(func(ctx context.Context, rc *app.RequestContext) {
 		defer accept.Begin(ctx)()
 		rc.Next(ctx)
 	})
-	be.srv.GET("/quick", func(_ context.Context, rc *app.RequestContext) { rc.String(200, "quick") })
-	be.srv.GET("/slow", func(_ context.Context, rc *app.RequestContext) {
-		be.entered <- struct{}{}
-		<-be.release
+	ts.srv.GET("/quick", func(_ context.Context, rc *app.RequestContext) { rc.String(200, "quick") })
+	ts.srv.GET("/slow", func(_ context.Context, rc *app.RequestContext) {
+		ts.entered <- struct{}{}
+		<-ts.release
 		rc.String(200, "slow")
 	})
-	go func() { be.ended <- be.srv.Run() }()
-	for !be.srv.IsRunning() {
+	go func() { ts.ended <- ts.srv.Run() }()
+	for !ts.srv.IsRunning() {
 		time.Sleep(time.Millisecond)
 	}
-	return be
+	return ts
 }
 
-func (be *bench) dial(t *testing.T) (net.Conn, *bufio.Reader) {
+func (ts *testServer) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
-	nc, err := net.Dial("tcp", be.ln.Addr().String())
+	nc, err := net.Dial("tcp", ts.ln.Addr().String())
 	is.New(t).NoErr(err)
-	is.New(t).NoErr(nc.SetReadDeadline(time.Now().Add(bound)))
+	is.New(t).NoErr(nc.SetReadDeadline(time.Now().Add(testTimeout)))
 	t.Cleanup(func() { _ = nc.Close() })
 	return nc, bufio.NewReader(nc)
 }
 
-func ask(t *testing.T, nc net.Conn, paths ...string) {
+func sendRequests(t *testing.T, nc net.Conn, paths ...string) {
 	t.Helper()
 	text := ""
 	for _, path := range paths {
@@ -79,7 +79,7 @@
 	is.New(t).NoErr(err)
 }
 
-func answer(t *testing.T, rd *bufio.Reader) string {
+func readResponse(t *testing.T, rd *bufio.Reader) string {
 	t.Helper()
 	is := is.New(t)
 	rs, err := http.ReadResponse(rd, nil)
@@ -90,55 +90,55 @@
 	return string(body)
 }
 
-// The caller keeps a connection open after its answer, as every client with a
-// pool does, and others opened one and sent nothing. Left to itself the server
-// waits for them to go away, until the stop's grace is used up. The stop must
-// end while they still hold on, and they must see a plain end of stream.
+// A client keeps a connection open after its response, as every client with a pool does, and
+// another one opened a connection and sent nothing. Without Drain the server would wait for
+// them until the stop's grace is used up. The stop must end while the clients still hold their
+// connections, and they must see a plain end of stream.
 func TestDrainClosesIdleConnections(t *testing.T) {
 	is := is.New(t)
-	be := start(t)
-	kept, rd := be.dial(t)
-	ask(t, kept, "/quick")
-	is.Equal(answer(t, rd), "quick")
-	_, fresh := be.dial(t)
-	for be.ln.Len() < 2 {
+	ts := start(t)
+	kept, rd := ts.dial(t)
+	sendRequests(t, kept, "/quick")
+	is.Equal(readResponse(t, rd), "quick")
+	_, fresh := ts.dial(t)
+	for ts.ln.Len() < 2 {
 		time.Sleep(time.Millisecond)
 	}
 
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	be.ln.Drain()
-	is.NoErr(be.srv.Shutdown(ctx))
+	ts.ln.Drain()
+	is.NoErr(ts.srv.Shutdown(ctx))
 
 	_, err := rd.ReadByte()
 	is.Equal(err, io.EOF)
 	_, err = fresh.ReadByte()
 	is.Equal(err, io.EOF)
-	is.Equal(be.ln.Len(), 0)
+	is.Equal(ts.ln.Len(), 0)
 }
 
-// A caller waits for its answer when the stop begins; another has sent a second
-// request in one packet with its first, so that no byte of it is left to be
-// read. Both must be answered before their connections end.
+// A client waits for its response when the stop begins. Another one has sent a second request
+// in one packet with its first, so that none of its bytes is left to be read. Both must be
+// answered before their connections end.
 func TestDrainLetsRequestsFinish(t *testing.T) {
 	is := is.New(t)
-	be := start(t)
-	single, srd := be.dial(t)
-	ask(t, single, "/slow")
-	<-be.entered
-	double, drd := be.dial(t)
-	ask(t, double, "/quick", "/slow")
-	is.Equal(answer(t, drd), "quick")
-	<-be.entered
+	ts := start(t)
+	single, srd := ts.dial(t)
+	sendRequests(t, single, "/slow")
+	<-ts.entered
+	double, drd := ts.dial(t)
+	sendRequests(t, double, "/quick", "/slow")
+	is.Equal(readResponse(t, drd), "quick")
+	<-ts.entered
 
-	be.ln.Drain()
+	ts.ln.Drain()
 	done := make(chan error, 1)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	go func() { done <- be.srv.Shutdown(ctx) }()
-	close(be.release)
-	is.Equal(answer(t, srd), "slow")
-	is.Equal(answer(t, drd), "slow")
+	go func() { done <- ts.srv.Shutdown(ctx) }()
+	close(ts.release)
+	is.Equal(readResponse(t, srd), "slow")
+	is.Equal(readResponse(t, drd), "slow")
 	is.NoErr(<-done)
 	_, err := srd.ReadByte()
 	is.Equal(err, io.EOF)
@@ -146,20 +146,20 @@
 	is.Equal(err, io.EOF)
 }
 
-// The VM dies. The caller's connection ends without an answer, whatever was
-// under way.
-func TestAbortCutsEverything(t *testing.T) {
+// The VM crashes: the client's connection ends without a response, although a request was
+// running.
+func TestAbortClosesAllConnections(t *testing.T) {
 	is := is.New(t)
-	be := start(t)
-	nc, rd := be.dial(t)
-	ask(t, nc, "/slow")
-	<-be.entered
-	be.ln.Abort()
+	ts := start(t)
+	nc, rd := ts.dial(t)
+	sendRequests(t, nc, "/slow")
+	<-ts.entered
+	ts.ln.Abort()
 	_, err := rd.ReadByte()
 	is.True(err != nil)
-	is.NoErr(<-be.ended)
-	close(be.release)
-	for be.ln.Len() > 0 {
+	is.NoErr(<-ts.ended)
+	close(ts.release)
+	for ts.ln.Len() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/io/accept/conn.go
+++ b/io/accept/conn.go
@@ -11,96 +11,98 @@
 	"golang.org/x/sys/unix"
 )
 
-// interim begins the reply that asks for a request's body; it ends no request.
-const interim = "HTTP/1.1 100"
+// interimPrefix begins the interim reply that asks for a request's body; it does not end the
+// request.
+const interimPrefix = "HTTP/1.1 100"
 
-// Conn is a connection that knows whether a request is under way.
+// Conn is a connection that knows whether it is idle.
 type Conn struct {
 	net.Conn
 	ln *Listener
 
 	mu sync.Mutex
-	// begun is set by the first byte of a request.
-	begun bool
+	// inRequest is set by the first byte of a request.
+	inRequest bool
 	// answered is set once a reply is written, until the next request.
 	answered bool
-	// running counts handlers: a request that came in one packet with the one
-	// before needs no further read to begin.
-	running int
-	// begins counts the handlers that began.
-	begins int
-	// shut is set when the connection was closed as idle.
-	shut bool
+	// handlers counts running handlers. It is needed because a request that came in one packet
+	// with the previous one starts without a further read.
+	handlers int
+	// requests counts the handlers that have started.
+	requests int
+	// closedIdle is set if the connection was closed while idle.
+	closedIdle bool
 }
 
-// Read reads from the connection. A server that reads after it has answered
-// waits for the next request.
+// Read reads from the connection. A read after a reply means that the server waits for the next
+// request; while the listener drains, it then returns io.EOF.
 func (cn *Conn) Read(p []byte) (int, error) {
-	if cn.becomesIdle() && cn.ln.isDraining() && !cn.pending() {
+	if cn.updateIdle() && cn.ln.isDraining() && !cn.hasUnread() {
 		return 0, io.EOF
 	}
 	n, err := cn.Conn.Read(p)
 	if n > 0 {
-		cn.ln.in.Add(int64(n))
+		cn.ln.bytesIn.Add(int64(n))
 		cn.mu.Lock()
-		cn.begun, cn.answered = true, false
+		cn.inRequest, cn.answered = true, false
 		cn.mu.Unlock()
 	}
-	if err != nil && cn.wasShut() {
-		// To the server this is a client that went away, not a request
-		// that it would have to refuse.
+	if err != nil && cn.wasClosedIdle() {
+		// To the server this is a client that disconnected, not a malformed request that it
+		// would have to refuse.
 		err = io.EOF
 	}
 	return n, err
 }
 
-func (cn *Conn) wasShut() bool {
+func (cn *Conn) wasClosedIdle() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	return cn.shut
+	return cn.closedIdle
 }
 
-func (cn *Conn) becomesIdle() bool {
+func (cn *Conn) updateIdle() bool {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	if cn.answered && cn.running == 0 {
-		cn.begun = false
+	if cn.answered && cn.handlers == 0 {
+		cn.inRequest = false
 	}
-	return !cn.begun
+	return !cn.inRequest
 }
 
-// Write writes to the connection.
+// Write writes to the connection. Any reply but an interim one marks the request as answered.
 func (cn *Conn) Write(p []byte) (int, error) {
-	if !bytes.HasPrefix(p, []byte(interim)) {
+	if !bytes.HasPrefix(p, []byte(interimPrefix)) {
 		cn.mu.Lock()
 		cn.answered = true
 		cn.mu.Unlock()
 	}
 	n, err := cn.Conn.Write(p)
-	cn.ln.out.Add(int64(n))
+	cn.ln.bytesOut.Add(int64(n))
 	return n, err
 }
 
-// Close closes the connection.
+// Close closes the connection and removes it from its listener.
 func (cn *Conn) Close() error {
-	cn.ln.forget(cn)
+	cn.ln.remove(cn)
 	return cn.Conn.Close()
 }
 
 func (cn *Conn) closeIfIdle() {
 	cn.mu.Lock()
-	idle := !cn.begun && cn.running == 0 && !cn.pending()
-	cn.shut = cn.shut || idle
+	idle := !cn.inRequest && cn.handlers == 0 && !cn.hasUnread()
+	cn.closedIdle = cn.closedIdle || idle
 	cn.mu.Unlock()
 	if idle {
-		// The server's read fails and it closes its side too.
+		// The server's read fails, and it then closes its side too.
 		_ = cn.Conn.Close()
 	}
 }
 
-// roundTrip is that of the connection as the kernel sees it; 0 if it does not tell.
+// roundTrip returns the kernel's estimate of the connection's round-trip time; 0 if it is not
+// known.
 func (cn *Conn) roundTrip() time.Duration {
-	sc, ok := bare(cn.Conn).(syscall.Conn)
+	sc, ok := unwrap(cn.Conn).(syscall.Conn)
 	if !ok {
 		return 0
 	}
@@ -115,8 +117,9 @@
 	return time.Duration(ti.Rtt) * time.Microsecond
 }
 
-// bare is the connection under those that wrap it and say so, as tls.Conn does.
-func bare(nc net.Conn) net.Conn {
+// unwrap returns the innermost connection of those that wrap another one and expose it with
+// NetConn, as tls.Conn does.
+func unwrap(nc net.Conn) net.Conn {
 	for {
 		wr, ok := nc.(interface{ NetConn() net.Conn })
 		if !ok {
@@ -126,11 +129,11 @@
 	}
 }
 
-// pending tells whether bytes have arrived that the server has not read yet.
-// Without this look a request that is in the kernel's buffer at the moment of
-// the close would be answered by a reset.
-func (cn *Conn) pending() bool {
-	sc, ok := bare(cn.Conn).(syscall.Conn)
+// hasUnread reports whether bytes have arrived that the server has not read yet. Without this
+// check a request that is in the kernel's buffer when the connection is closed would be
+// answered by a reset.
+func (cn *Conn) hasUnread() bool {
+	sc, ok := unwrap(cn.Conn).(syscall.Conn)
 	if !ok {
 		return false
 	}
--- a/io/accept/doc.go
+++ b/io/accept/doc.go
@@ -1,6 +1,5 @@
-// Package accept wraps a listener so that a server can be stopped without
-// cutting off a request and without waiting for clients that keep idle
-// connections open.
+// Package accept wraps a listener so that a server can be stopped without cutting off a request
+// and without waiting for clients that keep idle connections open.
 //
 // # Usage
 //
@@ -16,9 +15,9 @@
 //
 // # Why
 //
-// hertz's standard transport counts a connection as active from its accept to
-// its close. Its Shutdown therefore waits for every client that keeps an idle
-// connection, up to the end of the context, though nothing is under way. A
-// connection on which a request is being read, run or answered is not idle and
-// is left alone; it closes itself once it would wait for the next request.
+// hertz's standard transport counts a connection as active from accept to close. Its Shutdown
+// therefore waits for every client that keeps an idle connection, until the context ends, even
+// if no request is running. With this package idle connections are closed at once. A connection
+// on which a request is being read, run or answered is not closed until it would wait for the
+// next request.
 package accept
--- a/io/accept/listener.go
+++ b/io/accept/listener.go
@@ -6,19 +6,19 @@
 	"sync/atomic"
 )
 
-// Listener hands out connections that know whether they are idle.
+// Listener accepts connections that know whether they are idle.
 type Listener struct {
 	net.Listener
-	mu       sync.Mutex
-	draining bool
-	conns    map[*Conn]struct{}
-	accepted bool
-	in, out  atomic.Int64
+	mu                sync.Mutex
+	draining          bool
+	conns             map[*Conn]struct{}
+	accepted          bool
+	bytesIn, bytesOut atomic.Int64
 }
 
-// Bytes is what was read and written on all connections so far.
+// Bytes returns the number of bytes read and written on all connections so far.
 func (ln *Listener) Bytes() (in, out int64) {
-	return ln.in.Load(), ln.out.Load()
+	return ln.bytesIn.Load(), ln.bytesOut.Load()
 }
 
 // New wraps a listener.
@@ -40,16 +40,15 @@
 	return cn, nil
 }
 
-// Accepted tells whether there ever was a connection.
+// Accepted reports whether there ever was a connection.
 func (ln *Listener) Accepted() bool {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	return ln.accepted
 }
 
-// Drain closes the connections that are idle, and from now on each other one
-// as soon as it becomes idle. Call it once no more requests are expected, and
-// then close the listener.
+// Drain closes the connections that are idle, and from now on each other one as soon as it
+// becomes idle. Call it once no more requests are expected, and then close the listener.
 func (ln *Listener) Drain() {
 	ln.mu.Lock()
 	ln.draining = true
@@ -63,10 +62,9 @@
 	}
 }
 
-// Abort closes every connection, whatever is under way, and the listener. It is
-// what callers see of a VM that dies.
+// Abort closes every connection, whatever its state, and the listener, as if the VM crashed.
 func (ln *Listener) Abort() {
-	// The process is as good as dead; an error has nobody to be told to.
+	// The process is about to end; the error is of no use.
 	_ = ln.Close()
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -76,7 +74,7 @@
 	}
 }
 
-// Len is the number of open connections.
+// Len returns the number of open connections.
 func (ln *Listener) Len() int {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
@@ -89,7 +87,7 @@
 	return ln.draining
 }
 
-func (ln *Listener) forget(cn *Conn) {
+func (ln *Listener) remove(cn *Conn) {
 	ln.mu.Lock()
 	defer ln.mu.Unlock()
 	delete(ln.conns, cn)
--- a/io/accept/shutdown.go
+++ b/io/accept/shutdown.go
@@ -2,19 +2,19 @@
 
 import "context"
 
-// Server is what serves the connections of a listener.
+// Server is the server that handles the connections of a listener.
 type Server interface {
 	IsRunning() bool
 	Shutdown(ctx context.Context) error
 }
 
-// Shutdown closes idle connections, stops listening, and waits for requests
-// under way or for the context's end.
+// Shutdown closes idle connections, stops listening, and waits until all requests have ended or
+// the context ends.
 func (ln *Listener) Shutdown(ctx context.Context, srv Server) error {
 	ln.Drain()
 	if !srv.IsRunning() {
-		// The stop overtook the boot, and the library refuses it: without
-		// a listener its Run ends as soon as it begins.
+		// The stop came before the server had started, and the library refuses Shutdown then.
+		// Without a listener its Run returns as soon as it starts.
 		_ = ln.Close()
 		return nil
 	}
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -230,7 +230,7 @@
 	if en.cfg.Off.Off(toggle.Trips) {
 		return lead.Trip{}
 	}
-	return accept.Trip(ctx)
+	return accept.ClientPath(ctx)
 }
 
 // route finds the route of a request and writes the response. If it returns a refusal, nothing
