--- a/io/edge/poisonwriter.go
+++ b/io/edge/poisonwriter.go
@@ -133,11 +133,11 @@
 	defer cancel()
 	pw.eg.meter.Count(meter.Platform, "share")
 	var puts []enlist.Leased
-	var gone []feed.Item
+	var deletes []feed.Item
 	for _, up := range ups {
 		key, value := pw.eg.cfg.Decoder.PoisonEntry(up.Record)
 		if up.Cleared {
-			gone = append(gone, feed.Item{Key: key})
+			deletes = append(deletes, feed.Item{Key: key})
 			continue
 		}
 		puts = append(puts, enlist.Leased{Entry: enlist.Entry{Key: key, Value: value}})
@@ -145,10 +145,10 @@
 	if err := pw.put(bounded, puts); err != nil {
 		return err
 	}
-	if len(gone) == 0 {
+	if len(deletes) == 0 {
 		return nil
 	}
-	return pw.eg.cfg.Store.Remove(bounded, gone)
+	return pw.eg.cfg.Store.Remove(bounded, deletes)
 }
 
 func (pw *poisonWriter) put(ctx context.Context, puts []enlist.Leased) error {
--- a/io/edge/registrar.go
+++ b/io/edge/registrar.go
@@ -69,8 +69,8 @@
 func (rg *registrar) enqueue(en enlist.Entry, done chan registerResult) {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
-	if former, ok := rg.waiting[en.Key]; ok {
-		former <- registerResult{err: context.Canceled}
+	if old, ok := rg.waiting[en.Key]; ok {
+		old <- registerResult{err: context.Canceled}
 	}
 	rg.batch.Add(en)
 	rg.waiting[en.Key] = done
--- a/io/edge/registration.go
+++ b/io/edge/registration.go
@@ -162,7 +162,7 @@
 // refresh writes the entry, or renews its lease if it is this VM's turn.
 func (rn *registration) refresh(ctx context.Context) error {
 	if stored := rn.storedLease.Load(); stored != 0 && stored != rn.lease {
-		rn.eg.cfg.Log.Info().Uint64("lease", stored).Bool("former", !rn.mayExist).Msg("using the entry found in the store")
+		rn.eg.cfg.Log.Info().Uint64("lease", stored).Bool("former", !rn.mayExist).Msg("entry found in the store, taken over")
 		rn.lease, rn.mayExist = stored, true
 	}
 	if rn.lease != 0 {
--- a/io/edge/state.go
+++ b/io/edge/state.go
@@ -103,9 +103,9 @@
 			return false, false
 		}
 		delete(st.lapsed, ev.Key)
-		was := st.vms[ev.Key]
+		old := st.vms[ev.Key]
 		st.vms[ev.Key] = vmRecord{vm: vm, capacity: capacity, lease: ev.Lease, revision: ev.Revision}
-		return false, was != st.vms[ev.Key]
+		return false, old != st.vms[ev.Key]
 	}
 	if rd, ok, err := dec.Poison(ev.Key, ev.Value); ok {
 		if err != nil {
@@ -125,8 +125,8 @@
 	return false, false
 }
 
-// putServer applies a server's entry. An entry that cannot be decoded replaces the server that
-// was stored under its key by none.
+// putServer applies a server's entry. If the entry cannot be decoded, the server that its key
+// held before is removed.
 func (st *state) putServer(now time.Duration, ev feed.Event, up *upstream, err error) (changed bool) {
 	if err != nil {
 		st.noteUnreadable(ev, err)
@@ -179,8 +179,8 @@
 // setRoutes applies a configuration unless it is older than the one in force: a VM never goes
 // back to an older version.
 func (st *state) setRoutes(tb *routeTable, revision uint64) {
-	if was := st.view.Routes(); was != nil && tb.Version() <= was.Version() {
-		st.eg.cfg.Log.Warn().Uint64("version", tb.Version()).Uint64("inForce", was.Version()).
+	if old := st.view.Routes(); old != nil && tb.Version() <= old.Version() {
+		st.eg.cfg.Log.Warn().Uint64("version", tb.Version()).Uint64("inForce", old.Version()).
 			Uint64("revision", revision).Msg("ignored an older configuration")
 		st.eg.meter.Count(meter.Config, "older")
 		return
--- a/io/edge/stop.go
+++ b/io/edge/stop.go
@@ -38,17 +38,17 @@
 	eg.entry.Leave()
 	eg.follow.Leave()
 	eg.cfg.Log.Info().Int("inFlight", eg.entry.InFlight()).Msg("stop begins")
-	left := func() time.Duration { return eg.set.StopGrace - exitMargin - time.Since(began) }
-	time.Sleep(min(acceptTime, left()-earlyAnswerTime))
-	for eg.entry.InFlight() > 0 && left() > earlyAnswerTime {
-		time.Sleep(min(stopPollInterval, max(0, left()-earlyAnswerTime)))
+	remaining := func() time.Duration { return eg.set.StopGrace - exitMargin - time.Since(began) }
+	time.Sleep(min(acceptTime, remaining()-earlyAnswerTime))
+	for eg.entry.InFlight() > 0 && remaining() > earlyAnswerTime {
+		time.Sleep(min(stopPollInterval, max(0, remaining()-earlyAnswerTime)))
 	}
 	eg.entry.EndRequests()
-	for eg.entry.InFlight() > 0 && left() > 0 {
+	for eg.entry.InFlight() > 0 && remaining() > 0 {
 		time.Sleep(answerPollInterval)
 	}
 	cut := eg.entry.InFlight()
-	eg.close(max(stopPollInterval, left()))
+	eg.close(max(stopPollInterval, remaining()))
 	eg.cfg.Log.Info().Int("cut", cut).Int64("ms", time.Since(began).Milliseconds()).Msg("stopped")
 	if cut > 0 {
 		return &Error{Op: "edge.Stop", Kind: KindCut, Err: errCut}
@@ -65,8 +65,8 @@
 }
 
 // close stops listeners and goroutines.
-func (eg *Edge) close(left time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), left)
+func (eg *Edge) close(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	removeCtx, stopRemove := context.WithTimeout(ctx, removeEntryTime)
 	defer stopRemove()
--- a/io/entry/flight.go
+++ b/io/entry/flight.go
@@ -107,13 +107,13 @@
 	if en.cfg.Off.Off(toggle.Hedges) {
 		hedgeAfter = 0
 	}
-	room := 0
+	maxAttempts := 0
 	for _, name := range fl.services {
 		// A server is asked again only after it refused, and no more often than the route
 		// allows.
-		room += len(vw.Candidates(name)) + rt.MaxAttempts + fanout.SpareTries
+		maxAttempts += len(vw.Candidates(name)) + rt.MaxAttempts + fanout.SpareTries
 	}
-	fl.mailbox = make(chan attemptResult, room)
+	fl.mailbox = make(chan attemptResult, maxAttempts)
 	fl.machine = fanout.New(fanout.Config{
 		Shards:      len(fl.services),
 		MinParts:    minParts,
--- a/io/entry/forward.go
+++ b/io/entry/forward.go
@@ -32,13 +32,13 @@
 	maxForwardedInFlight = 256
 	// homePacePrefix separates the latency statistics of gathers on other VMs from those of
 	// requests to single servers.
-	homePacePrefix = "home "
+	homeLatencyPrefix = "home "
 )
 
 // forward sends a request to a VM that is better placed to run it. It returns nil if none of
 // the VMs started it, so that this VM has to run it.
 func (en *Entry) forward(ctx context.Context, targets []*origin.Upstream, rq *request, rt *route.Route) *response {
-	la := en.latency.forRoute(&route.Route{Name: homePacePrefix + rt.Name, Target: rt.Target})
+	la := en.latency.forRoute(&route.Route{Name: homeLatencyPrefix + rt.Name, Target: rt.Target})
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(en.ending, cancel)()
@@ -155,7 +155,7 @@
 		en.cfg.Meter.Count(meter.Sent, reason)
 	}
 	en.cfg.Log.Info().Str("id", rq.id).Str("reason", reason).Uint64("version", configVersion(en.cfg.View())).
-		Msg("declined for another VM")
+		Msg("declined another VM's request")
 }
 
 func declined(reason string) *inner.CarryReply {
--- a/io/entry/forwarded.go
+++ b/io/entry/forwarded.go
@@ -27,8 +27,8 @@
 		forwarded:   true,
 		began:       now - spent,
 	}
-	if left := time.Duration(cr.GetLeftUs()) * time.Microsecond; left > 0 {
-		rq.timeout = left + spent
+	if remaining := time.Duration(cr.GetLeftUs()) * time.Microsecond; remaining > 0 {
+		rq.timeout = remaining + spent
 	}
 	if rq.transitTime == 0 {
 		// VMs of older versions do not send it.
--- a/io/entry/joiner.go
+++ b/io/entry/joiner.go
@@ -55,8 +55,8 @@
 	token := pe.lastToken
 	pe.byToken[token] = jo
 	time.AfterFunc(followTimeout, func() {
-		if left, ok := pe.take(token); ok {
-			left.drop(clientGoneLinger)
+		if unclaimed, ok := pe.take(token); ok {
+			unclaimed.drop(clientGoneLinger)
 		}
 	})
 	return token
@@ -218,17 +218,17 @@
 // follow waits for the results that the first reply left out. Each part has its own body,
 // because the caller may already have that shard's records from another server.
 func (jo *joiner) follow(ctx context.Context) *inner.JoinReply {
-	var left []int
+	var missing []int
 	for k := range jo.results {
 		if jo.results[k].verdict == 0 {
-			left = append(left, k)
+			missing = append(missing, k)
 		}
 	}
 	tm := time.NewTimer(max(0, jo.hardDeadline-jo.en.cfg.Clock()))
 	defer tm.Stop()
 	jo.collect(ctx, tm.C)
 	rp := &inner.JoinReply{}
-	for _, k := range left {
+	for _, k := range missing {
 		pa := jo.part(k)
 		if jo.results[k].verdict == fanout.Served {
 			pa.Body = jo.results[k].rs.Reply.Body
--- a/io/entry/latency.go
+++ b/io/entry/latency.go
@@ -65,20 +65,20 @@
 // how long before the target a response has to be sent.
 func (rl *routeLatency) hedgeDelay(overhead time.Duration) time.Duration {
 	late := rl.hedge.Delay()
-	most := time.Duration(maxHedgeShare * float64(rl.target))
-	return min(max(late, rl.target-overhead-hedgeLeadFactor*late), most)
+	maxDelay := time.Duration(maxHedgeShare * float64(rl.target))
+	return min(max(late, rl.target-overhead-hedgeLeadFactor*late), maxDelay)
 }
 
 // observe records the latency of one server.
 func (rl *routeLatency) observe(took time.Duration) {
 	rl.hedge.Observe(took)
-	was := rl.usual.Load()
-	step := int64(usualStep * float64(was))
-	if int64(took) < was {
+	old := rl.usual.Load()
+	step := int64(usualStep * float64(old))
+	if int64(took) < old {
 		step = -step
 	}
 	// Of two concurrent updates one may be lost; the estimate tolerates that.
-	rl.usual.Store(max(was+step, int64(minUsual)))
+	rl.usual.Store(max(old+step, int64(minUsual)))
 }
 
 // usualLatency returns the latency of a request at most servers.
@@ -131,10 +131,10 @@
 		return
 	}
 	bs.extra = ex
-	for name, was := range bs.byService {
-		made := bs.newBudget(max(0, was.Tokens()))
-		made.lastCredit.Store(was.lastCredit.Load())
-		bs.byService[name] = made
+	for name, old := range bs.byService {
+		bu := bs.newBudget(max(0, old.Tokens()))
+		bu.lastCredit.Store(old.lastCredit.Load())
+		bs.byService[name] = bu
 	}
 }
 
--- a/io/entry/log.go
+++ b/io/entry/log.go
@@ -43,11 +43,11 @@
 
 // slowestAttempt returns the longest time that a server took.
 func (fl *flight) slowestAttempt() time.Duration {
-	var most time.Duration
+	var slowest time.Duration
 	for _, ar := range fl.results {
-		most = max(most, ar.rs.Took)
+		slowest = max(slowest, ar.rs.Took)
 	}
-	return most
+	return slowest
 }
 
 // remoteAttempts counts the attempts that went to another data centre.
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -62,14 +62,14 @@
 }
 
 // pickReady chooses a server that reported that it is ready, or else one that was not asked.
-func (fl *flight) pickReady(now time.Duration, ask fanout.Ask, warm []*origin.Upstream) (*origin.Upstream, bool) {
-	if !ask.First || len(fl.ready)+len(fl.notReady) == 0 {
+func (fl *flight) pickReady(now time.Duration, pr fanout.Ask, warm []*origin.Upstream) (*origin.Upstream, bool) {
+	if !pr.First || len(fl.ready)+len(fl.notReady) == 0 {
 		return nil, false
 	}
-	if up, ok := fl.pick(now, ask.Shard, fl.ready, ask.Tried); ok && up.Takes() {
+	if up, ok := fl.pick(now, pr.Shard, fl.ready, pr.Tried); ok && up.Takes() {
 		return up, true
 	}
-	return fl.pick(now, ask.Shard, warm, slices.Concat(fl.notReady, ask.Tried))
+	return fl.pick(now, pr.Shard, warm, slices.Concat(fl.notReady, pr.Tried))
 }
 
 // statusResult is the result of one status check.
@@ -78,8 +78,8 @@
 	rs relay.Result
 }
 
-// askStatus asks servers for their status and returns those that responded within the given
-// time and can accept a request.
+// askStatus asks servers for their status and returns those whose valid response arrived within
+// the given time.
 func (en *Entry) askStatus(ups []*origin.Upstream, path string, wait time.Duration) (answered []*origin.Upstream) {
 	results := make(chan statusResult, len(ups))
 	calls := make([]*relay.Call, len(ups))
--- a/io/relay/conn.go
+++ b/io/relay/conn.go
@@ -23,8 +23,8 @@
 	maxStrays = 2
 	// writeTimeout limits the writing of a request to a server that does not read.
 	writeTimeout = 5 * time.Second
-	// idleMargin: an idle connection is closed here before the server closes it, by the
-	// server's timeout divided by this.
+	// idleMargin: an idle connection is closed here before the server closes it, earlier by a
+	// fraction 1/idleMargin of the server's timeout.
 	idleMargin = 4
 )
 
@@ -243,10 +243,10 @@
 // close closes the connection once and removes it from the server's counts.
 func (cn *conn) close() {
 	cn.mu.Lock()
-	was, busy := cn.closed, cn.call != nil
+	wasClosed, busy := cn.closed, cn.call != nil
 	cn.closed = true
 	cn.mu.Unlock()
-	if was {
+	if wasClosed {
 		return
 	}
 	// Nothing can be done about an error.
--- a/io/relay/ended_test.go
+++ b/io/relay/ended_test.go
@@ -81,18 +81,18 @@
 			return nil, cs.dialErr
 		}
 	}
-	here, there := net.Pipe()
-	cs.peers = append(cs.peers, there)
+	local, remote := net.Pipe()
+	cs.peers = append(cs.peers, remote)
 	go func() {
 		buf := make([]byte, 1)
 		for {
-			if _, err := there.Read(buf); err != nil {
+			if _, err := remote.Read(buf); err != nil {
 				return
 			}
 			cs.reads.Add(1)
 		}
 	}()
-	return here, nil
+	return local, nil
 }
 
 func (cs *crashingServer) crash() {
--- a/io/relay/halt_test.go
+++ b/io/relay/halt_test.go
@@ -15,14 +15,14 @@
 // assigned later from an old view fail in the same way, and requests already sent continue.
 func TestHaltedServerStartsNoRequest(t *testing.T) {
 	is := is.New(t)
-	here, there := net.Pipe()
-	defer there.Close()
-	fs := newFakeServer(Limits{Max: 1}, func() (net.Conn, error) { return here, nil })
+	local, remote := net.Pipe()
+	defer remote.Close()
+	fs := newFakeServer(Limits{Max: 1}, func() (net.Conn, error) { return local, nil })
 	queued := fs.send()
 	active := fs.send() // the newest queued request goes first
 	go fs.run()
 	buf := make([]byte, 1)
-	_, err := there.Read(buf) // one request is written
+	_, err := remote.Read(buf) // one request is written
 	is.NoErr(err)
 	is.True(queued.Err == nil)
 	halt := func(on bool) {
--- a/io/relay/open_test.go
+++ b/io/relay/open_test.go
@@ -81,18 +81,18 @@
 	is := is.New(t)
 	var ends []net.Conn
 	fs := newFakeServer(Limits{Max: 8}, func() (net.Conn, error) {
-		here, there := net.Pipe()
-		ends = append(ends, there)
+		local, remote := net.Pipe()
+		ends = append(ends, remote)
 		go func() {
 			// A server that reads and never responds.
 			buf := make([]byte, 1)
 			for {
-				if _, err := there.Read(buf); err != nil {
+				if _, err := remote.Read(buf); err != nil {
 					return
 				}
 			}
 		}()
-		return here, nil
+		return local, nil
 	})
 	for range 6 {
 		fs.send()
@@ -115,13 +115,13 @@
 	full := true
 	var fs *fakeServer
 	fs = newFakeServer(Limits{Idle: 1, Max: 1}, func() (net.Conn, error) {
-		here, there := net.Pipe()
+		local, remote := net.Pipe()
 		if full {
 			// A new connection is watched for as long as the dial took.
 			fs.now.Add(int64(20 * time.Millisecond))
-			return here, there.Close()
+			return local, remote.Close()
 		}
-		return here, nil
+		return local, nil
 	})
 	tick := func(span time.Duration) {
 		for end := fs.now.Load() + int64(span); fs.now.Load() < end; fs.now.Add(int64(250 * time.Millisecond)) {
--- a/io/relay/pool.go
+++ b/io/relay/pool.go
@@ -45,7 +45,7 @@
 	// OldestFirst starts queued requests for a server in the order of their arrival instead of
 	// newest first.
 	OldestFirst bool
-	// IdleTimeout and SpareTimeout have defaults.
+	// IdleTimeout and SpareTimeout default to DefaultIdleTimeout and DefaultSpareTimeout.
 	IdleTimeout  time.Duration
 	SpareTimeout time.Duration
 }
