--- a/io/follow/boot.go
+++ b/io/follow/boot.go
@@ -8,9 +8,9 @@
 	"laburnumvane/core/feed"
 )
 
-// boot asks seeds and the store until there is a copy. What is read from the store comes
-// beside what others answer: on a small link it takes a quarter of a second, and a VM
-// that has its copy by then gives it in twenty milliseconds.
+// boot asks seeds and the store until there is a copy. Reading from the store runs in parallel
+// with the calls to VMs: on a small link it takes a quarter of a second, while a VM that has its
+// copy by then sends it in twenty milliseconds.
 func (fo *Follower) boot(ctx context.Context) {
 	bo := feed.NewBoot(feed.BootConfig{
 		Self:       fo.cfg.Self.Addr,
@@ -22,59 +22,59 @@
 	})
 	reads, cancel := context.WithCancel(ctx)
 	defer cancel()
-	rd := &reading{fo: fo, done: make(chan result, 1)}
+	rd := &storeRead{fo: fo, done: make(chan storeResult, 1)}
 	for ctx.Err() == nil && !fo.known() {
-		if as := fo.takenAsker(); as.addr != "" {
+		if as := fo.takeFreshCaller(); as.addr != "" {
 			bo.Name(fo.cfg.Clock(), as.addr)
 		}
-		if re, ok := rd.taken(); ok {
-			fo.bootRead(ctx, bo, re)
+		if re, ok := rd.finished(); ok {
+			fo.bootFromStore(ctx, bo, re)
 			continue
 		}
 		switch st := bo.Next(fo.cfg.Clock()); st.From {
 		case feed.FromStore:
 			rd.start(reads)
 		case feed.FromList:
-			fo.bootList(ctx, bo, st)
+			fo.bootFromList(ctx, bo, st)
 		default:
-			waiting, stop := rd.until(ctx)
-			fo.bootWait(waiting, bo, st)
+			waiting, stop := rd.waitContext(ctx)
+			fo.bootFromPeer(waiting, bo, st)
 			stop()
 		}
 	}
 }
 
-// bootWait asks a peer, or waits.
-func (fo *Follower) bootWait(ctx context.Context, bo *feed.Boot, st feed.Step) {
+// bootFromPeer calls a peer, or waits, as the step says.
+func (fo *Follower) bootFromPeer(ctx context.Context, bo *feed.Boot, st feed.Step) {
 	if st.From != feed.FromPeer {
 		sleep(ctx, st.Wait)
 		return
 	}
-	if rp, err := fo.bootAsk(ctx, st); err != nil {
+	if rp, err := fo.bootCallPeer(ctx, st); err != nil {
 		bo.Failed(fo.cfg.Clock(), st, rp)
 	}
 }
 
-// bootRead takes in what the store answered.
-func (fo *Follower) bootRead(ctx context.Context, bo *feed.Boot, re result) {
+// bootFromStore applies the result of reading the store.
+func (fo *Follower) bootFromStore(ctx context.Context, bo *feed.Boot, re storeResult) {
 	st := feed.Step{From: feed.FromStore}
-	if err := fo.takeStore(re.update, re.err); err != nil {
+	if err := fo.applyStore(re.update, re.err); err != nil {
 		bo.Failed(fo.cfg.Clock(), st, feed.Report{Failed: true})
 		return
 	}
 	if bo.Tells(st) {
-		fo.tellSeeds(ctx)
+		fo.notifySeeds(ctx)
 	}
 }
 
-// bootList asks the store who the others are.
-func (fo *Follower) bootList(ctx context.Context, bo *feed.Boot, st feed.Step) {
+// bootFromList reads the list of the other VMs from the store.
+func (fo *Follower) bootFromList(ctx context.Context, bo *feed.Boot, st feed.Step) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
-	fo.countStore()
+	fo.noteStoreCall()
 	members, err := fo.cfg.List(bounded)
 	if err != nil {
-		// It may be slow only, and is read whole with more time.
+		// The store may just be slow; the complete copy is read with a longer timeout.
 		fo.cfg.Count("storeFailed")
 		members = nil
 	}
@@ -82,75 +82,76 @@
 	bo.Listed(fo.cfg.Clock(), readers, own)
 }
 
-func (fo *Follower) bootAsk(ctx context.Context, st feed.Step) (feed.Report, error) {
+func (fo *Follower) bootCallPeer(ctx context.Context, st feed.Step) (feed.Report, error) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
-	rp, err := fo.fromPeer(bounded, st.Addr)
+	rp, err := fo.updateFromPeer(bounded, st.Addr)
 	if err == nil {
-		fo.gave = st.Addr
+		fo.firstSource = st.Addr
 	}
 	return rp, err
 }
 
-// stayTime is how long a VM that knows no other one stays with the VM that gave its
-// first copy. When a fleet starts for the first time, its entries are in the store
-// within half a second; until then each VM would take itself for the only one and watch
-// the store, with as many calls as there are VMs.
-const stayTime = 3 * time.Second
-
-// stay follows the VM that gave the first copy until others are known.
-func (fo *Follower) stay(ctx context.Context) {
-	until := fo.cfg.Clock() + stayTime
-	for fo.gave != "" && ctx.Err() == nil && fo.cfg.Clock() < until {
-		fo.takePeers()
-		if len(fo.places) > 0 {
+// firstSourceTime is how long a VM that knows no other one keeps following the VM that sent its
+// first copy. When a fleet starts for the first time, its entries are in the store within half a
+// second. Until then each VM would consider itself the only one and watch the store, with as
+// many calls as there are VMs.
+const firstSourceTime = 3 * time.Second
+
+// followFirstSource follows the VM that sent the first copy until other VMs are known.
+func (fo *Follower) followFirstSource(ctx context.Context) {
+	until := fo.cfg.Clock() + firstSourceTime
+	for fo.firstSource != "" && ctx.Err() == nil && fo.cfg.Clock() < until {
+		fo.applyPeers()
+		if len(fo.dataCentres) > 0 {
 			return
 		}
-		if _, err := fo.fromPeer(ctx, fo.gave); err != nil {
-			fo.cfg.Switched(feed.Step{From: feed.FromPeer, Addr: fo.gave}, fo.Age(), err)
+		if _, err := fo.updateFromPeer(ctx, fo.firstSource); err != nil {
+			fo.cfg.Switched(feed.Step{From: feed.FromPeer, Addr: fo.firstSource}, fo.Age(), err)
 			return
 		}
 	}
 }
 
-// reading is a call to the store that goes on while others are asked.
-type reading struct {
+// storeRead is a call to the store that runs while other VMs are asked.
+type storeRead struct {
 	fo *Follower
-	// busy is set while a call is under way; its result comes in done.
-	busy bool
-	done chan result
+	// running is set while a call is in progress; done gets its result.
+	running bool
+	done    chan storeResult
 
 	mu sync.Mutex
-	// interrupt ends what waits meanwhile; nil if nothing does.
+	// interrupt ends a wait in the meantime; nil if there is none.
 	interrupt context.CancelFunc
 }
 
-// result is what the store answered.
-type result struct {
+// storeResult is the result of a call to the store.
+type storeResult struct {
 	update feed.Update
 	err    error
 }
 
-// start calls the store, unless a call is under way.
-func (rd *reading) start(ctx context.Context) {
-	if rd.busy {
+// start calls the store unless a call is in progress.
+func (rd *storeRead) start(ctx context.Context) {
+	if rd.running {
 		return
 	}
-	rd.busy = true
-	rd.fo.countStore()
-	rd.fo.tells.Go(func() {
-		up, err := rd.fo.askStore(ctx)
+	rd.running = true
+	rd.fo.noteStoreCall()
+	rd.fo.calls.Go(func() {
+		up, err := rd.fo.callStore(ctx)
 		rd.mu.Lock()
 		defer rd.mu.Unlock()
-		rd.done <- result{update: up, err: err}
+		rd.done <- storeResult{update: up, err: err}
 		if rd.interrupt != nil {
 			rd.interrupt()
 		}
 	})
 }
 
-// until is a context that ends when the store has answered; stop is called in any case.
-func (rd *reading) until(ctx context.Context) (waiting context.Context, stop func()) {
+// waitContext returns a context that ends when the store has answered. The caller must call
+// stop.
+func (rd *storeRead) waitContext(ctx context.Context) (waiting context.Context, stop func()) {
 	waiting, cancel := context.WithCancel(ctx)
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
@@ -166,32 +167,32 @@
 	}
 }
 
-// taken is the result of a call that has ended.
-func (rd *reading) taken() (result, bool) {
+// finished returns the result of a call that has ended, if one has.
+func (rd *storeRead) finished() (storeResult, bool) {
 	select {
 	case re := <-rd.done:
-		rd.busy = false
+		rd.running = false
 		return re, true
 	default:
-		return result{}, false
+		return storeResult{}, false
 	}
 }
 
-// tellTime bounds the call by which a seed hears that this VM has a copy; after it the
-// others have one from elsewhere.
-const tellTime = 200 * time.Millisecond
+// notifySeedTimeout limits the call that notifies a seed. After it the other VMs have a copy
+// from elsewhere.
+const notifySeedTimeout = 200 * time.Millisecond
 
-// tellSeeds has the seeds know that this VM has a copy. It does not wait for them: some
-// may have lost their power for good.
-func (fo *Follower) tellSeeds(ctx context.Context) {
+// notifySeeds tells the seeds that this VM has a copy. It does not wait for them, because some
+// may have lost power for good.
+func (fo *Follower) notifySeeds(ctx context.Context) {
 	after := fo.asOf()
 	for _, addr := range fo.cfg.Seeds {
-		fo.tells.Go(func() {
-			bounded, cancel := context.WithTimeout(ctx, tellTime)
+		fo.calls.Go(func() {
+			bounded, cancel := context.WithTimeout(ctx, notifySeedTimeout)
 			defer cancel()
 			fo.cfg.Count("tell")
-			// A seed that is not there yet hears of it from others.
-			if _, err := fo.ask(bounded, addr, after, 0); err != nil {
+			// A seed that has not started yet learns of it from others.
+			if _, err := fo.callPeer(bounded, addr, after, 0); err != nil {
 				fo.cfg.Count("tellFailed")
 			}
 		})
--- a/io/follow/boot_test.go
+++ b/io/follow/boot_test.go
@@ -15,16 +15,16 @@
 	"laburnumvane/io/inner"
 )
 
-// mute is a store that takes calls and answers none.
-type mute struct{ store }
+// silentStore accepts calls and answers none.
+type silentStore struct{ store }
 
-func (mu *mute) Range(ctx context.Context, _ string) (feed.Update, error) {
+func (ss *silentStore) Range(ctx context.Context, _ string) (feed.Update, error) {
 	<-ctx.Done()
 	return feed.Update{}, ctx.Err()
 }
 
-// holder serves a follower's news on loopback.
-func holder(t *testing.T, fo *follow.Follower) (addr string) {
+// serveFeed serves a follower's updates on loopback.
+func serveFeed(t *testing.T, fo *follow.Follower) (addr string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -40,28 +40,28 @@
 	return ln.Addr().String()
 }
 
-// A VM boots and reads the store, which takes as long as the copy is large and its link
-// small: here for ever. Another VM gets a copy meanwhile and tells the only seed, which
-// has none itself. The VM must have its copy from that one, not when the store is through:
-// until then it refuses every request.
+// A VM starts and reads the store, which takes long with a large copy and a slow link; here it
+// never ends. Meanwhile another VM gets a copy and notifies the only seed, which has none
+// itself. The VM must get its copy from that VM without waiting for the store: until it has a
+// copy, it refuses every request.
 func TestCopyComesWhileTheStoreIsRead(t *testing.T) {
 	is := is.New(t)
-	first, end := running(t, 1)
+	first, end := startWithCopy(t, 1)
 	defer end()
-	firstAddr := holder(t, first)
+	firstAddr := serveFeed(t, first)
 
 	seed := follow.New(config("10.0.0.2:7000", nil))
-	seedAddr := holder(t, seed)
+	seedAddr := serveFeed(t, seed)
 
 	changes := make(chan follow.Change, 1)
-	cfg := config("10.0.0.3:7000", &mute{})
+	cfg := config("10.0.0.3:7000", &silentStore{})
 	cfg.Seeds = []string{seedAddr}
 	cfg.Changed = func(ch follow.Change) { changes <- ch }
 	_, stop := start(t, cfg)
 	defer stop()
 	select {
 	case <-changes:
-		t.Fatal("nobody has a copy to give")
+		t.Fatal("got a copy although no VM has one")
 	case <-time.After(150 * time.Millisecond):
 	}
 	_, err := seed.Follow(t.Context(), &inner.FollowRequest{From: firstAddr, After: 1, AgeMs: 1, Packs: true})
@@ -69,21 +69,21 @@
 	is.Equal(len((<-changes).Events), 1)
 }
 
-// All VMs lost their power, and the seeds are still without: whoever asks them hears
-// nothing. The VM's link is small, so that a copy from the store takes long, here for
-// ever. The store names the others, and one of them has a copy: until the VM has it, it
-// refuses every request.
-func TestCopyComesFromOneOnTheList(t *testing.T) {
+// All VMs lost power, and the seeds are still down, so calls to them get no answer. The VM's
+// link is slow, so reading the copy from the store takes long; here it never ends. The store
+// lists the other VMs, and one of them has a copy. The VM must get it there: until it has a
+// copy, it refuses every request.
+func TestCopyComesFromListedVM(t *testing.T) {
 	is := is.New(t)
-	first, end := running(t, 1)
+	first, end := startWithCopy(t, 1)
 	defer end()
-	firstAddr := holder(t, first)
-	dark, err := net.Listen("tcp", "127.0.0.1:0") // it takes connections, and nobody reads
+	firstAddr := serveFeed(t, first)
+	dark, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and reads nothing
 	is.NoErr(err)
 	defer dark.Close()
 
 	changes := make(chan follow.Change, 1)
-	cfg := config("10.0.0.3:7000", &mute{})
+	cfg := config("10.0.0.3:7000", &silentStore{})
 	cfg.Seeds = []string{dark.Addr().String()}
 	cfg.LinkMbps = 20
 	cfg.List = func(context.Context) ([]feed.Member, error) {
@@ -98,11 +98,12 @@
 	is.Equal(len((<-changes).Events), 1)
 }
 
-// The store is slow to name the others, or does not. The VM reads it whole then.
+// The store is slow to list the other VMs, or never answers. The VM then reads the complete copy
+// from it.
 func TestListFails(t *testing.T) {
 	is := is.New(t)
 	changes := make(chan follow.Change, 1)
-	cfg := config("10.0.0.3:7000", &full{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
+	cfg := config("10.0.0.3:7000", &fullStore{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
 	cfg.LinkMbps = 20
 	cfg.List = func(ctx context.Context) ([]feed.Member, error) {
 		<-ctx.Done()
--- a/io/follow/cut.go
+++ b/io/follow/cut.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// tellCutTime bounds the call by which the first VM of the data centre hears of a
-	// cut: it is a millisecond away.
-	tellCutTime = 200 * time.Millisecond
-	// toldFor is how long another VM's word on a cut is looked into.
-	toldFor = time.Second
+	// reportCutTimeout limits the call that reports a cut to the first VM of the data centre,
+	// which is about a millisecond away.
+	reportCutTimeout = 200 * time.Millisecond
+	// cutReportLifetime is how long another VM's report of a cut is taken into account.
+	cutReportLifetime = time.Second
 )
 
-// cutNews is what VMs of one data centre tell each other of a cut.
-type cutNews struct {
-	// proven is set while this VM takes itself for cut off.
+// cutState is what this VM knows of a cut, that is, of its data centre being cut off from all
+// others.
+type cutState struct {
+	// proven is set while this VM itself finds that it is cut off.
 	proven bool
-	// toldAt is when another VM said so last, ever if one did, and proofAt when one that
-	// follows this VM said that it has proof.
-	toldAt, proofAt time.Duration
-	ever            bool
+	// reportedAt is when another VM last reported a cut, if reported is set. proofAt is when a
+	// VM that follows this one last reported that it has proof; 0 if none did.
+	reportedAt, proofAt time.Duration
+	reported            bool
 }
 
-// SetCut takes this VM's own verdict on whether its data centre is cut off. Those that
-// follow this VM hear of a cut at once.
+// SetCut sets whether this VM finds that its data centre is cut off. A cut is reported at once
+// to the VMs that follow this one.
 func (fo *Follower) SetCut(off bool) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -34,8 +35,8 @@
 	}
 }
 
-// TellCut has the VM of this data centre that this one follows hear of the verdict. It
-// waits for the answer; the first VM of a data centre follows none there.
+// TellCut reports this VM's finding to the VM of this data centre that it follows, and waits for
+// the answer. It does nothing on the first VM of a data centre, which follows none there.
 func (fo *Follower) TellCut(ctx context.Context) {
 	fo.mu.Lock()
 	leader, after := fo.leader, fo.replica.AsOf()
@@ -43,44 +44,44 @@
 	if leader == "" {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, tellCutTime)
+	bounded, cancel := context.WithTimeout(ctx, reportCutTimeout)
 	defer cancel()
 	fo.cfg.Count("tell")
-	if _, err := fo.ask(bounded, leader, after, 0); err != nil {
-		// The others find out by themselves, a second later.
+	if _, err := fo.callPeer(bounded, leader, after, 0); err != nil {
+		// The other VMs detect the cut themselves, a second later.
 		fo.cfg.Count("tellFailed")
 	}
 }
 
-// ToldCut tells whether another VM of this data centre said lately that it is cut off.
+// ToldCut reports whether another VM of this data centre reported a cut recently.
 func (fo *Follower) ToldCut() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.toldCut(fo.cfg.Clock())
+	return fo.cutReported(fo.cfg.Clock())
 }
 
-// toldCut is ToldCut for a caller that holds the lock.
-func (fo *Follower) toldCut(now time.Duration) bool {
-	return fo.cut.ever && now-fo.cut.toldAt <= toldFor
+// cutReported is ToldCut for callers that hold the lock.
+func (fo *Follower) cutReported(now time.Duration) bool {
+	return fo.cut.reported && now-fo.cut.reportedAt <= cutReportLifetime
 }
 
-// noteCut takes another VM's word. The caller holds the lock.
-func (fo *Follower) noteCut(now time.Duration) { fo.cut.toldAt, fo.cut.ever = now, true }
+// noteCutReport records another VM's report of a cut. The caller holds the lock.
+func (fo *Follower) noteCutReport(now time.Duration) { fo.cut.reportedAt, fo.cut.reported = now, true }
 
-// noteProof takes the word of a VM that has proof, and has those that follow this one hear
-// it at once: each looks for its own, and need not wait for this VM's. What this VM was
-// told without proof goes no further, or a word could go round for ever. The caller holds
-// the lock.
-func (fo *Follower) noteProof(now time.Duration) {
-	if !fo.tellsCut(now) {
+// noteCutProof records the report of a VM that has proof of a cut, and passes it on at once to
+// the VMs that follow this one: each of them then looks for its own proof without waiting for
+// this VM's. Reports without proof are not passed on, or they could circulate for ever. The
+// caller holds the lock.
+func (fo *Follower) noteCutProof(now time.Duration) {
+	if !fo.reportsCut(now) {
 		fo.wakeAll()
 	}
-	fo.noteCut(now)
+	fo.noteCutReport(now)
 	fo.cut.proofAt = now
 }
 
-// tellsCut tells whether this VM has proof of a cut, or one that follows it had lately. The
-// caller holds the lock.
-func (fo *Follower) tellsCut(now time.Duration) bool {
-	return fo.cut.proven || fo.cut.proofAt > 0 && now-fo.cut.proofAt <= toldFor
+// reportsCut tells whether this VM has proof of a cut, or a VM that follows it had proof
+// recently. The caller holds the lock.
+func (fo *Follower) reportsCut(now time.Duration) bool {
+	return fo.cut.proven || fo.cut.proofAt > 0 && now-fo.cut.proofAt <= cutReportLifetime
 }
--- a/io/follow/cut_test.go
+++ b/io/follow/cut_test.go
@@ -10,25 +10,25 @@
 	"laburnumvane/io/inner"
 )
 
-// The VM that is followed proves that its data centre is cut off. Those that wait for its
-// news must hear of it at once, and one that knows must not be answered again and again:
-// it would ask as fast as the answers come.
-func TestFollowersHearOfACut(t *testing.T) {
+// The followed VM proves that its data centre is cut off. VMs that wait for its updates must
+// learn of it at once. A VM that knows must not be answered again and again, or it would call as
+// fast as the answers come.
+func TestFollowersLearnOfACut(t *testing.T) {
 	cases := []struct {
 		name  string
 		knows bool
 	}{
-		{"not told yet", false},
-		{"told before", true},
+		{"not known yet", false},
+		{"known before", true},
 	}
-	// wait is the most that a follower waits for news.
+	// wait is the maximum time that a follower waits for an update.
 	const wait = 5 * time.Second
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			fo, end := running(t, 1)
+			fo, end := startWithCopy(t, 1)
 			defer end()
-			// The news is current, so that only the cut is a reason to answer.
+			// The copy is current, so only the cut is a reason to answer.
 			rq := &inner.FollowRequest{After: 1, WaitMs: uint32(wait.Milliseconds()), CutKnown: tc.knows}
 			done := make(chan *inner.FollowReply, 1)
 			go func() {
@@ -38,7 +38,7 @@
 			}()
 			select {
 			case <-done:
-				t.Fatal("answered without news")
+				t.Fatal("answered without an update")
 			case <-time.After(100 * time.Millisecond):
 			}
 			fo.SetCut(true)
@@ -50,17 +50,17 @@
 				}
 				return
 			}
-			told := time.Now()
+			reported := time.Now()
 			is.True((<-done).GetCutOff())
-			is.True(time.Since(told) < feed.StaleAfter/2) // not only when its own news is old
+			is.True(time.Since(reported) < feed.StaleAfter/2) // before its copy becomes stale
 		})
 	}
 }
 
-// A VM that has proven the cut tells the one that it follows.
-func TestFollowedVMIsTold(t *testing.T) {
+// A VM that has proof of a cut reports it to the VM that it follows.
+func TestFollowedVMLearnsOfACut(t *testing.T) {
 	is := is.New(t)
-	fo, end := running(t, 1)
+	fo, end := startWithCopy(t, 1)
 	defer end()
 	is.True(!fo.ToldCut())
 	_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, AgeMs: 1, CutOff: true, CutKnown: true})
@@ -68,11 +68,11 @@
 	is.True(fo.ToldCut())
 }
 
-// The VM whose news this one has asks for news. It must hear at once that it is its own,
-// and not wait here while nobody asks the store.
-func TestOwnNewsIsToldAtOnce(t *testing.T) {
+// The VM from which this VM has its updates asks it for updates. It must be told at once that
+// these are its own, instead of waiting here while no VM asks the store.
+func TestOwnUpdateIsReportedAtOnce(t *testing.T) {
 	is := is.New(t)
-	first, end := running(t, 1)
+	first, end := startWithCopy(t, 1)
 	defer end()
 	began := time.Now()
 	rp, err := first.Follow(t.Context(), &inner.FollowRequest{After: 1, WaitMs: 5000, From: "10.0.0.1:7000"})
@@ -82,12 +82,12 @@
 	is.True(time.Since(began) < feed.StaleAfter/2)
 }
 
-// A VM that follows this one has proven that their data centre is cut off, and tells it.
-// Another follower must hear of it at once. When it heard only after this VM had its own
-// proof, one more wait for a sign of life went by, and clients were refused meanwhile.
-func TestWordOfACutIsPassedOn(t *testing.T) {
+// A VM that follows this one has proof that their data centre is cut off, and reports it.
+// Another follower must learn of it at once. When it learned of it only after this VM had its
+// own proof, one more wait for a sign of life passed, and clients were refused meanwhile.
+func TestCutReportIsPassedOn(t *testing.T) {
 	is := is.New(t)
-	fo, end := running(t, 1)
+	fo, end := startWithCopy(t, 1)
 	defer end()
 	const wait = 5 * time.Second
 	done := make(chan *inner.FollowReply, 1)
@@ -97,9 +97,9 @@
 		done <- rp
 	}()
 	time.Sleep(50 * time.Millisecond)
-	told := time.Now()
+	reported := time.Now()
 	_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, AgeMs: 1, CutOff: true, CutKnown: true, From: "10.0.0.3:7000"})
 	is.NoErr(err)
 	is.True((<-done).GetCutOff())
-	is.True(time.Since(told) < feed.StaleAfter/2)
+	is.True(time.Since(reported) < feed.StaleAfter/2)
 }
--- a/io/follow/doc.go
+++ b/io/follow/doc.go
@@ -1,6 +1,5 @@
-// Package follow keeps this VM's copy of the platform's store current, from the
-// store or from other VMs as core/feed decides, and hands it on to those that
-// ask.
+// Package follow keeps this VM's copy of the platform's store up to date, with updates from the
+// store or from other VMs as core/feed decides, and serves updates to other VMs.
 //
 // # Usage
 //
@@ -9,8 +8,8 @@
 //	mux.Handle(inner.FeedPathPrefix, inner.NewFeedServer(fo))
 //	fo.SetPeers(vms)
 //
-// Each call has a time of its own: a connection that went silent shows in
-// nothing else. Changed is called on Run's goroutine, with what changed and how
-// old the copy was before, so that its reader can tell an entry that was removed
-// from one that lapsed while the store was away.
+// Each call has its own timeout, because nothing else shows that a connection is dead. Changed
+// is called on Run's goroutine, with the changes and the previous age of the copy. From the age
+// it can distinguish an entry that was removed from one whose lease expired while the store was
+// unavailable.
 package follow
--- a/io/follow/enlist.go
+++ b/io/follow/enlist.go
@@ -10,7 +10,7 @@
 	"laburnumvane/io/inner"
 )
 
-// Enlist serves inner.Feed: it has the caller's entry written.
+// Enlist implements inner.Feed. It writes the caller's entry to the store, together with others.
 func (fo *Follower) Enlist(ctx context.Context, rq *inner.EnlistRequest) (*inner.EnlistReply, error) {
 	if fo.cfg.Enlist == nil {
 		return nil, twirp.NewError(twirp.Unimplemented, "this VM writes no entries")
@@ -23,13 +23,14 @@
 	return &inner.EnlistReply{Lease: lease}, nil
 }
 
-// enlistTime bounds another VM's help: it collects entries for 0.2 s and then writes.
-const enlistTime = 1500 * time.Millisecond
+// enlistTimeout limits the call to another VM, which collects entries for 0.2 s and then writes
+// them.
+const enlistTimeout = 1500 * time.Millisecond
 
-// AskEnlist has another VM write this one's entry and returns its lease. An error with
-// the code Unavailable says that the store did not serve that VM.
+// AskEnlist asks another VM to write this VM's entry, and returns the entry's lease. An error
+// with the code Unavailable means that the store did not serve that VM.
 func (fo *Follower) AskEnlist(ctx context.Context, addr string, en enlist.Entry) (uint64, error) {
-	bounded, cancel := context.WithTimeout(ctx, enlistTime)
+	bounded, cancel := context.WithTimeout(ctx, enlistTimeout)
 	defer cancel()
 	fo.cfg.Count("enlist")
 	rp, err := fo.peers.At(addr).Enlist(bounded, &inner.EnlistRequest{
--- a/io/follow/follow_test.go
+++ b/io/follow/follow_test.go
@@ -12,16 +12,16 @@
 	"laburnumvane/io/follow"
 )
 
-// lateBy is longer than news may be old before another source is sought.
-const lateBy = feed.StaleAfter + 200*time.Millisecond
+// lateUpdateAge is longer than the age at which another source of updates is chosen.
+const lateUpdateAge = feed.StaleAfter + 200*time.Millisecond
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
-// store answers a watch late: after calls that failed, or after none.
+// store answers a watch late, either after failed calls or without any.
 type store struct {
 	fails bool
-	// began is when the first watch came: the copy is taken by then, from which its age
-	// counts.
+	// began is when the first watch came. The copy was read by then, and its age counts from
+	// there.
 	began time.Time
 }
 
@@ -37,10 +37,10 @@
 		<-ctx.Done()
 		return feed.Update{}, ctx.Err()
 	}
-	late := time.Until(st.began.Add(lateBy))
+	late := time.Until(st.began.Add(lateUpdateAge))
 	if st.fails && late > 0 {
 		time.Sleep(min(late, 100*time.Millisecond))
-		return feed.Update{}, errAway
+		return feed.Update{}, errUnavailable
 	}
 	time.Sleep(late)
 	return feed.Update{AsOf: 2, Events: []feed.Event{{Item: feed.Item{Key: "a", Revision: 2}, Removed: true}}}, nil
@@ -49,17 +49,17 @@
 func (st *store) Reset()               {}
 func (st *store) Compacted(error) bool { return false }
 
-// An entry is removed, and this VM hears of it two seconds late. If the store was
-// away it may have lapsed with its server alive, and is waited for. If only the news
-// was late the server has left, and must get nothing more.
+// An entry is removed, and this VM learns of it two seconds late. If the store was unavailable,
+// the entry's lease may have expired although its server is alive, so the VM waits for it. If
+// only the update was late, the server has left and must get no more requests.
 func TestLateNewsIsNoReturnOfTheStore(t *testing.T) {
 	cases := []struct {
 		name     string
 		fails    bool
 		returned bool
 	}{
-		{"news was late", false, false},
-		{"store was away", true, true},
+		{"update was late", false, false},
+		{"store was unavailable", true, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 			is.True((<-changes).Whole)
 			ch := <-changes
 			is.Equal(len(ch.Events), 1)
-			is.True(ch.Age >= lateBy)
+			is.True(ch.Age >= lateUpdateAge)
 			is.Equal(ch.Returned > 0, tc.returned)
 		})
 	}
--- a/io/follow/help_test.go
+++ b/io/follow/help_test.go
@@ -11,7 +11,8 @@
 	"laburnumvane/io/follow"
 )
 
-// config is that of the VM with this address, with what its test does not look at.
+// config returns the configuration of the VM with this address, with defaults for what the test
+// does not use.
 func config(addr string, st follow.Store) follow.Config {
 	return follow.Config{
 		Self:     rank.VM{Addr: addr, DataCentre: "a"},
@@ -44,10 +45,11 @@
 	}
 }
 
-// running is a follower that has a copy of so many entries, and what ends it.
-func running(t *testing.T, size int) (fo *follow.Follower, end func()) {
+// startWithCopy starts a follower, waits until it has a copy with the given number of entries,
+// and returns a function that ends it.
+func startWithCopy(t *testing.T, size int) (fo *follow.Follower, end func()) {
 	t.Helper()
-	st := &full{update: feed.Update{Whole: true, AsOf: uint64(size), Events: entries(size)}}
+	st := &fullStore{update: feed.Update{Whole: true, AsOf: uint64(size), Events: entries(size)}}
 	fo, end = start(t, config("10.0.0.1:7000", st))
 	for fo.Age() > time.Second {
 		time.Sleep(time.Millisecond)
--- a/io/follow/hint.go
+++ b/io/follow/hint.go
@@ -7,28 +7,28 @@
 	"laburnumvane/io/inner"
 )
 
-// tellHintTime bounds the call by which the followed VM hears of a hint.
-const tellHintTime = 300 * time.Millisecond
+// sendHintTimeout limits the call that sends hints to the followed VM.
+const sendHintTimeout = 300 * time.Millisecond
 
-// TellHint has the other VMs hear of a word at once: those that follow this one, the one
-// that it follows, and so on.
-func (fo *Follower) TellHint(ctx context.Context, word string) {
-	if fresh := fo.keepHints([]string{word}); len(fresh) > 0 {
-		fo.tellUp(ctx, fresh)
+// TellHint sends a hint to the other VMs at once: to those that follow this VM, to the VM that
+// it follows, and from these on to theirs.
+func (fo *Follower) TellHint(ctx context.Context, hint string) {
+	if fresh := fo.storeHints([]string{hint}); len(fresh) > 0 {
+		fo.sendHintsUp(ctx, fresh)
 	}
 }
 
-// keepHints keeps words for those that follow this VM, and returns the new ones.
-func (fo *Follower) keepHints(words []string) (fresh []string) {
-	if len(words) == 0 {
+// storeHints stores hints for the VMs that follow this one, and returns the new ones.
+func (fo *Follower) storeHints(hints []string) (fresh []string) {
+	if len(hints) == 0 {
 		return nil
 	}
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	for _, word := range words {
-		if fo.hints.Add(now, word) {
-			fresh = append(fresh, word)
+	for _, hint := range hints {
+		if fo.hints.Add(now, hint) {
+			fresh = append(fresh, hint)
 		}
 	}
 	if len(fresh) > 0 {
@@ -37,60 +37,61 @@
 	return fresh
 }
 
-// takeHints takes other VMs' words, and returns the new ones.
-func (fo *Follower) takeHints(words []string) (fresh []string) {
-	fresh = fo.keepHints(words)
-	for _, word := range fresh {
-		fo.cfg.Hinted(word)
+// acceptHints stores other VMs' hints, calls Hinted with the new ones and returns these.
+func (fo *Follower) acceptHints(hints []string) (fresh []string) {
+	fresh = fo.storeHints(hints)
+	for _, hint := range fresh {
+		fo.cfg.Hinted(hint)
 	}
 	return fresh
 }
 
-// passUp takes words of a VM that follows this one, and passes the new ones on without
-// keeping that VM waiting.
-func (fo *Follower) passUp(words []string) {
-	if fresh := fo.takeHints(words); len(fresh) > 0 {
-		go fo.tellUp(context.Background(), fresh)
+// forwardHints accepts hints of a VM that follows this one, and sends the new ones on in the
+// background, so that the VM does not have to wait.
+func (fo *Follower) forwardHints(hints []string) {
+	if fresh := fo.acceptHints(hints); len(fresh) > 0 {
+		go fo.sendHintsUp(context.Background(), fresh)
 	}
 }
 
-// tellUp has the VM that this one follows hear of words.
-func (fo *Follower) tellUp(ctx context.Context, words []string) {
+// sendHintsUp sends hints to the VM that this one follows.
+func (fo *Follower) sendHintsUp(ctx context.Context, hints []string) {
 	fo.mu.Lock()
 	addr, after := fo.follows, fo.replica.AsOf()
 	fo.mu.Unlock()
 	if addr == "" {
 		return
 	}
-	bounded, cancel := context.WithTimeout(ctx, tellHintTime)
+	bounded, cancel := context.WithTimeout(ctx, sendHintTimeout)
 	defer cancel()
 	fo.cfg.Count("hint")
-	if _, err := fo.ask(bounded, addr, after, 0, words...); err != nil {
-		// The others hear by way of the store.
+	if _, err := fo.callPeer(bounded, addr, after, 0, hints...); err != nil {
+		// The other VMs learn of it from the store.
 		fo.cfg.Count("hintFailed")
 	}
 }
 
-// addHints puts the words into a reply that its caller has not seen, and tells whether there
+// attachHints adds the hints that the caller has not seen to a reply, and reports whether there
 // are any. The caller holds the lock.
-func (fo *Follower) addHints(rq *inner.FollowRequest, rp *inner.FollowReply) bool {
+func (fo *Follower) attachHints(rq *inner.FollowRequest, rp *inner.FollowReply) bool {
 	if !rq.GetTakesHints() {
 		return false
 	}
-	words, upto := fo.hints.Since(fo.cfg.Clock(), rq.GetHintsSeen())
-	for _, word := range words {
-		rp.Hints = append(rp.Hints, []byte(word))
+	hints, upto := fo.hints.Since(fo.cfg.Clock(), rq.GetHintsSeen())
+	for _, hint := range hints {
+		rp.Hints = append(rp.Hints, []byte(hint))
 	}
 	rp.HintsUpto = upto
-	return len(words) > 0
+	return len(hints) > 0
 }
 
-// mostHintsSeen bounds the VMs of which it is kept what they told; VMs follow one or two.
-const mostHintsSeen = 16
+// maxHintSenders limits the VMs in hintsSeen. A VM follows only one or two at a time.
+const maxHintSenders = 16
 
-// noteHintsSeen keeps up to where a VM's words are known. The caller holds the lock.
-func (fo *Follower) noteHintsSeen(addr string, upto uint64) {
-	if _, ok := fo.hintsSeen[addr]; !ok && len(fo.hintsSeen) >= mostHintsSeen {
+// setHintsSeen records the number of the last hint received from a VM. The caller holds the
+// lock.
+func (fo *Follower) setHintsSeen(addr string, upto uint64) {
+	if _, ok := fo.hintsSeen[addr]; !ok && len(fo.hintsSeen) >= maxHintSenders {
 		clear(fo.hintsSeen)
 	}
 	fo.hintsSeen[addr] = upto
--- a/io/follow/hint_test.go
+++ b/io/follow/hint_test.go
@@ -11,25 +11,25 @@
 	"laburnumvane/io/inner"
 )
 
-// A caller's request crashes servers, and the caller is at another VM some milliseconds
-// later. That VM must have heard by then: whoever waits for news is answered at once with
-// the word, once only, and one that does not know of such words is not disturbed.
+// A caller's request crashes servers, and some milliseconds later the caller repeats it at
+// another VM, which must know of it by then. So a VM that waits for updates is answered at once
+// with the hint, only once, and a VM that does not accept hints is not disturbed.
 func TestHintIsPassedOnAtOnce(t *testing.T) {
 	const wait = 5 * time.Second
 	for _, tc := range []struct {
-		name         string
-		takes, heard bool
+		name              string
+		accepts, answered bool
 	}{
 		{"to one that waits", true, true},
-		{"not to one that heard", true, false},
-		{"not to one that takes none", false, false},
+		{"not to one that has it", true, false},
+		{"not to one that accepts none", false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			fo, end := running(t, 1)
+			fo, end := startWithCopy(t, 1)
 			defer end()
-			rq := &inner.FollowRequest{After: 1, WaitMs: uint32(wait.Milliseconds()), TakesHints: tc.takes}
-			if tc.takes && !tc.heard {
+			rq := &inner.FollowRequest{After: 1, WaitMs: uint32(wait.Milliseconds()), TakesHints: tc.accepts}
+			if tc.accepts && !tc.answered {
 				rq.HintsSeen = 1
 			}
 			done := make(chan *inner.FollowReply, 1)
@@ -39,13 +39,13 @@
 				done <- rp
 			}()
 			time.Sleep(50 * time.Millisecond)
-			told := time.Now()
+			sent := time.Now()
 			_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, Hints: [][]byte{[]byte("a")}})
 			is.NoErr(err)
-			if !tc.heard {
+			if !tc.answered {
 				select {
 				case <-done:
-					t.Fatal("answered without news")
+					t.Fatal("answered without an update")
 				case <-time.After(100 * time.Millisecond):
 				}
 				return
@@ -53,21 +53,21 @@
 			rp := <-done
 			is.Equal(rp.GetHints(), [][]byte{[]byte("a")})
 			is.Equal(rp.GetHintsUpto(), uint64(1))
-			is.True(time.Since(told) < feed.StaleAfter/2)
+			is.True(time.Since(sent) < feed.StaleAfter/2)
 		})
 	}
 }
 
-// A word comes from a VM that follows this one, and again from another: it is taken once.
-func TestHintIsTakenOnce(t *testing.T) {
+// The same hint comes from two VMs that follow this one. It is accepted once.
+func TestHintIsAcceptedOnce(t *testing.T) {
 	is := is.New(t)
 	var mu sync.Mutex
-	var words []string
-	cfg := config("10.0.0.1:7000", &full{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
-	cfg.Hinted = func(word string) {
+	var hints []string
+	cfg := config("10.0.0.1:7000", &fullStore{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
+	cfg.Hinted = func(hint string) {
 		mu.Lock()
 		defer mu.Unlock()
-		words = append(words, word)
+		hints = append(hints, hint)
 	}
 	fo, end := start(t, cfg)
 	defer end()
@@ -78,5 +78,5 @@
 	fo.TellHint(t.Context(), "b")
 	mu.Lock()
 	defer mu.Unlock()
-	is.Equal(words, []string{"a", "b"})
+	is.Equal(hints, []string{"a", "b"})
 }
--- a/io/follow/pack.go
+++ b/io/follow/pack.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// packFrom is the length above which a value is compressed. A
-	// configuration of some hundred routes shrinks to a tenth; without it one
-	// that changes would fill the links of small VMs for seconds.
-	packFrom = 2 << 10
-	// maxUnpacked bounds what a peer's value may grow to; the store's own bound
-	// is a megabyte.
-	maxUnpacked = 16 << 20
+	// minPackBytes is the length from which values are compressed. A configuration of some
+	// hundred routes shrinks to a tenth; uncompressed, each change of it would fill the links of
+	// small VMs for seconds.
+	minPackBytes = 2 << 10
+	// maxUnpackedBytes limits the decompressed size of a peer's message; the store's own limit
+	// on a value is a megabyte.
+	maxUnpackedBytes = 16 << 20
 )
 
-// packer remembers the value that it compressed last: a change goes to many VMs
-// at once.
+// packer compresses values and keeps the last one, because a change is sent to many VMs at a
+// time.
 type packer struct {
 	key      string
 	revision uint64
@@ -28,7 +28,7 @@
 
 func (pa *packer) pack(ev feed.Event) *inner.FeedEvent {
 	fe := &inner.FeedEvent{Key: ev.Key, Value: ev.Value, Revision: ev.Revision, Removed: ev.Removed, Lease: ev.Lease}
-	if len(ev.Value) < packFrom {
+	if len(ev.Value) < minPackBytes {
 		return fe
 	}
 	if pa.key != ev.Key || pa.revision != ev.Revision {
@@ -38,15 +38,15 @@
 	return fe
 }
 
-// copyPacker remembers the whole copy that it compressed last: when a fleet starts, a few
-// VMs give the same one to all others.
+// copyPacker compresses complete copies and keeps the last one: when a fleet starts, a few VMs
+// send the same copy to all others.
 type copyPacker struct {
 	asOf   uint64
 	packed []byte
 }
 
-// pack compresses all events of a whole copy together. Entries of servers are much
-// alike: 330 of them, with those of 195 VMs, shrink from 110 kB to a sixth.
+// pack compresses all events of a complete copy together. Entries of servers are very similar:
+// 330 of them, with those of 195 VMs, shrink from 110 kB to a sixth.
 func (cp *copyPacker) pack(asOf uint64, events []*inner.FeedEvent) ([]byte, error) {
 	if cp.packed == nil || cp.asOf != asOf {
 		raw, err := proto.Marshal(&inner.Events{Events: events})
@@ -58,12 +58,12 @@
 	return cp.packed, nil
 }
 
-// eventsOf reads the events of a reply, packed or not.
+// eventsOf returns the events of a reply, compressed or not.
 func eventsOf(rp *inner.FollowReply) ([]*inner.FeedEvent, error) {
 	if len(rp.GetPacked()) == 0 {
 		return rp.GetEvents(), nil
 	}
-	raw, err := press.Inflate(rp.GetPacked(), maxUnpacked)
+	raw, err := press.Inflate(rp.GetPacked(), maxUnpackedBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 	if !fe.GetPacked() {
 		return ev, nil
 	}
-	value, err := press.Inflate(ev.Value, maxUnpacked)
+	value, err := press.Inflate(ev.Value, maxUnpackedBytes)
 	ev.Value = value
 	return ev, err
 }
--- a/io/follow/serve.go
+++ b/io/follow/serve.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// mostWait bounds how long a caller is kept waiting, whatever it asks for.
-	mostWait = 5 * time.Second
-	// stalePoll is how often a VM that keeps a caller waiting looks whether its
-	// own news has grown old.
-	stalePoll = 250 * time.Millisecond
+	// maxWait limits how long a caller waits for an answer, whatever it asks for.
+	maxWait = 5 * time.Second
+	// staleCheckInterval is how often a VM checks, while a caller waits, whether its own copy
+	// has become stale.
+	staleCheckInterval = 250 * time.Millisecond
 )
 
-// Follow serves inner.Feed: it answers as soon as there is something new, the
-// store was heard again, or this VM's own news has grown old. Without the second
-// the age would grow by a whole wait with each VM that news passes.
+// Follow implements inner.Feed. It answers as soon as there is an update, this VM's copy was
+// found current with the store again, or the copy has become stale. Without the second rule the
+// age would grow by a full wait with each VM that an update passes.
 func (fo *Follower) Follow(ctx context.Context, rq *inner.FollowRequest) (*inner.FollowReply, error) {
-	fo.noteAsker(rq)
-	fo.passUp(texts(rq.GetHints()))
-	if others, give := fo.gives(rq); !give {
+	fo.noteCaller(rq)
+	fo.forwardHints(toStrings(rq.GetHints()))
+	if others, give := fo.givesCopy(rq); !give {
 		return &inner.FollowReply{Others: others}, nil
 	}
-	wait := min(time.Duration(rq.GetWaitMs())*time.Millisecond, mostWait)
+	wait := min(time.Duration(rq.GetWaitMs())*time.Millisecond, maxWait)
 	until := fo.cfg.Clock() + wait
-	begun := fo.heardAt()
+	before := fo.lastCurrent()
 	for {
-		rp, changed, ready := fo.look(rq)
+		rp, changed, ready := fo.replyNow(rq)
 		now := fo.cfg.Clock()
-		if ready || now >= until || fo.heardAt() > begun {
+		if ready || now >= until || fo.lastCurrent() > before {
 			return rp, nil
 		}
-		tm := time.NewTimer(min(until-now, stalePoll))
+		tm := time.NewTimer(min(until-now, staleCheckInterval))
 		select {
 		case <-changed:
 		case <-tm.C:
@@ -46,8 +46,9 @@
 	}
 }
 
-// gives tells whether a caller without a copy gets one from this VM, or whom to ask.
-func (fo *Follower) gives(rq *inner.FollowRequest) (others []string, give bool) {
+// givesCopy decides whether a caller without a copy gets one from this VM, or which other VMs it
+// should ask.
+func (fo *Follower) givesCopy(rq *inner.FollowRequest) (others []string, give bool) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	if rq.GetAfter() > 0 || !rq.GetPacks() {
@@ -60,9 +61,9 @@
 	return others, give
 }
 
-// noteAsker keeps a caller whose news is newer than this VM's: the store may turn this
-// one away and serve the other.
-func (fo *Follower) noteAsker(rq *inner.FollowRequest) {
+// noteCaller records a caller whose copy is newer than this VM's: the store may refuse this VM
+// and serve the caller.
+func (fo *Follower) noteCaller(rq *inner.FollowRequest) {
 	fo.Note(rq.GetFrom())
 	if rq.GetAgeMs() == 0 {
 		return
@@ -72,53 +73,54 @@
 	defer fo.mu.Unlock()
 	now := fo.cfg.Clock()
 	if rq.GetCutOff() {
-		fo.noteProof(now)
+		fo.noteCutProof(now)
 	}
 	if age <= feed.StaleAfter && rq.GetAfter() > 0 {
 		fo.giver.Note(now, rq.GetFrom())
 	}
 	if age < fo.age(now) {
-		fo.asker = asker{addr: rq.GetFrom(), heard: now - age}
+		fo.freshCaller = freshCaller{addr: rq.GetFrom(), currentAt: now - age}
 	}
 }
 
-func (fo *Follower) heardAt() time.Duration {
+func (fo *Follower) lastCurrent() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.absence.Last()
 }
 
-// look makes the reply of this moment and tells whether it is worth sending.
-func (fo *Follower) look(rq *inner.FollowRequest) (*inner.FollowReply, <-chan struct{}, bool) {
+// replyNow returns the reply as of now, and whether it should be sent without further waiting.
+func (fo *Follower) replyNow(rq *inner.FollowRequest) (*inner.FollowReply, <-chan struct{}, bool) {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	age := fo.age(fo.cfg.Clock())
 	rp := fo.newReply(age)
-	hinted := fo.addHints(rq, rp)
-	up, news := fo.replica.Since(rq.GetAfter())
-	if news && (up.Whole || len(up.Events) > 0) {
+	hinted := fo.attachHints(rq, rp)
+	up, found := fo.replica.Since(rq.GetAfter())
+	if found && (up.Whole || len(up.Events) > 0) {
 		rp.Whole = up.Whole
 		rp.AsOf = up.AsOf
 		for _, ev := range up.Events {
-			rp.Events = append(rp.Events, fo.pack.pack(ev))
+			rp.Events = append(rp.Events, fo.valuePacker.pack(ev))
 		}
 		if up.Whole && rq.GetPacks() {
-			fo.packWhole(rp)
+			fo.packCopy(rp)
 		}
 		return rp, fo.changed, true
 	}
-	cutNews := rp.GetCutOff() && !rq.GetCutKnown()
-	// A caller whose news this is has nothing to wait for here, and should ask the store.
+	newCut := rp.GetCutOff() && !rq.GetCutKnown()
+	// A caller from which this VM has its updates must not wait here; it should ask the store.
 	own := rq.GetFrom() != "" && (fo.origin == rq.GetFrom() || fo.follows == rq.GetFrom())
-	return rp, fo.changed, fo.leaving || hinted || cutNews || own || age > feed.StaleAfter
+	return rp, fo.changed, fo.leaving || hinted || newCut || own || age > feed.StaleAfter
 }
 
-// newReply tells how this VM's news stands, without any. The caller holds the lock.
+// newReply returns a reply with the state of this VM's copy and without events. The caller holds
+// the lock.
 func (fo *Follower) newReply(age time.Duration) *inner.FollowReply {
 	rp := &inner.FollowReply{
 		AgeMs:   uint64(age.Milliseconds()),
 		Leaving: fo.leaving,
-		CutOff:  fo.tellsCut(fo.cfg.Clock()),
+		CutOff:  fo.reportsCut(fo.cfg.Clock()),
 		Origin:  fo.origin,
 		Follows: fo.follows,
 	}
@@ -131,10 +133,10 @@
 	return rp
 }
 
-// packWhole compresses a whole copy; one that cannot be is sent as it is. The caller
-// holds the lock.
-func (fo *Follower) packWhole(rp *inner.FollowReply) {
-	packed, err := fo.whole.pack(rp.GetAsOf(), rp.GetEvents())
+// packCopy compresses the events of a complete copy; if that fails they are sent as they are.
+// The caller holds the lock.
+func (fo *Follower) packCopy(rp *inner.FollowReply) {
+	packed, err := fo.copyPacker.pack(rp.GetAsOf(), rp.GetEvents())
 	if err != nil {
 		fo.cfg.Count("packFailed")
 		return
--- a/io/follow/serve_test.go
+++ b/io/follow/serve_test.go
@@ -13,20 +13,20 @@
 	"laburnumvane/io/inner"
 )
 
-// full is a store with the entries of a fleet.
-type full struct {
+// fullStore is a store with the entries of a fleet.
+type fullStore struct {
 	store
 	update feed.Update
 }
 
-func (fu *full) Range(context.Context, string) (feed.Update, error) { return fu.update, nil }
+func (fs *fullStore) Range(context.Context, string) (feed.Update, error) { return fs.update, nil }
 
-func (fu *full) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (feed.Update, error) {
+func (fs *fullStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (feed.Update, error) {
 	<-ctx.Done()
 	return feed.Update{}, ctx.Err()
 }
 
-// entries are those of so many servers, as long as what servers write.
+// entries returns the entries of n servers, as long as those that servers write.
 func entries(n int) []feed.Event {
 	evs := make([]feed.Event, n)
 	for i := range evs {
@@ -37,14 +37,14 @@
 	return evs
 }
 
-// A whole fleet starts after a power loss, and a few VMs give all others their first
-// copy of the store. Sent as it is, one is 58 kB for 330 servers; 65 of them fill a link
-// of 20 Mbit/s for a second and a half, and until then the others refuse every request.
-// A VM of an older version, which cannot read packed copies, gets it as before.
+// A whole fleet starts after a power loss, and a few VMs send all others their first copy of the
+// store. Uncompressed, a copy is 58 kB for 330 servers; 65 copies fill a link of 20 Mbit/s for a
+// second and a half, and until then the other VMs refuse every request. A VM of an older
+// version, which cannot read compressed copies, gets it uncompressed.
 func TestWholeCopyIsPacked(t *testing.T) {
 	is := is.New(t)
 	const servers = 330
-	fo, end := running(t, servers)
+	fo, end := startWithCopy(t, servers)
 	defer end()
 	plain, err := fo.Follow(t.Context(), &inner.FollowRequest{WaitMs: 10})
 	is.NoErr(err)
@@ -53,6 +53,6 @@
 	is.NoErr(err)
 	is.True(packed.GetWhole())
 	is.Equal(len(packed.GetEvents()), 0)
-	t.Logf("%d bytes in place of %d", proto.Size(packed), proto.Size(plain))
+	t.Logf("%d bytes instead of %d", proto.Size(packed), proto.Size(plain))
 	is.True(proto.Size(packed)*5 < proto.Size(plain))
 }
