--- a/io/client/caller.go
+++ b/io/client/caller.go
@@ -8,13 +8,12 @@
 	"laburnumvane/io/wire"
 )
 
-// Caller speaks to the callers' listener of a VM. It may be used by several
-// goroutines at once.
+// Caller is a client of a VM's listener for callers. It is safe for concurrent use.
 type Caller struct {
 	cn *conn
 }
 
-// NewCaller makes a Caller; nothing is sent yet.
+// NewCaller returns a Caller. It opens no connection.
 func NewCaller(cfg Config) (*Caller, error) {
 	cn, err := newConn("client.NewCaller", cfg)
 	if err != nil {
@@ -23,15 +22,15 @@
 	return &Caller{cn: cn}, nil
 }
 
-// Search runs one search. Every answer comes back without an error, also one
-// that did not run or whose fate is unknown. An *Error of KindUnknown must be
-// treated like an answer with OutcomeUnknown.
+// Search runs one search. It returns every answer without an error, also the answer that a
+// search did not run or that its fate is unknown. An *Error of KindUnknown must be treated like
+// an answer with OutcomeUnknown.
 func (clr *Caller) Search(ctx context.Context, req wire.SearchRequest) (wire.SearchAnswer, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return wire.SearchAnswer{}, &Error{Op: "client.Search", Kind: KindInvalid, Err: err}
 	}
-	cl := call{op: "client.Search", method: http.MethodPost, path: wire.RouteSearch, header: http.Header{}, body: body, effect: true}
+	cl := call{op: "client.Search", method: http.MethodPost, path: wire.RouteSearch, header: http.Header{}, body: body, hasEffect: true}
 	if req.ID != "" {
 		cl.header.Set(wire.HeaderRequestID, req.ID)
 	}
@@ -46,11 +45,10 @@
 	if rep.status == http.StatusOK {
 		return wire.SearchAnswer{}, &Error{Op: cl.op, Kind: KindUnknown, Status: rep.status, Msg: "the reply is no answer"}
 	}
-	return wire.SearchAnswer{}, cl.refusal(rep)
+	return wire.SearchAnswer{}, cl.refusalError(rep)
 }
 
-// Tickets asks for tickets, each good for one search that must not be
-// repeated.
+// Tickets requests tickets. Each allows one search that must not be repeated.
 func (clr *Caller) Tickets(ctx context.Context, req wire.TicketRequest) (wire.TicketReply, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -58,13 +56,13 @@
 	}
 	var rep wire.TicketReply
 	cl := call{op: "client.Tickets", method: http.MethodPost, path: wire.RouteTickets, body: body}
-	if err := clr.cn.read(ctx, cl, &rep); err != nil {
+	if err := clr.cn.doJSON(ctx, cl, &rep); err != nil {
 		return wire.TicketReply{}, err
 	}
 	return rep, nil
 }
 
-// Health returns nil while the VM wants work.
+// Health returns nil while the VM accepts work.
 func (clr *Caller) Health(ctx context.Context) error {
 	return health(ctx, clr.cn)
 }
@@ -76,7 +74,7 @@
 		return err
 	}
 	if rep.status != http.StatusOK {
-		return cl.refusal(rep)
+		return cl.refusalError(rep)
 	}
 	return nil
 }
--- a/io/client/client_test.go
+++ b/io/client/client_test.go
@@ -49,13 +49,13 @@
 		{name: "redirect", status: 307, body: "", kind: client.KindUnknown},
 		{name: "a balancer's error", status: 502, body: htmlError, kind: client.KindUnknown},
 		{name: "a balancer's refusal", status: 503, body: htmlError, kind: client.KindUnknown},
-		{name: "good status, no answer", status: 200, body: `{}`, kind: client.KindUnknown},
-		{name: "outcome of a later version", status: 200, body: `{"outcome":"perhaps"}`, kind: client.KindUnknown},
-		{name: "good status, no JSON", status: 200, body: htmlError, kind: client.KindUnknown},
+		{name: "status 200 without answer", status: 200, body: `{}`, kind: client.KindUnknown},
+		{name: "unknown outcome of a later version", status: 200, body: `{"outcome":"perhaps"}`, kind: client.KindUnknown},
+		{name: "status 200 without JSON", status: 200, body: htmlError, kind: client.KindUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			srv := replying(t, tc.status, tc.body)
+			srv := startReplyingServer(t, tc.status, tc.body)
 			ans, err := newCaller(t, srv.URL).Search(t.Context(), wire.SearchRequest{ID: "a", Team: "wash", Search: "kiosk"})
 			is.Equal(client.KindOf(err), tc.kind)
 			is.Equal(ans.Outcome, tc.outcome)
@@ -80,17 +80,17 @@
 		{name: "unknown", status: 504, body: `{"result":"unknown","changeId":"c2"}`, result: wire.ChangeUnknown},
 		{name: "proven not made", status: 503, body: `{"result":"refused","changeId":"c2"}`, result: wire.ChangeRefused},
 		{name: "would be accepted", status: 200, body: `{"result":"dryRun"}`, dryRun: true, result: wire.ChangeDryRun},
-		{name: "fault in the document", status: 400, body: jsonRefusal, kind: client.KindInvalid},
+		{name: "invalid document", status: 400, body: jsonRefusal, kind: client.KindInvalid},
 		{name: "another team's token", status: 403, body: jsonRefusal, kind: client.KindDenied},
 		{name: "refused, service down", status: 503, body: jsonRefusal, kind: client.KindRefused},
 		{name: "a balancer's error", status: 503, body: htmlError, kind: client.KindUnknown},
 		{name: "a balancer's error to a dry run", status: 503, body: htmlError, dryRun: true, kind: client.KindRefused},
-		{name: "good status, no result", status: 200, body: `{}`, kind: client.KindUnknown},
-		{name: "good status, no result, dry run", status: 200, body: `{}`, dryRun: true, kind: client.KindReply},
+		{name: "status 200 without result", status: 200, body: `{}`, kind: client.KindUnknown},
+		{name: "status 200 without result, dry run", status: 200, body: `{}`, dryRun: true, kind: client.KindReply},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			srv := replying(t, tc.status, tc.body)
+			srv := startReplyingServer(t, tc.status, tc.body)
 			chg := client.Change{Team: "wash", Document: json.RawMessage(`{}`), IfRevision: 9, DryRun: tc.dryRun}
 			rep, err := newOperator(t, srv.URL).SetConfig(t.Context(), chg)
 			is.Equal(client.KindOf(err), tc.kind)
@@ -100,28 +100,27 @@
 	}
 }
 
-// The caller's request leaves, and no reply comes back: the VM dies, the
-// connection breaks half way through the reply, or the time is up. The request
-// may have run, so the error must say "unknown" and the request must not be
-// sent again; only where no connection was ever made is it certain that nothing
-// ran.
+// A request is sent, and no complete reply comes: the VM dies, the connection breaks in the
+// middle of the reply, or the time is up. The request may have run, so the error must say
+// "unknown" and the request must not be sent again. Only if no connection was opened is it
+// certain that nothing ran.
 func TestLostReplies(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		serve http.HandlerFunc
 	}{
-		{name: "closed before the reply", serve: func(w http.ResponseWriter, _ *http.Request) { hangUp(w, "") }},
-		{name: "closed in the headers", serve: func(w http.ResponseWriter, _ *http.Request) { hangUp(w, "HTTP/1.1 200 OK\r\nContent-") }},
-		{name: "closed in the body", serve: func(w http.ResponseWriter, _ *http.Request) {
-			hangUp(w, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"+jsonAnswer)
+		{name: "closed before the reply", serve: func(w http.ResponseWriter, _ *http.Request) { writeAndClose(w, "") }},
+		{name: "closed within the headers", serve: func(w http.ResponseWriter, _ *http.Request) { writeAndClose(w, "HTTP/1.1 200 OK\r\nContent-") }},
+		{name: "closed within the body", serve: func(w http.ResponseWriter, _ *http.Request) {
+			writeAndClose(w, "HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n"+jsonAnswer)
 		}},
-		{name: "no HTTP", serve: func(w http.ResponseWriter, _ *http.Request) { hangUp(w, "SSH-2.0\r\n\r\n") }},
-		{name: "silent", serve: func(_ http.ResponseWriter, req *http.Request) { awaitEnd(req) }},
+		{name: "not HTTP", serve: func(w http.ResponseWriter, _ *http.Request) { writeAndClose(w, "SSH-2.0\r\n\r\n") }},
+		{name: "no reply", serve: func(_ http.ResponseWriter, req *http.Request) { awaitCancel(req) }},
 		{name: "reply without end", serve: func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, strings.Repeat(" ", 2000)) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			srv := serving(t, tc.serve)
+			srv := startServer(t, tc.serve)
 			cfg := client.Config{URL: srv.URL, Timeout: 200 * time.Millisecond, MaxReply: 1000}
 			clr, err := client.NewCaller(cfg)
 			is.NoErr(err)
@@ -132,50 +131,50 @@
 			is.Equal(client.KindOf(err), client.KindUnknown)
 			_, err = opr.SetConfig(t.Context(), client.Change{Team: "wash"})
 			is.Equal(client.KindOf(err), client.KindUnknown)
-			is.Equal(srv.count.Load(), int64(2)) // one each, none sent again
+			is.Equal(srv.count.Load(), int64(2)) // one each, none resent
 
 			_, err = opr.Status(t.Context())
 			is.True(err != nil)
-			is.True(client.KindOf(err) != client.KindUnknown) // a read leaves nothing in doubt
+			is.True(client.KindOf(err) != client.KindUnknown) // a read has no effect
 		})
 	}
 }
 
 func TestUnreachable(t *testing.T) {
 	is := is.New(t)
-	_, err := newCaller(t, "http://"+closedPort(t)).Search(t.Context(), wire.SearchRequest{})
+	_, err := newCaller(t, "http://"+closedAddr(t)).Search(t.Context(), wire.SearchRequest{})
 	is.Equal(client.KindOf(err), client.KindUnreachable)
-	_, err = newOperator(t, "http://"+closedPort(t)).SetConfig(t.Context(), client.Change{Team: "wash"})
+	_, err = newOperator(t, "http://"+closedAddr(t)).SetConfig(t.Context(), client.Change{Team: "wash"})
 	is.Equal(client.KindOf(err), client.KindUnreachable)
 }
 
-// An operator interrupts a change that is under way. The call ends at once, and
-// the change is in doubt, since the VM had it.
+// An operator cancels a change that is in progress. The call must return at once, and the result
+// is unknown, because the VM got the change.
 func TestCancelled(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	srv := serving(t, func(_ http.ResponseWriter, req *http.Request) {
+	srv := startServer(t, func(_ http.ResponseWriter, req *http.Request) {
 		cancel()
-		awaitEnd(req)
+		awaitCancel(req)
 	})
 	_, err := newOperator(t, srv.URL).SetConfig(ctx, client.Change{Team: "wash"})
 	is.Equal(client.KindOf(err), client.KindUnknown)
 	is.True(errors.Is(err, context.Canceled))
 }
 
-// A VM closes a pooled connection just as a change goes out on it. The client
-// must not send the change again by itself: had the VM taken it, the second
-// one would come back as a conflict with the first.
+// A VM closes a pooled connection just as a change is sent on it. The client must not resend the
+// change: if the VM had accepted it, the second one would be reported as a conflict with the
+// first.
 func TestChangeOnClosedConnection(t *testing.T) {
 	is := is.New(t)
 	var puts atomic.Int64
-	srv := serving(t, func(w http.ResponseWriter, req *http.Request) {
+	srv := startServer(t, func(w http.ResponseWriter, req *http.Request) {
 		if req.Method == http.MethodGet {
 			_, _ = io.WriteString(w, `{}`)
 			return
 		}
 		puts.Add(1)
-		hangUp(w, "")
+		writeAndClose(w, "")
 	})
 	opr := newOperator(t, srv.URL)
 	_, err := opr.Config(t.Context(), "wash") // leaves a connection in the pool
@@ -225,7 +224,7 @@
 			},
 		},
 		{
-			name: "team that would leave its path", method: "GET", uri: "/v1/teams/..%2Fhr%3F/history",
+			name: "team name with path characters", method: "GET", uri: "/v1/teams/..%2Fhr%3F/history",
 			call: func(ctx context.Context, _ *client.Caller, opr *client.Operator) error {
 				_, err := opr.History(ctx, "../hr?")
 				return err
@@ -252,7 +251,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			srv := serving(t, func(w http.ResponseWriter, req *http.Request) {
+			srv := startServer(t, func(w http.ResponseWriter, req *http.Request) {
 				body, err := io.ReadAll(req.Body)
 				is.NoErr(err)
 				is.Equal(req.Method, tc.method)
@@ -277,11 +276,11 @@
 
 func TestNew_Config(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		cfg  client.Config
-		good bool
+		name  string
+		cfg   client.Config
+		valid bool
 	}{
-		{name: "good", cfg: client.Config{URL: "http://127.0.0.1:8080"}, good: true},
+		{name: "valid", cfg: client.Config{URL: "http://127.0.0.1:8080"}, valid: true},
 		{name: "no scheme", cfg: client.Config{URL: "127.0.0.1:8080"}},
 		{name: "no host", cfg: client.Config{URL: "http://"}},
 		{name: "other scheme", cfg: client.Config{URL: "ftp://127.0.0.1"}},
@@ -292,52 +291,52 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			_, err := client.NewCaller(tc.cfg)
-			is.Equal(err == nil, tc.good)
-			is.Equal(client.KindOf(err) == client.KindConfig, !tc.good)
+			is.Equal(err == nil, tc.valid)
+			is.Equal(client.KindOf(err) == client.KindConfig, !tc.valid)
 		})
 	}
 }
 
 func TestError(t *testing.T) {
 	is := is.New(t)
-	srv := replying(t, 400, jsonRefusal)
+	srv := startReplyingServer(t, 400, jsonRefusal)
 	_, err := newOperator(t, srv.URL).Config(t.Context(), "wash")
 	is.Equal(err.Error(), "client.Config: invalid (400 Bad Request): badRequest: deadlineMs: the field is wrong")
 }
 
-// stub is a server that counts its requests.
-type stub struct {
+// countingServer is a server that counts its requests.
+type countingServer struct {
 	*httptest.Server
 	count atomic.Int64
 }
 
-func serving(t *testing.T, serve http.HandlerFunc) *stub {
+func startServer(t *testing.T, serve http.HandlerFunc) *countingServer {
 	t.Helper()
-	stb := &stub{}
-	stb.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		stb.count.Add(1)
+	srv := &countingServer{}
+	srv.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		srv.count.Add(1)
 		serve(w, req)
 	}))
-	t.Cleanup(stb.Close)
-	return stb
+	t.Cleanup(srv.Close)
+	return srv
 }
 
-func replying(t *testing.T, status int, body string) *stub {
-	return serving(t, func(w http.ResponseWriter, _ *http.Request) {
+func startReplyingServer(t *testing.T, status int, body string) *countingServer {
+	return startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = io.WriteString(w, body)
 	})
 }
 
-// awaitEnd waits until the client gives up. The server only notices that once
-// the body has been read.
-func awaitEnd(req *http.Request) {
+// awaitCancel waits until the client cancels the request. The server only notices that after it
+// has read the body.
+func awaitCancel(req *http.Request) {
 	_, _ = io.Copy(io.Discard, req.Body)
 	<-req.Context().Done()
 }
 
-// hangUp writes bytes and closes the connection.
-func hangUp(w http.ResponseWriter, bytes string) {
+// writeAndClose writes bytes and closes the connection.
+func writeAndClose(w http.ResponseWriter, bytes string) {
 	cn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(err)
@@ -346,8 +345,8 @@
 	_ = cn.Close()
 }
 
-// closedPort is an address that nothing listens on any more.
-func closedPort(t *testing.T) string {
+// closedAddr returns an address that nothing listens on.
+func closedAddr(t *testing.T) string {
 	t.Helper()
 	is := is.New(t)
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
--- a/io/client/conn.go
+++ b/io/client/conn.go
@@ -18,7 +18,7 @@
 	"laburnumvane/io/wire"
 )
 
-// Bounds that hold where Config leaves them open.
+// Limits that apply if Config does not set them.
 const (
 	DefaultTimeout  = 10 * time.Second
 	DefaultMaxReply = 64 << 20
@@ -27,21 +27,21 @@
 	idleTimeout    = 30 * time.Second
 )
 
-// Config says where a VM listens and how long to wait for it.
+// Config configures a Caller or an Operator.
 type Config struct {
-	// URL is the listener's address, such as http://10.1.2.3:8080.
+	// URL is the address of the VM's listener, such as http://10.1.2.3:8080.
 	URL string
-	// Token is sent as a bearer token where it is not empty.
+	// Token is sent as a bearer token unless it is empty.
 	Token string
-	// Timeout bounds each call, connecting included; 0 means DefaultTimeout.
+	// Timeout limits each call, including the opening of a connection; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// MaxReply bounds a reply's body in bytes; 0 means DefaultMaxReply.
+	// MaxReply limits the body of a reply, in bytes; 0 means DefaultMaxReply.
 	MaxReply int64
-	// Transport replaces the package's own; it must not resend anything.
+	// Transport replaces the default transport if it is not nil. It must not resend requests.
 	Transport http.RoundTripper
 }
 
-// conn is what Caller and Operator share: one listener of one VM.
+// conn is the client of one listener of a VM, which Caller and Operator share.
 type conn struct {
 	base     *url.URL
 	token    string
@@ -85,33 +85,34 @@
 	return http.ErrUseLastResponse
 }
 
-// call is one request and what is known about it.
+// call describes one request.
 type call struct {
 	op     string
 	method string
-	// path is escaped already.
+	// path is already escaped.
 	path   string
 	query  url.Values
 	header http.Header
 	body   []byte
-	// effect is set where a lost reply leaves something in doubt.
-	effect bool
+	// hasEffect is set if the request can have an effect, so that its result is unknown if the
+	// reply is lost.
+	hasEffect bool
 }
 
-// reply is a reply read to its end.
+// reply is a reply whose body has been read completely.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do sends a call once and reads the reply whole.
+// do sends a request once and reads the complete reply.
 func (cn *conn) do(ctx context.Context, cl call) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, cn.timeout)
 	defer cancel()
 
-	// A request that never got a connection cannot have had an effect. Anything
-	// later is in doubt: the kernel may have sent what it was given.
+	// A request that got no connection cannot have had an effect. After that nothing is certain:
+	// the kernel may have sent whatever was written to the connection.
 	var sent atomic.Bool
 	trc := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { sent.Store(true) }}
 	req, err := cn.request(httptrace.WithClientTrace(ctx, trc), cl)
@@ -120,16 +121,16 @@
 	}
 	res, err := cn.http.Do(req)
 	if err != nil {
-		return reply{}, cl.lost(sent.Load(), err)
+		return reply{}, cl.noReplyError(sent.Load(), err)
 	}
 	defer func() { _ = res.Body.Close() }()
 
 	body, err := io.ReadAll(io.LimitReader(res.Body, cn.maxReply+1))
 	if err != nil {
-		return reply{}, cl.lost(true, err)
+		return reply{}, cl.noReplyError(true, err)
 	}
 	if int64(len(body)) > cn.maxReply {
-		return reply{}, cl.unreadable(res.StatusCode, errors.Errorf("the reply is longer than %d bytes", cn.maxReply))
+		return reply{}, cl.replyError(res.StatusCode, errors.Errorf("the reply is longer than %d bytes", cn.maxReply))
 	}
 	return reply{status: res.StatusCode, header: res.Header, body: body}, nil
 }
@@ -160,32 +161,32 @@
 	return req, nil
 }
 
-// lost is the error of a call that got no whole reply.
-func (cl call) lost(sent bool, err error) error {
+// noReplyError returns the error of a call that got no complete reply.
+func (cl call) noReplyError(sent bool, err error) error {
 	kind := KindUnreachable
 	if sent {
 		kind = KindFailed
 	}
-	if sent && cl.effect {
+	if sent && cl.hasEffect {
 		kind = KindUnknown
 	}
 	return &Error{Op: cl.op, Kind: kind, Msg: "no reply", Err: err}
 }
 
-// unreadable is the error of a reply that makes no sense.
-func (cl call) unreadable(status int, err error) error {
+// replyError returns the error of a reply that cannot be understood.
+func (cl call) replyError(status int, err error) error {
 	kind := KindReply
-	if cl.inDoubt(status) {
+	if cl.effectUnknown(status) {
 		kind = KindUnknown
 	}
 	return &Error{Op: cl.op, Kind: kind, Status: status, Msg: "the reply cannot be read", Err: err}
 }
 
-// refusal is the error of a reply that reports one.
-func (cl call) refusal(rep reply) error {
+// refusalError returns the error that a reply reports.
+func (cl call) refusalError(rep reply) error {
 	var er wire.ErrorReply
 	if err := json.Unmarshal(rep.body, &er); err != nil || er.Error == "" {
-		return cl.plainRefusal(rep)
+		return cl.refusalWithoutBody(rep)
 	}
 	return &Error{
 		Op: cl.op, Kind: kindOfStatus(rep.status), Status: rep.status,
@@ -193,38 +194,38 @@
 	}
 }
 
-// inDoubt tells whether a reply without a body from the VM leaves open what the
-// request did. Something between here and the VM may have written it, after
-// passing the request on; only a status of the 400s says that it was refused.
-func (cl call) inDoubt(status int) bool {
-	return cl.effect && (status < 400 || status >= 500)
+// effectUnknown reports whether a reply without a body of the VM leaves open whether the request
+// had an effect. An intermediary may have written the reply after it passed the request on; only
+// a 4xx status shows that the request was refused.
+func (cl call) effectUnknown(status int) bool {
+	return cl.hasEffect && (status < 400 || status >= 500)
 }
 
-// plainRefusal is the error of a reply without the VM's usual error body.
-func (cl call) plainRefusal(rep reply) error {
+// refusalWithoutBody returns the error of a reply that does not have the VM's usual error body.
+func (cl call) refusalWithoutBody(rep reply) error {
 	kind := kindOfStatus(rep.status)
-	if cl.inDoubt(rep.status) {
+	if cl.effectUnknown(rep.status) {
 		kind = KindUnknown
 	}
 	return &Error{Op: cl.op, Kind: kind, Status: rep.status, Msg: "a reply without the usual error body"}
 }
 
-// read does a call whose reply is good only with status 200.
-func (cn *conn) read(ctx context.Context, cl call, into any) error {
+// doJSON sends a request and decodes its JSON reply; any status but 200 is an error.
+func (cn *conn) doJSON(ctx context.Context, cl call, into any) error {
 	rep, err := cn.do(ctx, cl)
 	if err != nil {
 		return err
 	}
 	if rep.status != http.StatusOK {
-		return cl.refusal(rep)
+		return cl.refusalError(rep)
 	}
 	if err := json.Unmarshal(rep.body, into); err != nil {
-		return cl.unreadable(rep.status, err)
+		return cl.replyError(rep.status, err)
 	}
 	return nil
 }
 
-// pathOf fills the one parameter of a route.
+// pathOf replaces the single parameter of a route by an escaped value.
 func pathOf(route, param, val string) string {
 	return strings.Replace(route, ":"+param, url.PathEscape(val), 1)
 }
--- a/io/client/error.go
+++ b/io/client/error.go
@@ -7,50 +7,49 @@
 	"github.com/go-faster/errors"
 )
 
-// Kind says what went wrong with a request.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
 const (
-	// KindConfig is a setting that no request can be made with.
+	// KindConfig is a setting with which no request can be made.
 	KindConfig Kind = "config"
 	// KindUnreachable means that no byte of the request was sent.
 	KindUnreachable Kind = "unreachable"
-	// KindUnknown means that the request was sent, and that nothing tells
-	// whether it had an effect.
+	// KindUnknown means that the request was sent and that it is unknown whether it had an
+	// effect.
 	KindUnknown Kind = "unknown"
-	// KindFailed is a reply that reports a fault, or a read that got no reply.
+	// KindFailed is a reply that reports a failure, or a read request that got no reply.
 	KindFailed Kind = "failed"
-	// KindReply is a reply that could not be understood, where the request had
-	// no effect to be in doubt about.
+	// KindReply is a reply that could not be understood, to a request that has no effect.
 	KindReply Kind = "reply"
-	// KindInvalid is a request that the VM would not read.
+	// KindInvalid is a request that the VM rejected as invalid.
 	KindInvalid Kind = "invalid"
 	// KindDenied is a missing or wrong token.
 	KindDenied Kind = "denied"
 	// KindNotFound is a team, change or route that the VM does not know.
 	KindNotFound Kind = "notFound"
-	// KindConflict is a change that another one came before.
+	// KindConflict is a change that conflicts with an earlier one.
 	KindConflict Kind = "conflict"
-	// KindRefused is a request that was turned away and may be tried later.
+	// KindRefused is a request that was refused and may be tried again later.
 	KindRefused Kind = "refused"
 )
 
-// Error is the one type of error of this package.
+// Error is the type of all errors of this package.
 type Error struct {
 	Op   string
 	Kind Kind
-	// Status is the HTTP status, or 0 where no reply came.
+	// Status is the HTTP status, or 0 if no reply came.
 	Status int
-	// Reason is the VM's own word for the refusal.
+	// Reason is the reason given by the VM, a word that programs can compare.
 	Reason string
-	// Path names the field that the VM found fault with.
+	// Path is the field of the request that the VM found invalid.
 	Path string
 	Msg  string
 	Err  error
 }
 
-// Error gives operation, kind and everything known on one line.
+// Error returns the operation, the kind and all other fields that are set on one line.
 func (e *Error) Error() string {
 	msg := fmt.Sprintf("%s: %s", e.Op, e.Kind)
 	if e.Status != 0 {
@@ -67,12 +66,12 @@
 	return msg
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error {
 	return e.Err
 }
 
-// KindOf gives the kind of an error of this package, or "" for any other.
+// KindOf returns the kind of an error of this package, or "" for any other error.
 func KindOf(err error) Kind {
 	var ce *Error
 	if errors.As(err, &ce) {
