--- a/io/story/doc.go
+++ b/io/story/doc.go
@@ -1,4 +1,5 @@
-// Package story finds what many VMs logged of one request, and puts it in order.
+// Package story collects the log lines that many VMs wrote about one request, and sorts them by
+// time.
 //
 // # Usage
 //
@@ -8,10 +9,11 @@
 //	}
 //	lines := st.Lines()
 //
-// A request crosses several VMs: the one that a client reached, the one that took it,
-// those that joined answers for it. With hundreds of VMs nobody reads their logs by eye.
+// A request passes through several VMs: the one that the client connected to, the one that it
+// was forwarded to, and those that joined answers for it. With hundreds of VMs their logs cannot
+// be searched by eye.
 //
-// Logs are read as they come and only the lines of the request are kept, up to a bound,
-// so that memory does not grow with them. A line that is not JSON, or is longer than a
-// VM writes, is counted and passed over: collectors cut and mix lines.
+// Logs are read as streams and only the request's lines are kept, up to a limit, so that memory
+// use does not grow with the logs. Lines that are not JSON, or are longer than any line of a VM,
+// are counted and skipped, because log collectors truncate and mix lines.
 package story
--- a/io/story/story.go
+++ b/io/story/story.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// mostLine bounds a line: the longest of a VM names some servers of a request.
-	mostLine = 64 << 10
-	// DefaultLines bounds the lines that are kept: a request over some hundred shards
+	// maxLineBytes limits the length of a line; a VM's longest lines list some servers of a
+	// request.
+	maxLineBytes = 64 << 10
+	// DefaultLines is the default limit on the lines kept: a request over some hundred shards
 	// writes a few dozen.
 	DefaultLines = 1000
 )
 
-// Kind says what went wrong.
+// Kind classifies an Error.
 type Kind string
 
 // Kinds of errors.
@@ -38,7 +39,7 @@
 	Err  error
 }
 
-// Error gives operation, kind and log on one line.
+// Error returns the operation, the kind, the log's name and the cause on one line.
 func (e *Error) Error() string { return fmt.Sprintf("%s: %s: %s: %v", e.Op, e.Kind, e.Name, e.Err) }
 
 // Unwrap returns the cause.
@@ -47,30 +48,31 @@
 // Line is one line of a VM's log.
 type Line struct {
 	Time time.Time `json:"time"`
-	// VM is who wrote it: what a collector put before the line, or the log's name.
+	// VM is the VM that wrote the line: the last word that a log collector put before the line,
+	// or else the log's name.
 	VM      string `json:"vm"`
 	Message string `json:"message"`
-	// Fields are all others but the request's id.
+	// Fields are all other fields except the request's id and the level.
 	Fields map[string]json.RawMessage `json:"fields"`
 }
 
-// Config sets a story.
+// Config configures a Story.
 type Config struct {
-	// ID is the request's.
+	// ID is the id of the request.
 	ID string
-	// Lines bounds the lines kept; 0 takes the default.
+	// Lines limits the lines kept; 0 means DefaultLines.
 	Lines int
 }
 
-// Story gathers the lines of one request. It is not safe for concurrent use.
+// Story collects the lines of one request. It is not safe for concurrent use.
 type Story struct {
 	cfg   Config
 	lines []Line
-	// Bad counts the lines that could not be read, LeftOut those beyond the bound.
+	// Bad counts the lines that could not be parsed, LeftOut those beyond the limit.
 	Bad, LeftOut int
 }
 
-// New makes an empty story.
+// New returns a story without lines.
 func New(cfg Config) *Story {
 	if cfg.Lines <= 0 {
 		cfg.Lines = DefaultLines
@@ -78,10 +80,9 @@
 	return &Story{cfg: cfg}
 }
 
-// Read takes the lines of one log. The name stands for the VM where the lines do not
-// tell.
+// Read reads one log. Its name stands for the VM if a line does not name one.
 func (st *Story) Read(name string, rd io.Reader) error {
-	br := bufio.NewReaderSize(rd, mostLine)
+	br := bufio.NewReaderSize(rd, maxLineBytes)
 	for {
 		line, err := br.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
@@ -89,7 +90,7 @@
 			err = skipLine(br)
 			line = nil
 		}
-		st.take(name, bytes.TrimSpace(line))
+		st.addLine(name, bytes.TrimSpace(line))
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine skips the rest of a line that is too long.
 func skipLine(br *bufio.Reader) error {
 	for {
 		_, err := br.ReadSlice('\n')
@@ -109,8 +110,8 @@
 	}
 }
 
-// take keeps a line if it is the request's.
-func (st *Story) take(name string, line []byte) {
+// addLine keeps a line if it is about the request.
+func (st *Story) addLine(name string, line []byte) {
 	if len(line) == 0 {
 		return
 	}
@@ -119,7 +120,7 @@
 		st.Bad++
 		return
 	}
-	// Most lines are others'; parsing all of them would take ten times as long.
+	// Most lines are about other requests; parsing all of them would take ten times as long.
 	if !bytes.Contains(line, []byte(st.cfg.ID)) {
 		return
 	}
@@ -128,10 +129,10 @@
 		st.Bad++
 		return
 	}
-	if text(fields, "id") != st.cfg.ID {
+	if textField(fields, "id") != st.cfg.ID {
 		return
 	}
-	when, err := time.Parse(time.RFC3339Nano, text(fields, "time"))
+	when, err := time.Parse(time.RFC3339Nano, textField(fields, "time"))
 	if err != nil {
 		st.Bad++
 		return
@@ -140,30 +141,30 @@
 		st.LeftOut++
 		return
 	}
-	ln := Line{Time: when, VM: writer(name, string(line[:at])), Message: text(fields, "message"), Fields: fields}
+	ln := Line{Time: when, VM: vmName(name, string(line[:at])), Message: textField(fields, "message"), Fields: fields}
 	for _, known := range [4]string{"id", "time", "message", "level"} {
 		delete(fields, known)
 	}
 	st.lines = append(st.lines, ln)
 }
 
-// writer is the last word before a line's JSON, or the log's name.
-func writer(name, before string) string {
+// vmName returns the last word before a line's JSON, or the log's name if there is none.
+func vmName(name, before string) string {
 	if words := strings.Fields(before); len(words) > 0 {
 		return words[len(words)-1]
 	}
 	return name
 }
 
-func text(fields map[string]json.RawMessage, name string) string {
+func textField(fields map[string]json.RawMessage, name string) string {
 	var value string
-	// A field of another type is no text.
+	// A field that is not a string is returned as "".
 	_ = json.Unmarshal(fields[name], &value)
 	return value
 }
 
-// Lines are those of the request in the order of their times. Clocks of VMs differ by
-// some milliseconds, and so may the order.
+// Lines returns the request's lines sorted by time. The VMs' clocks differ by some milliseconds,
+// so the order may differ from the true one by as much.
 func (st *Story) Lines() []Line {
 	sort.SliceStable(st.lines, func(i, j int) bool { return st.lines[i].Time.Before(st.lines[j].Time) })
 	return st.lines
--- a/io/story/story_test.go
+++ b/io/story/story_test.go
@@ -12,14 +12,14 @@
 
 const id = "4f7c8f65fcdc5ff2"
 
-// line is one of a VM's log at a second.
+// line returns a line of a VM's log with the given second.
 func line(second, message, more string) string {
 	return `{"time":"2026-01-31T11:33:` + second + `Z","level":"info","id":"` + id + `"` + more + `,"message":"` + message + `"}` + "\n"
 }
 
 // A caller got its answer late. The request went from a small VM to a large one, which had
-// servers elsewhere asked through a third; the logs of all three lie side by side, with
-// lines of other requests, cut lines and lines that a collector put together.
+// remote servers asked through a third VM. The three logs also have lines about other requests,
+// truncated lines and lines that a collector merged.
 func TestStoryOfOneRequest(t *testing.T) {
 	is := is.New(t)
 	logs := []struct{ name, text string }{
@@ -49,7 +49,7 @@
 	is.Equal(st.LeftOut, 0)
 }
 
-// A client repeats one id for hours: the lines kept are bounded.
+// A client uses one id for hours: the number of lines kept is limited.
 func TestBounded(t *testing.T) {
 	is := is.New(t)
 	st := story.New(story.Config{ID: id, Lines: 10})
@@ -58,14 +58,14 @@
 	is.Equal(st.LeftOut, 15)
 }
 
-type broken struct{}
+type failingReader struct{}
 
-func (broken) Read([]byte) (int, error) { return 0, errors.New("input/output error") }
+func (failingReader) Read([]byte) (int, error) { return 0, errors.New("input/output error") }
 
 func TestUnreadable(t *testing.T) {
 	is := is.New(t)
 	var se *story.Error
-	is.True(errors.As(story.New(story.Config{ID: id}).Read("a", broken{}), &se))
+	is.True(errors.As(story.New(story.Config{ID: id}).Read("a", failingReader{}), &se))
 	is.Equal(se.Kind, story.KindRead)
 }
 
@@ -79,7 +79,7 @@
 		}
 		for _, ln := range st.Lines() {
 			if ln.Time.IsZero() && ln.VM == "" {
-				t.Fatalf("a line without a writer: %+v", ln)
+				t.Fatalf("a line without a VM: %+v", ln)
 			}
 		}
 	})
