--- a/io/lines/doc.go
+++ b/io/lines/doc.go
@@ -1,5 +1,5 @@
-// Package lines keeps a VM's log from slowing it down: lines are queued, and one
-// goroutine writes them.
+// Package lines queues log lines and writes them on a goroutine of its own, so that logging
+// never blocks a VM.
 //
 // # Usage
 //
@@ -7,9 +7,8 @@
 //	logger.Writer = qu
 //	defer qu.Close()
 //
-// Nothing that logs ever waits for the output, which may be a pipe that nobody
-// reads. Errors have a queue of their own, so that a flood of other lines, as of
-// searches in an overload, cannot push them out; they are written first. What
-// finds its queue full is dropped and counted, and a line says how many were
-// lost as soon as there is room.
+// Code that logs never waits for the output, which may be a pipe that is not being read. Errors
+// have their own queue, which is written first, so that a flood of other lines, such as those of
+// searches during an overload, cannot displace them. Lines that find their queue full are
+// dropped and counted, and as soon as there is room a line says how many were lost.
 package lines
--- a/io/lines/queue.go
+++ b/io/lines/queue.go
@@ -14,16 +14,16 @@
 	DefaultCloseTime = time.Second
 )
 
-// Config sets a queue. All but Writer have defaults.
+// Config configures a Queue. All fields but Writer have defaults.
 type Config struct {
-	// Writer is where lines go in the end.
+	// Writer is the output to which lines are written.
 	Writer log.Writer
-	// Lines and Errors bound the lines that wait.
+	// Lines and Errors limit the number of queued lines.
 	Lines  int
 	Errors int
-	// CloseTime bounds how long Close waits for the output.
+	// CloseTime limits how long Close waits for the output.
 	CloseTime time.Duration
-	// Lost is told how many lines were dropped; it may be nil.
+	// Lost, if not nil, is called with the number of lines that were dropped.
 	Lost func(n int64)
 }
 
@@ -33,14 +33,14 @@
 	wake chan struct{}
 	done chan struct{}
 
-	mu     sync.Mutex
-	errors [][]byte
-	others [][]byte
-	lost   int64
-	closed bool
+	mu      sync.Mutex
+	errors  [][]byte
+	others  [][]byte
+	dropped int64
+	closed  bool
 }
 
-// New makes a queue and starts its goroutine; Close ends it.
+// New returns a queue and starts its goroutine, which Close ends.
 func New(cfg Config) *Queue {
 	if cfg.Lines <= 0 {
 		cfg.Lines = DefaultLines
@@ -59,20 +59,21 @@
 	return qu
 }
 
-// WriteEntry queues a copy of a line: the library uses the entry again.
+// WriteEntry queues a copy of the line, because the log library reuses the entry. It never
+// blocks and returns no error.
 func (qu *Queue) WriteEntry(en *log.Entry) (int, error) {
 	line := append([]byte(nil), en.Value()...)
 	qu.mu.Lock()
-	kept := qu.put(en.Level, line)
+	kept := qu.enqueue(en.Level, line)
 	qu.mu.Unlock()
 	if !kept {
 		qu.cfg.Lost(1)
 	}
-	qu.rouse()
+	qu.signal()
 	return len(line), nil
 }
 
-func (qu *Queue) put(level log.Level, line []byte) bool {
+func (qu *Queue) enqueue(level log.Level, line []byte) bool {
 	switch {
 	case qu.closed:
 		return false
@@ -81,48 +82,48 @@
 	case level < log.ErrorLevel && len(qu.others) < qu.cfg.Lines:
 		qu.others = append(qu.others, line)
 	default:
-		qu.lost++
+		qu.dropped++
 		return false
 	}
 	return true
 }
 
-func (qu *Queue) rouse() {
+func (qu *Queue) signal() {
 	select {
 	case qu.wake <- struct{}{}:
 	default:
 	}
 }
 
-// write runs until the queue is closed and empty.
+// write writes queued lines until the queue is closed and empty.
 func (qu *Queue) write() {
 	defer close(qu.done)
 	for range qu.wake {
 		for {
-			batch, lost, closed := qu.take()
+			batch, lost, closed := qu.nextBatch()
 			if len(batch) == 0 && lost == 0 {
 				if closed {
 					return
 				}
 				break
 			}
-			qu.emit(batch, lost)
+			qu.writeBatch(batch, lost)
 		}
 	}
 }
 
-// take empties the queues of errors first. Other lines are taken a few at a
-// time, so that an error does not wait for all of them.
-func (qu *Queue) take() (batch [][]byte, lost int64, closed bool) {
-	const few = 64
+// nextBatch returns the next lines to write. It returns all errors first. Other lines are
+// returned a few at a time, so that an error does not have to wait for all of them.
+func (qu *Queue) nextBatch() (batch [][]byte, lost int64, closed bool) {
+	const maxBatch = 64
 	qu.mu.Lock()
 	defer qu.mu.Unlock()
-	lost, qu.lost = qu.lost, 0
+	lost, qu.dropped = qu.dropped, 0
 	if len(qu.errors) > 0 {
 		batch, qu.errors = qu.errors, nil
 		return batch, lost, qu.closed
 	}
-	n := min(few, len(qu.others))
+	n := min(maxBatch, len(qu.others))
 	batch, qu.others = qu.others[:n:n], qu.others[n:]
 	if len(qu.others) == 0 {
 		qu.others = nil
@@ -130,9 +131,9 @@
 	return batch, lost, qu.closed
 }
 
-func (qu *Queue) emit(batch [][]byte, lost int64) {
+func (qu *Queue) writeBatch(batch [][]byte, lost int64) {
 	for _, line := range batch {
-		// A log that cannot be written has nowhere to say so.
+		// If the log cannot be written, there is nowhere to report it.
 		_, _ = qu.cfg.Writer.WriteEntry(log.NewContext(line))
 	}
 	if lost > 0 {
@@ -141,13 +142,13 @@
 	}
 }
 
-// Close writes what is queued, within CloseTime; lines that come later are
-// dropped and counted.
+// Close writes the queued lines, within CloseTime. Lines that are logged later are dropped and
+// counted.
 func (qu *Queue) Close() {
 	qu.mu.Lock()
 	qu.closed = true
 	qu.mu.Unlock()
-	qu.rouse()
+	qu.signal()
 	tm := time.NewTimer(qu.cfg.CloseTime)
 	defer tm.Stop()
 	select {
--- a/io/lines/queue_test.go
+++ b/io/lines/queue_test.go
@@ -20,33 +20,34 @@
 	goleak.VerifyTestMain(m)
 }
 
-// sink is an output that can be stuck, as a pipe that nobody reads.
-type sink struct {
-	mu    sync.Mutex
-	lines []string
-	first chan struct{}
-	once  sync.Once
-	open  chan struct{}
+// blockedWriter is an output that blocks until released is closed, like a pipe that is not being
+// read.
+type blockedWriter struct {
+	mu       sync.Mutex
+	lines    []string
+	called   chan struct{}
+	once     sync.Once
+	released chan struct{}
 }
 
-func newSink() *sink {
-	return &sink{first: make(chan struct{}), open: make(chan struct{})}
+func newBlockedWriter() *blockedWriter {
+	return &blockedWriter{called: make(chan struct{}), released: make(chan struct{})}
 }
 
-func (si *sink) WriteEntry(en *log.Entry) (int, error) {
+func (bw *blockedWriter) WriteEntry(en *log.Entry) (int, error) {
 	text := string(en.Value())
-	si.once.Do(func() { close(si.first) })
-	<-si.open
-	si.mu.Lock()
-	defer si.mu.Unlock()
-	si.lines = append(si.lines, text)
+	bw.once.Do(func() { close(bw.called) })
+	<-bw.released
+	bw.mu.Lock()
+	defer bw.mu.Unlock()
+	bw.lines = append(bw.lines, text)
 	return len(text), nil
 }
 
-func (si *sink) messages(t *testing.T) []string {
+func (bw *blockedWriter) messages(t *testing.T) []string {
 	t.Helper()
 	var out []string
-	for _, line := range si.lines {
+	for _, line := range bw.lines {
 		var entry struct {
 			Message string `json:"message"`
 			Lost    int64  `json:"lost"`
@@ -60,37 +61,37 @@
 	return out
 }
 
-// The output is stuck while a flood of lines comes, and then an error. Nobody
-// who logs may wait; the error must be written, and first; and the operator must
-// see how many lines are missing.
+// The output blocks while a flood of lines comes, followed by an error. Callers that log must
+// not wait, the error must be written, before the other lines, and the log must say how many
+// lines are missing.
 func TestFloodDoesNotLoseErrors(t *testing.T) {
 	is := is.New(t)
-	si := newSink()
+	bw := newBlockedWriter()
 	var lost atomic.Int64
-	qu := lines.New(lines.Config{Writer: si, Lines: 3, Errors: 2, CloseTime: time.Minute, Lost: func(n int64) { lost.Add(n) }})
+	qu := lines.New(lines.Config{Writer: bw, Lines: 3, Errors: 2, CloseTime: time.Minute, Lost: func(n int64) { lost.Add(n) }})
 	lo := &log.Logger{Level: log.InfoLevel, Writer: qu}
 	lo.Info().Msg("stuck")
-	<-si.first
+	<-bw.called
 	for i := range 10 {
 		lo.Info().Msg(fmt.Sprintf("line %d", i))
 	}
 	lo.Error().Msg("error")
 	lo.Debug().Msg("below the level")
-	close(si.open)
+	close(bw.released)
 	qu.Close()
-	is.Equal(si.messages(t), []string{"stuck", "error", "log lines lost 7", "line 0", "line 1", "line 2"})
+	is.Equal(bw.messages(t), []string{"stuck", "error", "log lines lost 7", "line 0", "line 1", "line 2"})
 	is.Equal(lost.Load(), int64(7))
 	lo.Info().Msg("after the end")
 	is.Equal(lost.Load(), int64(8))
 }
 
-// Many goroutines log at once; the library uses its buffers again. Every line
-// must come out once and whole.
+// Many goroutines log concurrently, and the log library reuses its buffers. Every line must be
+// written once and unchanged.
 func TestLinesStayWhole(t *testing.T) {
 	is := is.New(t)
-	si := newSink()
-	close(si.open)
-	qu := lines.New(lines.Config{Writer: si, Lines: 10_000, CloseTime: time.Minute})
+	bw := newBlockedWriter()
+	close(bw.released)
+	qu := lines.New(lines.Config{Writer: bw, Lines: 10_000, CloseTime: time.Minute})
 	lo := &log.Logger{Writer: qu}
 	const goroutines, each = 8, 200
 	var wg sync.WaitGroup
@@ -106,20 +107,20 @@
 	wg.Wait()
 	qu.Close()
 	seen := map[string]bool{}
-	for _, msg := range si.messages(t) {
+	for _, msg := range bw.messages(t) {
 		seen[msg] = true
 	}
 	is.Equal(len(seen), goroutines*each)
-	is.Equal(len(si.lines), goroutines*each)
+	is.Equal(len(bw.lines), goroutines*each)
 }
 
-// The output stays stuck. The VM's stop must not wait for it.
-func TestCloseGivesUp(*testing.T) {
-	si := newSink()
-	qu := lines.New(lines.Config{Writer: si, CloseTime: time.Millisecond})
+// The output stays blocked. A VM that stops must not wait for it.
+func TestCloseDoesNotWaitForOutput(*testing.T) {
+	bw := newBlockedWriter()
+	qu := lines.New(lines.Config{Writer: bw, CloseTime: time.Millisecond})
 	lo := &log.Logger{Writer: qu}
 	lo.Info().Msg("stuck")
-	<-si.first
+	<-bw.called
 	qu.Close()
-	close(si.open)
+	close(bw.released)
 }
