--- a/io/meter/counters.go
+++ b/io/meter/counters.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// maxUnlisted bounds the counters of reasons that no list has. Some come
-	// from other processes: a server that makes up a new refusal for each
-	// reply would otherwise fill the VM's memory with counters.
+	// maxUnlisted limits the counters of reasons that are not listed. Some reasons come from
+	// other processes: a server that invents a new reason for each refusal would otherwise fill
+	// the VM's memory with counters.
 	maxUnlisted = 64
-	// maxReasonLen bounds a reason that is given a counter of its own.
+	// maxReasonLen limits the length of an unlisted reason that gets its own counter.
 	maxReasonLen = 48
 )
 
@@ -19,11 +19,11 @@
 	family, reason string
 }
 
-// counters finds the counter of a reason without making its name anew, which
-// costs an allocation for each count.
+// counters finds the counter of a reason without building its name, which would cost an
+// allocation per count.
 type counters struct {
 	reg metrics.Registry
-	// listed never changes and needs no lock.
+	// listed is not changed after newCounters and needs no lock.
 	listed map[counterKey]metrics.Counter
 
 	mu       sync.RWMutex
@@ -48,7 +48,7 @@
 	return metrics.GetOrRegisterCounter(family+"."+reason, cs.reg)
 }
 
-func (cs *counters) of(family, reason string) metrics.Counter {
+func (cs *counters) counter(family, reason string) metrics.Counter {
 	key := counterKey{family, reason}
 	if co, ok := cs.listed[key]; ok {
 		return co
@@ -59,10 +59,10 @@
 	if ok {
 		return co
 	}
-	return cs.add(key)
+	return cs.addUnlisted(key)
 }
 
-func (cs *counters) add(key counterKey) metrics.Counter {
+func (cs *counters) addUnlisted(key counterKey) metrics.Counter {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if co, ok := cs.unlisted[key]; ok {
--- a/io/meter/families.go
+++ b/io/meter/families.go
@@ -2,50 +2,49 @@
 
 import "laburnumvane/core/toggle"
 
-// Families of counters; each is counted by reason.
+// Families of counters. Each family has one counter per reason.
 const (
-	// Refusal counts requests that this VM refused itself, by reason.
+	// Refusal counts requests that this VM itself refused, by reason.
 	Refusal = "refusal"
 	// Operator counts requests of operators that were refused, by reason.
 	Operator = "operator"
-	// Admitted counts searches that were let in, by class.
+	// Admitted counts admitted searches, by class.
 	Admitted = "admitted"
 	// Outcome counts searches by outcome.
 	Outcome = "outcome"
-	// Incomplete counts searches that were not complete, by reason.
+	// Incomplete counts searches that were not answered completely, by reason.
 	Incomplete = "incomplete"
-	// Retry counts sub-requests sent again, by reason of the failure before.
+	// Retry counts sub-requests that were sent again, by the reason of the previous failure.
 	Retry = "retry"
 	// Upstream counts refusals and failures of sub-requests, by reason.
 	Upstream = "upstream"
-	// Dropped counts replies that matched nothing, by reason.
+	// Dropped counts replies that matched no request, by reason.
 	Dropped = "dropped"
-	// Sent counts sub-requests by kind of attempt.
+	// Sent counts sub-requests, by kind of attempt.
 	Sent = "sent"
-	// Connection counts what happened to connections to upstreams, by event.
+	// Connection counts events on connections to upstreams.
 	Connection = "connection"
-	// Platform counts calls to the platform and those that failed, by operation.
+	// Platform counts calls to the platform and failed calls, by operation.
 	Platform = "platform"
-	// Change counts operators' changes by result.
+	// Change counts operators' changes, by result.
 	Change = "change"
-	// Config counts what happened to teams' configurations on this VM.
+	// Config counts events in the teams' configurations on this VM.
 	Config = "config"
-	// Member counts what happened between this VM and the others.
+	// Member counts events between this VM and other VMs.
 	Member = "member"
-	// Server counts what was learnt of upstream servers and decided on them.
+	// Server counts what this VM learned and decided about upstream servers.
 	Server = "server"
-	// ServerState counts upstream servers that came into a state.
+	// ServerState counts transitions of upstream servers, by the new state.
 	ServerState = "serverState"
-	// Sign counts signs on upstream servers that this VM told others, by kind.
+	// Sign counts reports on upstream servers that this VM sent to other VMs, by kind.
 	Sign = "sign"
-	// Logged counts what became of log lines.
+	// Logged counts log lines, by what became of them.
 	Logged = "logged"
-	// Poison counts what became known of requests under which servers ended, by what is
-	// thought of them then.
+	// Poison counts updates on requests that crash servers, by the resulting state.
 	Poison = "poison"
-	// Evacuation counts data centres that the operator had evacuated and took back.
+	// Evacuation counts evacuations of data centres that operators began and ended.
 	Evacuation = "evacuation"
-	// Off is 1 for each mechanism that is switched off.
+	// Off is 1 for each disabled mechanism.
 	Off = "off"
 )
 
@@ -61,27 +60,26 @@
 	InFlight    = "inFlight.searches"
 	Connections = "connections"
 	Workers     = "workers.running"
-	// InnerIn and InnerOut are the bytes read and written on the listener for
-	// other VMs since the start.
+	// InnerIn and InnerOut are the bytes read and written since the start on the listener for
+	// other VMs.
 	InnerIn  = "inner.bytesIn"
 	InnerOut = "inner.bytesOut"
 )
 
-// Other is the reason under which a family counts what there is no room to
-// count by name.
+// Other is the reason under which a family counts reasons that got no counter of their own.
 const Other = "other"
 
-// listed gives the reasons of all families. A test compares them with the source
-// of the packages that count, and with docs/METRICS.md.
+// listed returns the reasons of all families. A test compares them with the source of the
+// packages that count, and with docs/METRICS.md.
 func listed() map[string][]string {
 	refusals := []string{"shed", "draining", "snapshotGone", "cold", "expired", "notHeld", "otherRefusal"}
 	failures := []string{
 		"dial", "noConnection", "backoff", "connectionRefused", "write", "timeout", "reset", "silent", "status",
 		"decode", "closed", "join", "workers", "foreignReply", "internal",
 	}
-	machine := []string{"deadline", "softDeadline", "cancelled", "noReplica", "retryBudget"}
-	// What both listeners refuse before a handler is asked.
-	border := []string{
+	searchFailures := []string{"deadline", "softDeadline", "cancelled", "noReplica", "retryBudget"}
+	// Refusals by the listeners of callers and operators before a handler is called.
+	listenerRefusals := []string{
 		"badRequest", "mediaType", "tooLarge", "headersTooLarge", "requestTimeout", "noSuchRoute",
 		"methodNotAllowed", "expectation", "internal",
 	}
@@ -90,20 +88,19 @@
 	limits := []string{
 		"deadlineTooClose", "waitTooLong", "queueFull", "teamQueueFull", "waited", "teamRate", "teamConcurrent", "callerGone",
 	}
-	own := []string{"noConfig", "unknownSearch", "noUpstreams"}
-	// Of routed requests: why one was not answered whole, what became of
-	// attempts, and what is refused.
-	routed := []string{"target", "noUpstream", "attempts", "mayHaveRun", "clientGone", "crashesServers"}
-	unrouted := []string{"noRequestId", "noConfiguration", "noRoom", "cutOff", "homeLost", "crashesServers", "awaitedTrial"}
+	configFailures := []string{"noConfig", "unknownSearch", "noUpstreams"}
+	// Routed requests: reasons for incomplete answers, for refusals, and results of attempts.
+	routedFailures := []string{"target", "noUpstream", "attempts", "mayHaveRun", "clientGone", "crashesServers"}
+	routedRefusals := []string{"noRequestId", "noConfiguration", "noRoom", "cutOff", "homeLost", "crashesServers", "awaitedTrial"}
 	verdicts := []string{"failed", "refused", "elsewhere", "lost", "unsent", "doubted"}
 	return map[string][]string{
-		Refusal:    join(border, own, limits, ticketReasons(), unrouted, []string{"leaving"}),
-		Operator:   join(border, operators),
+		Refusal:    concat(listenerRefusals, configFailures, limits, ticketReasons(), routedRefusals, []string{"leaving"}),
+		Operator:   concat(listenerRefusals, operators),
 		Admitted:   {"urgent", "interactive", "batch"},
 		Outcome:    {"complete", "partial", "notRun", "unknown", "served", "failed", "gone"},
-		Incomplete: join(own, limits, ticketReasons(), machine, replies, refusals, failures, routed, []string{"badRequest"}),
-		Retry:      join(replies, refusals, failures, verdicts),
-		Upstream:   join(refusals, failures, verdicts, []string{"moveBudget", "noRoom", "dropped", "garbled", "warming", "badLoad"}),
+		Incomplete: concat(configFailures, limits, ticketReasons(), searchFailures, replies, refusals, failures, routedFailures, []string{"badRequest"}),
+		Retry:      concat(replies, refusals, failures, verdicts),
+		Upstream:   concat(refusals, failures, verdicts, []string{"moveBudget", "noRoom", "dropped", "garbled", "warming", "badLoad"}),
 		Dropped:    {"foreign", "afterAnswer"},
 		Sent:       {"primary", "first", "hedge", "retry", "home", "homeNone", "homeLost", "joined", "warned", "forOthers", "otherRoute", "trial", "warming", "check"},
 		Connection: {
@@ -137,7 +134,7 @@
 	}
 }
 
-// ticketReasons are why a search with a ticket is refused.
+// ticketReasons returns the reasons for refusing a search with a ticket.
 func ticketReasons() []string {
 	return []string{
 		"ticketNeeded", "ticketForged", "ticketOfOtherTeam", "ticketOfOtherRequest", "ticketTableFull",
@@ -146,7 +143,7 @@
 	}
 }
 
-// mechanisms lists those that can be switched off.
+// mechanisms returns the names of the mechanisms that can be disabled.
 func mechanisms() []string {
 	var all []string
 	for _, me := range toggle.All() {
@@ -155,7 +152,7 @@
 	return all
 }
 
-func join(lists ...[]string) []string {
+func concat(lists ...[]string) []string {
 	var all []string
 	for _, list := range lists {
 		all = append(all, list...)
@@ -163,17 +160,17 @@
 	return all
 }
 
-// Reasons lists the reasons of each family of counters.
+// Reasons returns the reasons of each family of counters.
 func Reasons() map[string][]string {
 	return listed()
 }
 
-// Histograms lists the names of all histograms.
+// Histograms returns the names of all histograms.
 func Histograms() []string {
 	return []string{SearchLatency, SubLatency, QueueLatency}
 }
 
-// Gauges lists the names of all gauges.
+// Gauges returns the names of all gauges.
 func Gauges() []string {
 	return []string{InFlight, Connections, Workers, InnerIn, InnerOut}
 }
--- a/io/meter/meter.go
+++ b/io/meter/meter.go
@@ -1,4 +1,4 @@
-// Package meter counts what a VM does, in a go-metrics registry of its own.
+// Package meter counts what a VM does, in its own go-metrics registry.
 //
 // # Usage
 //
@@ -7,9 +7,9 @@
 //	mt.Observe(meter.SearchLatency, elapsed)
 //	snapshot := mt.Snapshot()
 //
-// Names are a family and, for counters by reason, the reason behind a dot.
-// docs/METRICS.md lists them. A reason that is in no list is given a counter of
-// its own while there is room, and is counted as "other" after that.
+// The name of a counter consists of a family and a reason, with a dot between them.
+// docs/METRICS.md lists all names. Up to a limit, an unlisted reason gets its own counter;
+// beyond that it is counted as "other".
 package meter
 
 import (
@@ -27,7 +27,7 @@
 	microsPerMs = 1000.0
 )
 
-// Meter is the registry of one VM; it may be used from many goroutines.
+// Meter is the metrics registry of one VM. It is safe for concurrent use.
 type Meter struct {
 	reg        metrics.Registry
 	counters   *counters
@@ -35,8 +35,8 @@
 	gauges     map[string]metrics.Gauge
 }
 
-// New makes a meter in which all that is listed stands at 0, so that an alarm
-// can be set on a counter before it first moves.
+// New returns a meter in which all listed metrics are 0, so that an alarm can be set on a
+// counter before it is first incremented.
 func New() *Meter {
 	mt := &Meter{
 		reg:        metrics.NewRegistry(),
@@ -53,32 +53,32 @@
 	return mt
 }
 
-// Count adds one to a family's counter for a reason.
+// Count increments a family's counter for a reason.
 func (mt *Meter) Count(family, reason string) {
-	mt.counters.of(family, reason).Inc(1)
+	mt.counters.counter(family, reason).Inc(1)
 }
 
 // Add adds n to a family's counter for a reason.
 func (mt *Meter) Add(family, reason string, n int64) {
-	mt.counters.of(family, reason).Inc(n)
+	mt.counters.counter(family, reason).Inc(n)
 }
 
-// Value reads a family's counter for a reason.
+// Value returns a family's counter for a reason.
 func (mt *Meter) Value(family, reason string) int64 {
-	return mt.counters.of(family, reason).Count()
+	return mt.counters.counter(family, reason).Count()
 }
 
-// Observe adds a duration to a histogram; it is kept in microseconds.
+// Observe adds a duration to a histogram, which stores microseconds.
 func (mt *Meter) Observe(name string, d time.Duration) {
 	mt.Histogram(name).Update(d.Microseconds())
 }
 
-// Counter is a family's counter for a reason, for callers that count often.
+// Counter returns a family's counter for a reason, for callers that count often.
 func (mt *Meter) Counter(family, reason string) metrics.Counter {
-	return mt.counters.of(family, reason)
+	return mt.counters.counter(family, reason)
 }
 
-// Histogram is a histogram by name, in microseconds.
+// Histogram returns the histogram with a name, which stores microseconds.
 func (mt *Meter) Histogram(name string) metrics.Histogram {
 	if hi, ok := mt.histograms[name]; ok {
 		return hi
@@ -95,8 +95,8 @@
 	metrics.GetOrRegisterGauge(name, mt.reg).Update(value)
 }
 
-// Snapshot lists all values by name; histograms give count, mean and quantiles
-// in milliseconds.
+// Snapshot returns all values by name. A histogram has a count, and its mean and quantiles in
+// milliseconds.
 func (mt *Meter) Snapshot() map[string]float64 {
 	out := make(map[string]float64)
 	mt.reg.Each(func(name string, value any) {
@@ -106,13 +106,13 @@
 		case metrics.Gauge:
 			out[name] = float64(m.Value())
 		case metrics.Histogram:
-			spread(out, name, m.Snapshot())
+			addHistogram(out, name, m.Snapshot())
 		}
 	})
 	return out
 }
 
-func spread(out map[string]float64, name string, hi metrics.Histogram) {
+func addHistogram(out map[string]float64, name string, hi metrics.Histogram) {
 	qs := hi.Percentiles([]float64{0.5, 0.99, 0.999})
 	out[name+".count"] = float64(hi.Count())
 	out[name+".mean"] = hi.Mean() / microsPerMs
@@ -125,7 +125,7 @@
 	return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-// Text lists all values by name, one a line.
+// Text returns all values sorted by name, one per line.
 func (mt *Meter) Text() string {
 	values := mt.Snapshot()
 	names := make([]string, 0, len(values))
--- a/io/meter/meter_test.go
+++ b/io/meter/meter_test.go
@@ -12,9 +12,8 @@
 	"laburnumvane/io/meter"
 )
 
-// A counter must be there before it first moves: an alarm on one that does not
-// exist yet is an alarm on nothing.
-func TestListedStandAtNought(t *testing.T) {
+// A counter must exist before it is first incremented, or an alarm on it would watch nothing.
+func TestListedStartAtZero(t *testing.T) {
 	is := is.New(t)
 	got := meter.New().Snapshot()
 	for family, reasons := range meter.Reasons() {
@@ -33,9 +32,9 @@
 	}
 }
 
-// A server answers each sub-request with a refusal of a new name, some of them
-// very long. The VM's memory must not grow with them, none may be lost, and the
-// listed reasons must keep counting.
+// A server refuses each sub-request with a new reason, some of them very long. The VM's memory
+// must not grow with the reasons, no refusal may remain uncounted, and the listed reasons must
+// still be counted.
 func TestUnlistedReasonsAreBounded(t *testing.T) {
 	is := is.New(t)
 	mt := meter.New()
--- a/io/meter/source_test.go
+++ b/io/meter/source_test.go
@@ -19,26 +19,26 @@
 	"laburnumvane/io/meter"
 )
 
-// source is what the product's code says of counters.
+// source is what the product's code contains about metrics.
 type source struct {
 	// consts are the string constants, by package and name.
 	consts map[string]string
-	// typed are the values of constants with a type of their own, by package
-	// and type.
+	// typed are the values of typed string constants, by package and type.
 	typed map[string][]string
-	// literals are all strings in the code, constants among them.
+	// literals are all string literals in the code, including constants.
 	literals map[string]bool
-	// named are the texts in the String methods of types, by package and type.
-	named map[string][]string
-	// uses are the calls that count: the family's name in package meter or its
-	// value, and the reason where the call gives it.
+	// stringTexts are the literals in the String methods of types, by package and type.
+	stringTexts map[string][]string
+	// uses are the calls that count. Each has the family, as the name of a constant of package
+	// meter or as its value, and the reason if the call has a literal or constant one.
 	uses []use
-	// values are the histograms and gauges that the code names.
+	// values are the histograms and gauges that the code uses.
 	values []use
 }
 
-// values are the methods of a meter that name a histogram or a gauge.
-func values() []string {
+// valueMethods returns the methods of a meter whose argument is the name of a histogram or
+// gauge.
+func valueMethods() []string {
 	return []string{"Observe", "Histogram", "Set"}
 }
 
@@ -46,20 +46,19 @@
 	at, family, reason string
 }
 
-// scanned reads the code once for all tests.
-var scanned = sync.OnceValues(readSource)
+// readSourceOnce reads the code once for all tests.
+var readSourceOnce = sync.OnceValues(readSource)
 
-func scan(t *testing.T) source {
+func loadSource(t *testing.T) source {
 	t.Helper()
-	sc, err := scanned()
+	sc, err := readSourceOnce()
 	is.New(t).NoErr(err)
 	return sc
 }
 
-// readSource reads all code but tests, generated code, stand-ins and the lists
-// themselves.
+// readSource parses all code except tests, generated code, emulators and the lists themselves.
 func readSource() (source, error) {
-	sc := source{consts: map[string]string{}, typed: map[string][]string{}, literals: map[string]bool{}, named: map[string][]string{}}
+	sc := source{consts: map[string]string{}, typed: map[string][]string{}, literals: map[string]bool{}, stringTexts: map[string][]string{}}
 	var files []*ast.File
 	fset := token.NewFileSet()
 	for _, root := range []string{"../../core", "../../io"} {
@@ -77,12 +76,12 @@
 		}
 	}
 	for _, fl := range files {
-		sc.declare(fl)
+		sc.addDeclarations(fl)
 	}
 	for _, fl := range files {
 		ast.Inspect(fl, func(nd ast.Node) bool {
 			if call, ok := nd.(*ast.CallExpr); ok {
-				sc.call(fset, fl.Name.Name, call)
+				sc.addCall(fset, fl.Name.Name, call)
 			}
 			return true
 		})
@@ -90,12 +89,12 @@
 	return sc, nil
 }
 
-func (sc *source) declare(fl *ast.File) {
+func (sc *source) addDeclarations(fl *ast.File) {
 	ast.Inspect(fl, func(nd ast.Node) bool {
 		switch nd := nd.(type) {
 		case *ast.FuncDecl:
 			if nd.Name.Name == "String" && nd.Recv != nil {
-				sc.name(fl.Name.Name+"."+nameOf(nd.Recv.List[0].Type), nd.Body)
+				sc.addStringMethod(fl.Name.Name+"."+nameOf(nd.Recv.List[0].Type), nd.Body)
 			}
 		case *ast.BasicLit:
 			if text, ok := literal(nd); ok {
@@ -121,24 +120,24 @@
 	})
 }
 
-func (sc *source) name(typ string, body *ast.BlockStmt) {
+func (sc *source) addStringMethod(typ string, body *ast.BlockStmt) {
 	ast.Inspect(body, func(nd ast.Node) bool {
 		if bl, ok := nd.(*ast.BasicLit); ok {
 			if text, ok := literal(bl); ok && text != "invalid" {
-				sc.named[typ] = append(sc.named[typ], text)
+				sc.stringTexts[typ] = append(sc.stringTexts[typ], text)
 			}
 		}
 		return true
 	})
 }
 
-func (sc *source) call(fset *token.FileSet, pkg string, call *ast.CallExpr) {
+func (sc *source) addCall(fset *token.FileSet, pkg string, call *ast.CallExpr) {
 	sel, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !strings.EqualFold(lastName(sel.X), "meter") && lastName(sel.X) != "mt" {
 		return
 	}
 	at := fset.Position(call.Pos()).String()
-	if slices.Contains(values(), sel.Sel.Name) {
+	if slices.Contains(valueMethods(), sel.Sel.Name) {
 		sc.values = append(sc.values, use{at: at, family: sc.familyOf(pkg, call.Args[0])})
 		return
 	}
@@ -155,7 +154,8 @@
 	sc.uses = append(sc.uses, use{at: at, family: sc.familyOf(pkg, call.Args[0]), reason: reason})
 }
 
-// familyOf is the name of a constant of package meter, or a value.
+// familyOf returns the name of a constant of package meter, or the value of a literal or local
+// constant.
 func (sc *source) familyOf(pkg string, arg ast.Expr) string {
 	switch from := arg.(type) {
 	case *ast.SelectorExpr:
@@ -170,7 +170,7 @@
 	}
 }
 
-// lastName is what stands after the last dot of an expression.
+// lastName returns the identifier after the last dot of an expression.
 func lastName(ex ast.Expr) string {
 	if sel, ok := ex.(*ast.SelectorExpr); ok {
 		return sel.Sel.Name
@@ -199,8 +199,8 @@
 	t.Helper()
 	fl, err := parser.ParseFile(token.NewFileSet(), "families.go", nil, 0)
 	is.New(t).NoErr(err)
-	sc := source{consts: map[string]string{}, typed: map[string][]string{}, literals: map[string]bool{}, named: map[string][]string{}}
-	sc.declare(fl)
+	sc := source{consts: map[string]string{}, typed: map[string][]string{}, literals: map[string]bool{}, stringTexts: map[string][]string{}}
+	sc.addDeclarations(fl)
 	out := map[string]string{}
 	for name, value := range sc.consts {
 		out[strings.TrimPrefix(name, "meter.")] = value
@@ -208,77 +208,76 @@
 	return out
 }
 
-// wanted complains of what the code counts and no list has.
-type wanted struct {
+// listChecker reports reasons that the code counts and no list has.
+type listChecker struct {
 	t     *testing.T
 	lists map[string][]string
 }
 
-func (wa wanted) want(at, family, reason string) {
-	wa.t.Helper()
+func (lc listChecker) check(at, family, reason string) {
+	lc.t.Helper()
 	switch {
-	case wa.lists[family] == nil:
-		wa.t.Errorf("%s: there is no family %s", at, family)
-	case reason != "" && !slices.Contains(wa.lists[family], reason):
-		wa.t.Errorf("%s: counts %s.%s, which io/meter/families.go does not list", at, family, reason)
+	case lc.lists[family] == nil:
+		lc.t.Errorf("%s: family %s does not exist", at, family)
+	case reason != "" && !slices.Contains(lc.lists[family], reason):
+		lc.t.Errorf("%s: counts %s.%s, which io/meter/families.go does not list", at, family, reason)
 	}
 }
 
-// all wants each of some reasons, of which there must be any.
-func (wa wanted) all(at, family string, reasons []string) {
-	wa.t.Helper()
+// checkAll checks each of the reasons, of which there must be at least one.
+func (lc listChecker) checkAll(at, family string, reasons []string) {
+	lc.t.Helper()
 	if len(reasons) == 0 {
-		wa.t.Errorf("%s has no values", at)
+		lc.t.Errorf("%s has no values", at)
 	}
 	for _, reason := range reasons {
-		wa.want(at, family, reason)
+		lc.check(at, family, reason)
 	}
 }
 
-// Whatever the code counts must be in the lists, or it is missing from the page
-// that operators read.
+// Whatever the code counts must be listed, or it is missing from the page for operators.
 func TestCodeIsListed(t *testing.T) {
-	sc, fams := scan(t), families(t)
-	wa := wanted{t: t, lists: meter.Reasons()}
+	sc, fams := loadSource(t), families(t)
+	lc := listChecker{t: t, lists: meter.Reasons()}
 	for _, us := range sc.uses {
 		family := us.family
 		if value, ok := fams[family]; ok {
 			family = value
 		}
-		wa.want(us.at, family, us.reason)
+		lc.check(us.at, family, us.reason)
 	}
-	// Where a reason is a variable, it holds one of these.
+	// Reasons that are variables have one of these values.
 	for _, family := range []string{meter.Upstream, meter.Retry, meter.Incomplete} {
-		wa.all("wire.Refusal", family, sc.typed["wire.Refusal"])
-		wa.all("upst.Kind", family, sc.typed["upst.Kind"])
+		lc.checkAll("wire.Refusal", family, sc.typed["wire.Refusal"])
+		lc.checkAll("upst.Kind", family, sc.typed["upst.Kind"])
 	}
-	wa.all("relay.Kind", meter.Upstream, sc.typed["relay.Kind"])
-	for _, verdict := range sc.named["fanout.Verdict"] {
+	lc.checkAll("relay.Kind", meter.Upstream, sc.typed["relay.Kind"])
+	for _, verdict := range sc.stringTexts["fanout.Verdict"] {
 		if verdict != "served" && verdict != "open" {
-			wa.want("fanout.Verdict", meter.Retry, verdict)
-			wa.want("fanout.Verdict", meter.Upstream, verdict)
+			lc.check("fanout.Verdict", meter.Retry, verdict)
+			lc.check("fanout.Verdict", meter.Upstream, verdict)
 		}
 	}
-	wa.all("team.Class", meter.Admitted, sc.typed["team.Class"])
-	wa.all("wire.Outcome", meter.Outcome, sc.typed["wire.Outcome"])
-	wa.all("wire.ChangeResult", meter.Change, sc.typed["wire.ChangeResult"])
-	wa.all("upst.event", meter.Connection, sc.named["upst.event"])
-	wa.all("member.State", meter.Member, sc.named["member.State"])
-	for _, state := range sc.named["view.State"] {
-		wa.want("view.State", meter.ServerState, state)
+	lc.checkAll("team.Class", meter.Admitted, sc.typed["team.Class"])
+	lc.checkAll("wire.Outcome", meter.Outcome, sc.typed["wire.Outcome"])
+	lc.checkAll("wire.ChangeResult", meter.Change, sc.typed["wire.ChangeResult"])
+	lc.checkAll("upst.event", meter.Connection, sc.stringTexts["upst.event"])
+	lc.checkAll("member.State", meter.Member, sc.stringTexts["member.State"])
+	for _, state := range sc.stringTexts["view.State"] {
+		lc.check("view.State", meter.ServerState, state)
 	}
-	for _, kind := range sc.named["server.SignKind"] {
-		wa.want("server.SignKind", meter.Sign, kind)
+	for _, kind := range sc.stringTexts["server.SignKind"] {
+		lc.check("server.SignKind", meter.Sign, kind)
 	}
 	for _, kind := range sc.typed["spread.AlarmKind"] {
-		wa.want("spread.AlarmKind", meter.Config, "alarm."+kind)
+		lc.check("spread.AlarmKind", meter.Config, "alarm."+kind)
 	}
 }
 
-// Constants called Reason are reasons, whether a call with one is found or not.
+// Constants whose names begin with Reason are reasons, whether or not a call with them is found.
 func TestReasonsAreListed(t *testing.T) {
-	sc := scan(t)
-	wa := wanted{t: t, lists: meter.Reasons()}
+	sc := loadSource(t)
+	lc := listChecker{t: t, lists: meter.Reasons()}
 	for name, reason := range sc.consts {
 		pkg, id, _ := strings.Cut(name, ".")
 		if !strings.HasPrefix(id, "Reason") {
@@ -286,28 +285,28 @@
 		}
 		switch pkg {
 		case "drive", "search", "fanout":
-			wa.want(name, meter.Incomplete, reason)
+			lc.check(name, meter.Incomplete, reason)
 		case "admit", "share":
-			wa.want(name, meter.Refusal, reason)
-			wa.want(name, meter.Incomplete, reason)
+			lc.check(name, meter.Refusal, reason)
+			lc.check(name, meter.Incomplete, reason)
 		case "front":
-			wa.want(name, meter.Refusal, reason)
+			lc.check(name, meter.Refusal, reason)
 		case "guard":
-			wa.want(name, meter.Refusal, reason)
-			wa.want(name, meter.Operator, reason)
+			lc.check(name, meter.Refusal, reason)
+			lc.check(name, meter.Operator, reason)
 		case "oper":
-			wa.want(name, meter.Operator, reason)
+			lc.check(name, meter.Operator, reason)
 		case "carry":
-			wa.want(name, meter.Sent, reason)
+			lc.check(name, meter.Sent, reason)
 		default:
 			t.Errorf("%s: say in this test under which family it is counted", name)
 		}
 	}
 }
 
-// Histograms and gauges that the code names must be in the lists too.
+// Histograms and gauges that the code uses must be listed too.
 func TestValuesAreListed(t *testing.T) {
-	sc, fams := scan(t), families(t)
+	sc, fams := loadSource(t), families(t)
 	known := append(meter.Gauges(), meter.Histograms()...)
 	for _, us := range sc.values {
 		name := us.family
@@ -320,10 +319,10 @@
 	}
 }
 
-// Each family must be counted by somebody: a counter of retries that stays at
-// nought would say that there are none.
+// Each family must be counted somewhere: a counter of retries that always stays 0 would suggest
+// that there are none.
 func TestFamiliesAreCounted(t *testing.T) {
-	sc, fams := scan(t), families(t)
+	sc, fams := loadSource(t), families(t)
 	used := map[string]bool{}
 	for _, us := range sc.uses {
 		family := us.family
@@ -339,52 +338,51 @@
 	}
 }
 
-// A reason that nothing counts any more must leave the lists, and the page with
-// them.
+// A reason that is no longer counted must be removed from the lists, and so from the page.
 func TestListedIsInCode(t *testing.T) {
-	sc := scan(t)
+	sc := loadSource(t)
 	for family, reasons := range meter.Reasons() {
 		for _, reason := range reasons {
-			said := func(text string) bool { return sc.literals[text] }
-			made := said(strings.TrimSuffix(reason, "Failed")) || said(reason[strings.Index(reason, ".")+1:])
-			if !said(reason) && !made {
-				t.Errorf("io/meter/families.go lists %s.%s, which the code has nowhere", family, reason)
+			hasLiteral := func(text string) bool { return sc.literals[text] }
+			derived := hasLiteral(strings.TrimSuffix(reason, "Failed")) || hasLiteral(reason[strings.Index(reason, ".")+1:])
+			if !hasLiteral(reason) && !derived {
+				t.Errorf("io/meter/families.go lists %s.%s, which is not in the code", family, reason)
 			}
 		}
 	}
 }
 
-// Each line of the page must name what is counted, and all of it.
-func TestPageAgrees(t *testing.T) {
+// Each line of the page must name an existing metric, and the page must have all of them.
+func TestMetricsPageMatches(t *testing.T) {
 	is := is.New(t)
 	raw, err := os.ReadFile("../../docs/METRICS.md")
 	is.NoErr(err)
-	told := map[string]bool{}
+	documented := map[string]bool{}
 	row := regexp.MustCompile("(?m)^\\| `([^`]+)` \\| (`[^|]+) \\| [^|]+ \\| [^|]+ \\|$")
 	for _, cells := range row.FindAllStringSubmatch(string(raw), -1) {
 		for group := range strings.SplitSeq(cells[2], ",") {
 			name := strings.Trim(strings.TrimSpace(group), "`") + "." + cells[1]
-			if told[name] {
-				t.Errorf("docs/METRICS.md tells %s twice", name)
+			if documented[name] {
+				t.Errorf("docs/METRICS.md has %s twice", name)
 			}
-			told[name] = true
+			documented[name] = true
 		}
 	}
 	for family, reasons := range meter.Reasons() {
 		for _, reason := range append(reasons, meter.Other) {
 			name := family + "." + reason
-			if !told[name] {
-				t.Errorf("docs/METRICS.md does not tell of %s", name)
+			if !documented[name] {
+				t.Errorf("docs/METRICS.md does not have %s", name)
 			}
-			delete(told, name)
+			delete(documented, name)
 		}
 	}
 	for _, name := range append(meter.Gauges(), meter.Histograms()...) {
 		if !strings.Contains(string(raw), "| `"+name+"` |") {
-			t.Errorf("docs/METRICS.md does not tell of %s", name)
+			t.Errorf("docs/METRICS.md does not have %s", name)
 		}
 	}
-	for name := range told {
-		t.Errorf("docs/METRICS.md tells of %s, which nothing counts", name)
+	for name := range documented {
+		t.Errorf("docs/METRICS.md has %s, which nothing counts", name)
 	}
 }
