--- a/io/emul/admin.go
+++ b/io/emul/admin.go
@@ -16,40 +16,40 @@
 	maxAdminReply = 16 << 20
 )
 
-// Admin speaks to a Stage, mostly one in another process.
+// Admin is a client of a Stage's admin API, usually of a Stage in another process.
 type Admin struct {
 	addr string
 	hc   *http.Client
 }
 
-// NewAdmin makes a client of the administration at an address.
+// NewAdmin returns a client of the admin API at an address.
 func NewAdmin(addr string) *Admin {
 	return &Admin{addr: addr, hc: &http.Client{Transport: &http.Transport{}, Timeout: adminTimeout}}
 }
 
-// Close gives up idle connections.
+// Close closes idle connections.
 func (ad *Admin) Close() { ad.hc.CloseIdleConnections() }
 
-// Stage tells where everything listens.
+// Stage returns the addresses and the present state of all emulators.
 func (ad *Admin) Stage(ctx context.Context) (StageReply, error) {
 	var ry StageReply
 	err := ad.call(ctx, http.MethodGet, RouteAdminStage, nil, &ry)
 	return ry, err
 }
 
-// KV replaces the faults of the key-value service.
+// KV replaces the faults of the key-value service, after the one-time actions of the request.
 func (ad *Admin) KV(ctx context.Context, rq KVFaultRequest) error {
 	return ad.call(ctx, http.MethodPost, RouteAdminKV, rq, nil)
 }
 
-// Upstream replaces faults of servers, and does an action to them.
+// Upstream replaces the faults of servers, and then applies an action to them.
 func (ad *Admin) Upstream(ctx context.Context, rq UpstreamFaultRequest) (UpstreamFaultReply, error) {
 	var ry UpstreamFaultReply
 	err := ad.call(ctx, http.MethodPost, RouteAdminUpstream, rq, &ry)
 	return ry, err
 }
 
-// Snapshot publishes a new one.
+// Snapshot publishes a new snapshot of the register.
 func (ad *Admin) Snapshot(ctx context.Context, rq SnapshotRequest) (SnapshotReply, error) {
 	var ry SnapshotReply
 	err := ad.call(ctx, http.MethodPost, RouteAdminSnapshot, rq, &ry)
@@ -61,7 +61,7 @@
 	return ad.call(ctx, http.MethodPost, RouteAdminVMs, rq, nil)
 }
 
-// Runs counts what the servers ran.
+// Runs returns how many sub-requests the servers ran.
 func (ad *Admin) Runs(ctx context.Context, rq RunsRequest) (RunsReply, error) {
 	var ry RunsReply
 	err := ad.call(ctx, http.MethodPost, RouteAdminRuns, rq, &ry)
@@ -93,7 +93,7 @@
 	}
 	if rs.StatusCode != http.StatusOK {
 		var er wire.ErrorReply
-		_ = json.Unmarshal(raw, &er) // an unreadable body says as little as none
+		_ = json.Unmarshal(raw, &er) // an invalid body leaves the message empty
 		return errorf(op, KindCall, "%s: status %d: %s", path, rs.StatusCode, er.Error)
 	}
 	if out == nil {
--- a/io/emul/adminmsg.go
+++ b/io/emul/adminmsg.go
@@ -2,7 +2,7 @@
 
 import "laburnumvane/io/wire"
 
-// Routes of the administration of a Stage.
+// Routes of a Stage's admin API.
 const (
 	RouteAdminStage    = "/admin/stage"
 	RouteAdminKV       = "/admin/kv"
@@ -12,7 +12,7 @@
 	RouteAdminRuns     = "/admin/runs"
 )
 
-// StageReply tells where everything listens.
+// StageReply describes a Stage: the addresses and the present state of its emulators.
 type StageReply struct {
 	KV        string          `json:"kv"`
 	VMList    string          `json:"vmList"`
@@ -25,7 +25,7 @@
 	KVCounts  KVCounts        `json:"kvCounts"`
 }
 
-// StageUpstream is one server with the load it truly has.
+// StageUpstream is one upstream server with its actual state and load.
 type StageUpstream struct {
 	Addr        string             `json:"addr"`
 	DataCentre  string             `json:"dataCentre"`
@@ -36,25 +36,24 @@
 	Runs        uint64             `json:"runs"`
 }
 
-// KVFaultRequest replaces the faults of the key-value service; the empty one
-// mends it. Durations are in milliseconds.
+// KVFaultRequest replaces the faults of the key-value service; the empty request removes them.
 type KVFaultRequest struct {
 	Down          bool  `json:"down,omitempty"`
 	Fail          bool  `json:"fail,omitempty"`
 	SlowMs        int64 `json:"slowMs,omitempty"`
 	LoseSwaps     bool  `json:"loseSwaps,omitempty"`
 	SilentWatches bool  `json:"silentWatches,omitempty"`
-	// Past answers reads from the state remembered last.
+	// Past answers reads from the state saved last.
 	Past bool `json:"past,omitempty"`
-	// Remember keeps the present state for Past, before Past takes hold.
+	// Remember saves the current state, before Past takes effect.
 	Remember bool `json:"remember,omitempty"`
-	// Restore goes back to the state remembered last, for writes too.
+	// Restore replaces the current state by the one saved last.
 	Restore bool `json:"restore,omitempty"`
-	// Compact forgets all events, once.
+	// Compact discards the events so far.
 	Compact bool `json:"compact,omitempty"`
 }
 
-// UpstreamAction is done once to a server.
+// UpstreamAction is an action applied once to a server.
 type UpstreamAction string
 
 // Actions on a server.
@@ -70,41 +69,42 @@
 // EveryUpstream is the target that means all servers.
 const EveryUpstream = "all"
 
-// UpstreamFaultRequest does an action to servers and replaces their faults;
-// with neither it mends them.
+// UpstreamFaultRequest replaces the faults of servers and then applies an action to them; a
+// request with neither removes the faults.
 type UpstreamFaultRequest struct {
-	// Target is a server's address, a service's name, or all.
+	// Target is a server's address, a service's name, or EveryUpstream.
 	Target string         `json:"target"`
 	Action UpstreamAction `json:"action,omitempty"`
-	// SlowShare of the sub-requests take SlowTimes as long.
+	// SlowShare is the fraction of sub-requests whose service time is multiplied by
+	// SlowTimes.
 	SlowShare  float64 `json:"slowShare,omitempty"`
 	SlowTimes  float64 `json:"slowTimes,omitempty"`
 	ErrorShare float64 `json:"errorShare,omitempty"`
 	Mute       bool    `json:"mute,omitempty"`
-	// SilentAfter is in bytes.
+	// SilentAfter is in bytes; 0 means never.
 	SilentAfter int64 `json:"silentAfter,omitempty"`
 	StatusLagMs int64 `json:"statusLagMs,omitempty"`
-	// Claim is the state that the servers pretend; empty for the truth.
+	// Claim is a false state that the servers report; empty means the actual state.
 	Claim wire.UpstreamState `json:"claim,omitempty"`
 }
 
-// UpstreamFaultReply lists the servers that were meant.
+// UpstreamFaultReply lists the addresses of the targeted servers.
 type UpstreamFaultReply struct {
 	Addrs []string `json:"addrs"`
 }
 
-// SnapshotRequest publishes a snapshot; 0 shards means as many as before.
+// SnapshotRequest publishes a snapshot; 0 shards keeps the number of shards.
 type SnapshotRequest struct {
 	Shards int `json:"shards,omitempty"`
 }
 
-// SnapshotReply tells what is current now.
+// SnapshotReply is the version and number of shards of the new current snapshot.
 type SnapshotReply struct {
 	Snapshot uint64 `json:"snapshot"`
 	Shards   int    `json:"shards"`
 }
 
-// VMsRequest changes the VM list. What is left out stays as it is.
+// VMsRequest changes the VM list. Fields that are omitted change nothing.
 type VMsRequest struct {
 	Set     []wire.VM `json:"set,omitempty"`
 	Leaving []string  `json:"leaving,omitempty"`
@@ -113,17 +113,17 @@
 	Down    *bool     `json:"down,omitempty"`
 }
 
-// RunsRequest asks what the servers ran.
+// RunsRequest asks how many sub-requests the servers ran.
 type RunsRequest struct {
-	// Query is the text of a query, byte for byte; empty asks for all runs.
+	// Query is the exact text of a query; empty means all runs.
 	Query string `json:"query,omitempty"`
 }
 
 // RunsReply counts the sub-requests that began to run.
 type RunsReply struct {
 	Total uint64 `json:"total"`
-	// Shards counts by shard; it is empty where no query was named.
+	// Shards counts by shard; it is empty if the request has no query.
 	Shards map[int]int `json:"shards"`
-	// MostOfShard is the highest count of one shard.
+	// MostOfShard is the highest count of any shard.
 	MostOfShard int `json:"mostOfShard"`
 }
--- a/io/emul/clock.go
+++ b/io/emul/clock.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Clock tells the time since a fixed start; it never goes backwards.
+// Clock returns the time since a fixed start; it never goes backwards.
 type Clock func() time.Duration
 
-// realClock counts from the call on.
+// realClock returns a Clock that starts at 0 now.
 func realClock() Clock {
 	start := time.Now()
 	return func() time.Duration { return time.Since(start) }
--- a/io/emul/doc.go
+++ b/io/emul/doc.go
@@ -1,16 +1,15 @@
-// Package emul holds the project's own stand-ins for the systems around a VM:
-// the platform's key-value service and VM list, a register split into shards,
-// and the upstreams that serve those shards. Each is a real HTTP server on a
-// loopback listener, so that the code under test uses its real transports, and
-// each can be told at run time to fail in the ways its original does.
+// Package emul emulates the systems around a VM: the platform's key-value service and VM
+// list, a register split into shards, and the upstreams that serve those shards. Each
+// emulator is a real HTTP server on a loopback listener, so that the code under test uses its
+// real transports. Faults of the original systems can be injected at run time.
 //
-// The stand-ins keep everything in memory. They aim at the behaviour that
-// callers must cope with (leases that lapse, answers that get lost, snapshots
-// that are retired), not at speed or durability.
+// The emulators keep all state in memory. They reproduce the behaviour that callers must
+// handle (leases that expire, answers that get lost, snapshots that are retired), not speed or
+// durability.
 //
 // # Usage
 //
-// Start a key-value service, break it, and mend it again:
+// Start a key-value service, inject a fault, and remove it again:
 //
 //	kv := emul.NewKV(emul.KVConfig{})
 //	err := kv.Start()
@@ -33,6 +32,6 @@
 //		fmt.Println(sv.Addr, sv.DataCentre, sv.Service)
 //	}
 //
-// Clocks are handed in as a monotonic duration since some fixed start; a nil
-// clock means real time. Service times and long polls always pass in real time.
+// A Clock returns a monotonic duration since a fixed start; a nil Clock means real time.
+// Service times and long polls always take real time.
 package emul
--- a/io/emul/fleet.go
+++ b/io/emul/fleet.go
@@ -8,45 +8,44 @@
 	"laburnumvane/io/wire"
 )
 
-// DefaultReplicas is the number of servers of each service.
+// DefaultReplicas is the default number of servers of each service.
 const DefaultReplicas = 3
 
-// FleetConfig configures a Fleet. Register, Services and DataCentres are
-// needed; the rest is as in UpstreamConfig.
+// FleetConfig configures a Fleet. Register, Services and DataCentres are required; fields
+// without a comment are those of UpstreamConfig.
 type FleetConfig struct {
-	Clock       Clock
-	Seed        uint64
-	Register    *Register
-	Services    int
-	Replicas    int
-	DataCentres []string
-	Slots       int
-	Queue       int
-	Connections int
-	Setup       time.Duration
-	Service     ServiceTime
-	Keep        int
-	ReportsOnly bool
-	// Prefix starts the names of the services; empty means the register's name.
+	Clock        Clock
+	Seed         uint64
+	Register     *Register
+	Services     int
+	Replicas     int
+	DataCentres  []string
+	Slots        int
+	Queue        int
+	Connections  int
+	Setup        time.Duration
+	Service      ServiceTime
+	MaxSnapshots int
+	ReportsOnly  bool
+	// Prefix is the prefix of the service names; empty means the register's name.
 	Prefix string
-	// Port is the first server's on loopback, the others' follow; 0 takes free
-	// ones.
+	// Port is the loopback port of the first server; the others use the next ports. 0
+	// means free ports.
 	Port int
 }
 
-// Server is one upstream of a fleet.
+// Server is one upstream server of a fleet.
 type Server struct {
 	Addr       string
 	DataCentre string
 	Service    string
 	Upstream   *Upstream
 
-	service int
+	serviceIndex int
 }
 
-// Fleet runs all upstreams of one register. Service i holds the shards whose
-// number is i modulo the number of services; its replicas take turns through
-// the data centres.
+// Fleet runs all upstreams of one register. Service i holds the shards whose number is i modulo
+// the number of services; its replicas are assigned to the data centres round-robin.
 type Fleet struct {
 	cfg     FleetConfig
 	servers []Server
@@ -55,12 +54,11 @@
 	current *Snapshot
 }
 
-// NewFleet starts the servers and publishes a first snapshot with one shard for
-// each service.
+// NewFleet starts the servers and publishes a first snapshot with one shard per service.
 func NewFleet(cfg FleetConfig) (*Fleet, error) {
 	const op = "NewFleet"
 	if cfg.Register == nil || cfg.Services < 1 || len(cfg.DataCentres) == 0 {
-		return nil, errorf(op, KindConfig, "needs a register, services and data centres")
+		return nil, errorf(op, KindConfig, "register, services and data centres are required")
 	}
 	cfg.Replicas = orDefault(cfg.Replicas, DefaultReplicas)
 	if cfg.Prefix == "" {
@@ -83,57 +81,57 @@
 func (fl *Fleet) startServer(service, replica int) error {
 	cfg := fl.cfg
 	up := NewUpstream(UpstreamConfig{
-		Clock:       cfg.Clock,
-		Seed:        cfg.Seed + uint64(service*cfg.Replicas+replica),
-		Slots:       cfg.Slots,
-		Queue:       cfg.Queue,
-		Connections: cfg.Connections,
-		Setup:       cfg.Setup,
-		Service:     cfg.Service,
-		Keep:        cfg.Keep,
-		ReportsOnly: cfg.ReportsOnly,
-		Addr:        loopback(cfg.Port, service*cfg.Replicas+replica),
+		Clock:        cfg.Clock,
+		Seed:         cfg.Seed + uint64(service*cfg.Replicas+replica),
+		Slots:        cfg.Slots,
+		Queue:        cfg.Queue,
+		Connections:  cfg.Connections,
+		Setup:        cfg.Setup,
+		Service:      cfg.Service,
+		MaxSnapshots: cfg.MaxSnapshots,
+		ReportsOnly:  cfg.ReportsOnly,
+		Addr:         loopback(cfg.Port, service*cfg.Replicas+replica),
 	})
 	if err := up.Start(); err != nil {
 		return err
 	}
 	fl.servers = append(fl.servers, Server{
-		Addr:       up.Addr(),
-		DataCentre: cfg.DataCentres[(service+replica)%len(cfg.DataCentres)],
-		Service:    fmt.Sprintf("%s-%d", cfg.Prefix, service),
-		Upstream:   up,
-		service:    service,
+		Addr:         up.Addr(),
+		DataCentre:   cfg.DataCentres[(service+replica)%len(cfg.DataCentres)],
+		Service:      fmt.Sprintf("%s-%d", cfg.Prefix, service),
+		Upstream:     up,
+		serviceIndex: service,
 	})
 	return nil
 }
 
-// Close ends all servers.
+// Close stops all servers.
 func (fl *Fleet) Close() {
 	for _, sv := range fl.servers {
 		sv.Upstream.Close()
 	}
 }
 
-// Servers lists the servers by service and replica.
+// Servers returns the servers, ordered by service and replica.
 func (fl *Fleet) Servers() []Server {
 	return append([]Server(nil), fl.servers...)
 }
 
-// Replicas lists the servers that hold a shard of the current snapshot.
+// Replicas returns the servers that hold a shard of the current snapshot.
 func (fl *Fleet) Replicas(shard int) []Server {
 	first := shard % fl.cfg.Services * fl.cfg.Replicas
 	return append([]Server(nil), fl.servers[first:first+fl.cfg.Replicas]...)
 }
 
-// Current is the snapshot published last.
+// Current returns the snapshot published last.
 func (fl *Fleet) Current() *Snapshot {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	return fl.current
 }
 
-// Publish takes a new snapshot with so many shards and gives it to all servers,
-// one after the other; each keeps the one before as well.
+// Publish takes a new snapshot with the given number of shards and adds it to all servers, one
+// after the other. Each server also keeps earlier snapshots, up to MaxSnapshots in all.
 func (fl *Fleet) Publish(shards int) (*Snapshot, error) {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
@@ -142,7 +140,7 @@
 		return nil, err
 	}
 	for _, sv := range fl.servers {
-		sv.Upstream.Hold(sn, fl.shardsOf(sv.service, shards))
+		sv.Upstream.Hold(sn, fl.shardsOf(sv.serviceIndex, shards))
 	}
 	fl.current = sn
 	return sn, nil
@@ -156,7 +154,7 @@
 	return held
 }
 
-// RunsOf counts, for each shard, the runs with this query text on all servers.
+// RunsOf returns, by shard, the number of runs with this query text on all servers.
 func (fl *Fleet) RunsOf(query string) map[int]int {
 	runs := map[int]int{}
 	for _, sv := range fl.servers {
@@ -167,7 +165,7 @@
 	return runs
 }
 
-// Runs is the number of sub-requests ever run by all servers.
+// Runs returns the number of sub-requests run by all servers so far.
 func (fl *Fleet) Runs() uint64 {
 	sum := uint64(0)
 	for _, sv := range fl.servers {
@@ -176,7 +174,7 @@
 	return sum
 }
 
-// Refused is how often all servers gave a refusal.
+// Refused returns how often all servers together gave a refusal.
 func (fl *Fleet) Refused(rf wire.Refusal) uint64 {
 	sum := uint64(0)
 	for _, sv := range fl.servers {
--- a/io/emul/fleet_test.go
+++ b/io/emul/fleet_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestFleet(t *testing.T) {
-	// Every shard of a snapshot has its replicas in different data centres, and
-	// after a repartition both snapshots can be searched in full.
+	// The replicas of a shard are in different data centres, and after a repartition both
+	// snapshots can be searched completely.
 	is := is.New(t)
 	rg, err := SampleRegister("members", 1, 200)
 	is.NoErr(err)
@@ -27,7 +27,7 @@
 		for sh := range sn.Shards {
 			dcs := map[string]bool{}
 			for _, sv := range fl.Replicas(sh) {
-				rq := ask("s")
+				rq := newShardRequest("s")
 				rq.Shard = sh
 				rq.Snapshot = sn.Version
 				ry, _, err := search(t, sv.Upstream, rq)
@@ -45,5 +45,5 @@
 	is.Equal(fl.Runs(), uint64(3*(3+5)))
 
 	_, err = NewFleet(FleetConfig{Register: rg, Services: 1})
-	is.True(err != nil) // no data centre
+	is.True(err != nil) // no data centres
 }
--- a/io/emul/help_test.go
+++ b/io/emul/help_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	patience = 10 * time.Second       // for what must come
-	briefly  = 100 * time.Millisecond // for what never comes
+	waitTimeout   = 10 * time.Second       // for events that must happen
+	silenceWindow = 100 * time.Millisecond // to see that no answer comes
 )
 
 func TestMain(m *testing.M) {
-	// Every Close must end what its Start began. The pool library starts its
-	// default pool with the process. The HTTP library keeps one goroutine that
-	// tells the date, and its client two that look for idle connections every
-	// ten seconds and end by themselves; no call stops them.
+	// Every Close must end the goroutines of its Start. The pool library starts its default
+	// pool with the process. The HTTP library has one goroutine that updates the date, and
+	// its client has two that check for idle connections every ten seconds and end without
+	// a call; no call stops any of these.
 	const hertz = "github.com/cloudwego/hertz/pkg/"
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreCurrent(),
@@ -34,24 +34,24 @@
 	)
 }
 
-// fakeClock is a Clock that tests move on.
+// fakeClock is a Clock that tests advance.
 type fakeClock struct{ now atomic.Int64 }
 
 func (fc *fakeClock) clock() time.Duration      { return time.Duration(fc.now.Load()) }
 func (fc *fakeClock) advance(dur time.Duration) { fc.now.Add(int64(dur)) }
 
-// caller is an HTTP client with one connection.
-type caller struct{ hc http.Client }
+// testClient is an HTTP client with at most one connection.
+type testClient struct{ hc http.Client }
 
-func newCaller(tb testing.TB, timeout time.Duration) *caller {
+func newTestClient(tb testing.TB, timeout time.Duration) *testClient {
 	tr := &http.Transport{MaxConnsPerHost: 1}
 	tb.Cleanup(tr.CloseIdleConnections)
-	return &caller{hc: http.Client{Transport: tr, Timeout: timeout}}
+	return &testClient{hc: http.Client{Transport: tr, Timeout: timeout}}
 }
 
-// send posts a body, or gets where body is nil, and decodes a reply of status
-// 200 into out.
-func (ca *caller) send(addr, route string, body, out any) (int, error) {
+// send sends a POST with the body, or a GET if body is nil, and decodes a reply of status 200
+// into out.
+func (ca *testClient) send(addr, route string, body, out any) (int, error) {
 	rsp, err := ca.request("http://"+addr+route, body)
 	if err != nil {
 		return 0, err
@@ -67,7 +67,7 @@
 	return rsp.StatusCode, json.Unmarshal(raw, out)
 }
 
-func (ca *caller) request(url string, body any) (*http.Response, error) {
+func (ca *testClient) request(url string, body any) (*http.Response, error) {
 	if body == nil {
 		return ca.hc.Get(url)
 	}
@@ -78,13 +78,13 @@
 	return ca.hc.Post(url, contentJSON, bytes.NewReader(raw))
 }
 
-// eventually waits for a condition that must come true.
+// eventually waits for a condition to become true, and fails the test if it does not.
 func eventually(is *is.I, cond func() bool) {
 	is.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if cond() {
 			return
 		}
 	}
-	is.Fail() // the condition never came true
+	is.Fail() // the condition did not become true
 }
--- a/io/emul/host.go
+++ b/io/emul/host.go
@@ -22,12 +22,13 @@
 	contentJSON     = "application/json"
 )
 
-// loopback is the address so many ports after the first; 0 means a free port.
-func loopback(first, after int) string {
+// loopback returns the loopback address with the port first+offset, or with a free port if
+// first is 0.
+func loopback(first, offset int) string {
 	if first == 0 {
 		return anyLoopbackPort
 	}
-	return net.JoinHostPort(loopbackHost, strconv.Itoa(first+after))
+	return net.JoinHostPort(loopbackHost, strconv.Itoa(first+offset))
 }
 
 func orLoopback(addr string) string {
@@ -37,12 +38,12 @@
 	return addr
 }
 
-// host is one life of an HTTP server: it is closed once and not reused.
+// host is one run of an HTTP server: it is closed once and not reused.
 type host struct {
-	gate   *gate
-	ctx    context.Context // ends with the server; handlers wait on it
-	cancel context.CancelFunc
-	ended  chan struct{} // closed when the accept loop has returned
+	listener  *faultListener
+	ctx       context.Context // ends with the server; handlers wait on it
+	cancel    context.CancelFunc
+	serveDone chan struct{} // closed when the accept loop has returned
 
 	mu     sync.Mutex
 	closed bool
@@ -56,38 +57,39 @@
 }
 
 // startHost serves the routes on addr until close.
-func startHost(addr string, setup func(*gate), routes []route) (*host, error) {
-	gt, err := openGate(addr)
+func startHost(addr string, setup func(*faultListener), routes []route) (*host, error) {
+	li, err := openListener(addr)
 	if err != nil {
 		return nil, err
 	}
-	setup(gt)
-	ho := &host{gate: gt, ended: make(chan struct{})}
+	setup(li)
+	ho := &host{listener: li, serveDone: make(chan struct{})}
 	ho.ctx, ho.cancel = context.WithCancel(context.Background())
 	hz := server.New(
-		server.WithListener(gt),
+		server.WithListener(li),
 		server.WithTransport(standard.NewTransporter),
 		server.WithMaxRequestBodySize(maxBody),
-		// A silent connection must stay so until the other end gives it up; the
-		// library's timeouts would end the fault after minutes.
+		// A silent connection must stay open until the client closes it; the library's
+		// timeouts would end the fault after some minutes.
 		server.WithReadTimeout(0),
 		server.WithIdleTimeout(0),
 		server.WithDisablePrintRoute(true),
 	)
 	for _, rt := range routes {
-		hz.Handle(rt.method, rt.path, ho.guard(rt.handle))
+		hz.Handle(rt.method, rt.path, ho.trackActive(rt.handle))
 	}
 	go func() {
-		defer close(ho.ended)
+		defer close(ho.serveDone)
 		_ = hz.Run() // returns once the listener is closed
 	}()
 	return ho, nil
 }
 
-// guard counts running handlers, so that close can wait for them.
-func (ho *host) guard(next app.HandlerFunc) app.HandlerFunc {
+// trackActive counts running handlers, so that close can wait for them. It closes the
+// connection of a request that arrives after close.
+func (ho *host) trackActive(next app.HandlerFunc) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
-		if !ho.enter() {
+		if !ho.addActive() {
 			_ = rc.GetConn().Close()
 			return
 		}
@@ -96,7 +98,7 @@
 	}
 }
 
-func (ho *host) enter() bool {
+func (ho *host) addActive() bool {
 	ho.mu.Lock()
 	defer ho.mu.Unlock()
 	if ho.closed {
@@ -106,29 +108,29 @@
 	return true
 }
 
-// close breaks the listener and all connections and waits for the handlers.
+// close closes the listener and all connections and waits for the handlers.
 func (ho *host) close() {
 	ho.mu.Lock()
 	ho.closed = true
 	ho.mu.Unlock()
-	_ = ho.gate.Listener.Close()
+	_ = ho.listener.Listener.Close()
 	ho.cancel()
-	<-ho.ended
-	ho.gate.dropAll()
+	<-ho.serveDone
+	ho.listener.closeAll()
 	ho.active.Wait()
 }
 
-func (ho *host) addr() string { return ho.gate.Addr().String() }
+func (ho *host) addr() string { return ho.listener.Addr().String() }
 
-// silence makes the connection of a request go silent for good.
-func (ho *host) silence(rc *app.RequestContext) {
-	if gc := ho.gate.find(rc.RemoteAddr()); gc != nil {
-		gc.silent.Store(true)
+// silenceConn makes the connection of a request go silent permanently.
+func (ho *host) silenceConn(rc *app.RequestContext) {
+	if fc := ho.listener.findConn(rc.RemoteAddr()); fc != nil {
+		fc.silent.Store(true)
 	}
 }
 
-// decode reads the body; on failure the reply is written already. What it
-// returns holds no part of the recycled request buffer.
+// decode decodes the body. On failure it returns false and the reply is already written. The
+// result shares no memory with the request buffer, which is reused.
 func decode[Q any](rc *app.RequestContext) (Q, bool) {
 	var rq Q
 	if err := json.Unmarshal(rc.Request.Body(), &rq); err != nil {
--- a/io/emul/job.go
+++ b/io/emul/job.go
@@ -8,36 +8,36 @@
 	"laburnumvane/io/wire"
 )
 
-// job is one sub-request in a server, from its admission to its reply.
+// job is one sub-request in a server, from admission to reply.
 type job struct {
-	req       wire.ShardRequest
-	query     Query
-	snap      *Snapshot
-	start     chan struct{} // closed when a slot is given
-	cancelled chan struct{} // closed by a cancellation
-	begun     bool
-	gaveUp    bool
-	service   time.Duration
+	req         wire.ShardRequest
+	query       Query
+	snap        *Snapshot
+	start       chan struct{} // closed when the job gets a slot
+	cancelled   chan struct{} // closed by cancel
+	started     bool
+	abandoned   bool
+	serviceTime time.Duration
 }
 
-// ending says how a job ended.
-type ending int
+// jobOutcome is how a job ended.
+type jobOutcome int
 
 const (
-	endDone      ending = iota
-	endExpired          // the deadline passed before it ran
-	endDeadline         // the deadline passed while it ran
-	endUnstarted        // cancelled before it ran
-	endCancelled        // cancelled while it ran
-	endStopped          // the server went away
+	jobDone             jobOutcome = iota
+	jobExpiredQueued               // the deadline passed while queued
+	jobExpiredRunning              // the deadline passed while running
+	jobCancelledQueued             // cancelled while queued
+	jobCancelledRunning            // cancelled while running
+	jobStopped                     // the server stopped
 )
 
-// admit decides on a sub-request. It returns a job or a refusal; whatever is
-// refused here or while queued has done no work.
+// admit admits a sub-request or refuses it. It returns a job or a refusal; a sub-request that
+// is refused here or while queued has not been run.
 func (up *Upstream) admit(rq wire.ShardRequest, qu Query) (*job, wire.Refusal) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	snap, rf := up.choose(rq)
+	snap, rf := up.selectSnapshot(rq)
 	if rf != "" {
 		return nil, rf
 	}
@@ -50,7 +50,7 @@
 	}
 	switch {
 	case up.running < up.cfg.Slots:
-		up.begin(jb)
+		up.startJob(jb)
 	case len(up.queue) < up.cfg.Queue:
 		up.queue = append(up.queue, jb)
 	default:
@@ -60,8 +60,8 @@
 	return jb, ""
 }
 
-// choose checks all that needs no slot and finds the snapshot to serve.
-func (up *Upstream) choose(rq wire.ShardRequest) (*Snapshot, wire.Refusal) {
+// selectSnapshot makes all checks that need no slot and returns the snapshot to serve.
+func (up *Upstream) selectSnapshot(rq wire.ShardRequest) (*Snapshot, wire.Refusal) {
 	switch up.state {
 	case wire.UpstreamDraining:
 		return nil, wire.RefusalDraining
@@ -71,7 +71,7 @@
 	if rq.DeadlineMs <= 0 {
 		return nil, wire.RefusalExpired
 	}
-	hd, rf := up.pick(rq)
+	hd, rf := up.findHolding(rq)
 	if rf != "" {
 		return nil, rf
 	}
@@ -81,9 +81,9 @@
 	return hd.snap, ""
 }
 
-func (up *Upstream) pick(rq wire.ShardRequest) (holding, wire.Refusal) {
+func (up *Upstream) findHolding(rq wire.ShardRequest) (holding, wire.Refusal) {
 	known := false
-	for _, hd := range slices.Backward(up.held) {
+	for _, hd := range slices.Backward(up.holdings) {
 		if hd.snap.Register != rq.Register {
 			continue
 		}
@@ -98,12 +98,12 @@
 	return holding{}, wire.RefusalSnapshotGone
 }
 
-// begin gives a job a slot: from here on it counts as run.
-func (up *Upstream) begin(jb *job) {
+// startJob gives a job a slot: from here on it counts as run.
+func (up *Upstream) startJob(jb *job) {
 	up.running++
-	jb.begun = true
-	jb.service = up.drawService()
-	up.runs.add(Run{
+	jb.started = true
+	jb.serviceTime = up.drawServiceTime()
+	up.runLog.add(Run{
 		ID:       jb.req.ID,
 		Shard:    jb.req.Shard,
 		Snapshot: jb.snap.Version,
@@ -112,7 +112,7 @@
 	close(jb.start)
 }
 
-func (up *Upstream) drawService() time.Duration {
+func (up *Upstream) drawServiceTime() time.Duration {
 	dur := up.cfg.Service(up.rnd)
 	if up.faults.SlowShare > 0 && up.rnd.Float64() < up.faults.SlowShare {
 		dur = time.Duration(float64(dur) * up.faults.SlowTimes)
@@ -120,85 +120,86 @@
 	return dur
 }
 
-// drawError tells whether the next sub-request is to fail at once.
+// drawError reports whether the next sub-request is to fail at once.
 func (up *Upstream) drawError() bool {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	return up.faults.ErrorShare > 0 && up.rnd.Float64() < up.faults.ErrorShare
 }
 
-// work waits for the slot and then for the service time.
-func (up *Upstream) work(ctx context.Context, jb *job) ending {
-	defer up.leave(jb)
-	dl := time.NewTimer(millis(jb.req.DeadlineMs))
-	defer dl.Stop()
+// runJob waits for a slot and then for the service time.
+func (up *Upstream) runJob(ctx context.Context, jb *job) jobOutcome {
+	defer up.release(jb)
+	deadline := time.NewTimer(millis(jb.req.DeadlineMs))
+	defer deadline.Stop()
 	select {
 	case <-jb.start:
 	case <-jb.cancelled:
-		return up.giveUp(jb, endUnstarted, endCancelled)
-	case <-dl.C:
-		return up.giveUp(jb, endExpired, endDeadline)
+		return up.abandon(jb, jobCancelledQueued, jobCancelledRunning)
+	case <-deadline.C:
+		return up.abandon(jb, jobExpiredQueued, jobExpiredRunning)
 	case <-ctx.Done():
-		return endStopped
+		return jobStopped
 	}
-	if jb.service <= 0 {
-		return endDone
+	if jb.serviceTime <= 0 {
+		return jobDone
 	}
-	sv := time.NewTimer(jb.service)
-	defer sv.Stop()
+	service := time.NewTimer(jb.serviceTime)
+	defer service.Stop()
 	select {
-	case <-sv.C:
-		return endDone
+	case <-service.C:
+		return jobDone
 	case <-jb.cancelled:
-		return endCancelled
-	case <-dl.C:
-		return endDeadline
+		return jobCancelledRunning
+	case <-deadline.C:
+		return jobExpiredRunning
 	case <-ctx.Done():
-		return endStopped
+		return jobStopped
 	}
 }
 
-// giveUp ends the wait for a slot. A slot may have been given in the same
-// moment: then the job counts as run, for a refusal must be the truth.
-func (up *Upstream) giveUp(jb *job, unstarted, started ending) ending {
+// abandon ends the wait for a slot and returns the outcome queued. If the job got a slot at the
+// same moment, it counts as run and the outcome is running: a refusal must mean that nothing
+// was run.
+func (up *Upstream) abandon(jb *job, queued, running jobOutcome) jobOutcome {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	if jb.begun {
-		return started
+	if jb.started {
+		return running
 	}
-	jb.gaveUp = true
-	return unstarted
+	jb.abandoned = true
+	return queued
 }
 
-// leave frees the job's place and starts the next in the queue.
-func (up *Upstream) leave(jb *job) {
+// release frees the job's slot or its place in the queue, and starts the next queued jobs.
+func (up *Upstream) release(jb *job) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.jobs[jb.req.ID] == jb {
 		delete(up.jobs, jb.req.ID)
 	}
-	if !jb.begun {
-		up.unqueue(jb)
+	if !jb.started {
+		up.dequeue(jb)
 		return
 	}
 	up.running--
 	for len(up.queue) > 0 && up.running < up.cfg.Slots {
 		next := up.queue[0]
 		up.queue = up.queue[1:]
-		if !next.gaveUp {
-			up.begin(next)
+		if !next.abandoned {
+			up.startJob(next)
 		}
 	}
 }
 
-func (up *Upstream) unqueue(jb *job) {
+func (up *Upstream) dequeue(jb *job) {
 	if i := slices.Index(up.queue, jb); i >= 0 {
 		up.queue = slices.Delete(up.queue, i, i+1)
 	}
 }
 
-// cancel gives up a sub-request that is queued or running. One that is not
-// there is ignored: its reply is on the way, or it has yet to come.
+// cancel cancels a sub-request that is queued or running. An unknown id is ignored: the reply
+// has been sent, or the sub-request has not arrived yet.
 func (up *Upstream) cancel(id string) bool {
 	up.mu.Lock()
 	defer up.mu.Unlock()
--- a/io/emul/kv.go
+++ b/io/emul/kv.go
@@ -7,47 +7,47 @@
 
 // Defaults of a KVConfig.
 const (
-	DefaultMaxEvents = 4096
-	DefaultSweep     = 20 * time.Millisecond
-	// MaxValue is the largest value in bytes that the service takes.
+	DefaultMaxEvents     = 4096
+	DefaultSweepInterval = 20 * time.Millisecond
+	// MaxValue is the largest value in bytes that the service accepts.
 	MaxValue = 1 << 20
-	// maxWatchWait bounds a long poll whatever the caller asks for.
+	// maxWatchWait limits a long poll, whatever wait the caller requests.
 	maxWatchWait = time.Minute
 )
 
 // KVConfig configures a KV. Zero values take the defaults.
 type KVConfig struct {
-	// Clock is what leases lapse by.
+	// Clock measures the time to live of leases.
 	Clock Clock
-	// MaxEvents bounds the events kept for watches; older ones are compacted.
+	// MaxEvents limits the events kept for watches; older ones are compacted.
 	MaxEvents int
-	// Sweep is the real time between looks for lapsed leases.
+	// Sweep is the interval, in real time, of the search for expired leases.
 	Sweep time.Duration
-	// Addr is listened on; empty means a free loopback port.
+	// Addr is the address to listen on; empty means a free loopback port.
 	Addr string
 }
 
-// KVFaults are the ways in which the service can fail. The zero value works.
+// KVFaults are the faults injected into the service. The zero value injects none.
 type KVFaults struct {
-	// Refuse breaks open connections and closes new ones unread.
+	// Refuse closes all connections, and new ones before anything is read.
 	Refuse bool
-	// Fail answers every call with status 500 and does nothing.
+	// Fail answers every call with status 500 and does nothing else.
 	Fail bool
 	// Slow delays every call before it takes effect.
 	Slow time.Duration
-	// LoseSwaps lets swaps take effect and then breaks the connection, so that
-	// the caller cannot tell whether they did.
+	// LoseSwaps closes the connection after a swap has taken effect, so that the caller
+	// cannot know whether it did.
 	LoseSwaps bool
-	// SilentWatches lets no watch be answered: its connection stays open and
-	// goes silent for good, also after the fault is lifted.
+	// SilentWatches leaves all watches unanswered: the connection of each stays open but
+	// goes silent permanently, also after the fault is removed.
 	SilentWatches bool
-	// Past answers reads from the state that Remember took, as a replica does
-	// that has fallen behind. Swaps still see the present.
+	// Past answers reads from the state that Remember saved, as a lagging replica does.
+	// Swaps use the current state.
 	Past bool
 }
 
-// KVCounts counts the calls that reached the service, also those that a fault
-// then spoilt. A watch counts once, however long it waits.
+// KVCounts counts the calls that reached the service, including those affected by a fault. A
+// watch counts once, however long it waits.
 type KVCounts struct {
 	Get       uint64
 	Range     uint64
@@ -57,120 +57,120 @@
 	KeepAlive uint64
 }
 
-// Reads is the number of calls on the service's read rate.
+// Reads returns the number of calls that count towards the service's read rate.
 func (kc KVCounts) Reads() uint64 { return kc.Get + kc.Range + kc.Watch }
 
-// Writes is the number of calls on the service's write rate.
+// Writes returns the number of calls that count towards the service's write rate.
 func (kc KVCounts) Writes() uint64 { return kc.Swap + kc.Lease + kc.KeepAlive }
 
-// KV stands in for the platform's key-value service.
+// KV emulates the platform's key-value service.
 type KV struct {
 	cfg  KVConfig
 	host *host
 
-	mu      sync.Mutex
-	faults  KVFaults
-	counts  KVCounts
-	now     kvState
-	past    kvState
-	log     []kvEvent // oldest first
-	changed chan struct{}
-	leases  map[uint64]*lease
-	leaseID uint64
-	sweeper sync.WaitGroup
+	mu         sync.Mutex
+	faults     KVFaults
+	counts     KVCounts
+	current    kvState
+	remembered kvState
+	log        []kvEvent // oldest first
+	changed    chan struct{}
+	leases     map[uint64]*lease
+	leaseID    uint64
+	sweeper    sync.WaitGroup
 }
 
-// NewKV makes a service that holds nothing.
+// NewKV returns an empty service that is not started.
 func NewKV(cfg KVConfig) *KV {
 	cfg.Clock = orRealClock(cfg.Clock)
 	if cfg.MaxEvents <= 0 {
 		cfg.MaxEvents = DefaultMaxEvents
 	}
 	if cfg.Sweep <= 0 {
-		cfg.Sweep = DefaultSweep
+		cfg.Sweep = DefaultSweepInterval
 	}
 	return &KV{
-		cfg:     cfg,
-		now:     newKVState(),
-		past:    newKVState(),
-		changed: make(chan struct{}),
-		leases:  map[uint64]*lease{},
+		cfg:        cfg,
+		current:    newKVState(),
+		remembered: newKVState(),
+		changed:    make(chan struct{}),
+		leases:     map[uint64]*lease{},
 	}
 }
 
 // Start serves on the configured address.
 func (kv *KV) Start() error {
-	ho, err := startHost(orLoopback(kv.cfg.Addr), func(*gate) {}, kv.routes())
+	ho, err := startHost(orLoopback(kv.cfg.Addr), func(*faultListener) {}, kv.routes())
 	if err != nil {
 		return newError("KV.Start", KindListen, err)
 	}
 	kv.host = ho
 	kv.sweeper.Add(1)
-	go kv.sweep()
+	go kv.sweepLeases()
 	return nil
 }
 
-// Addr is the host and port that the service listens on.
+// Addr returns the host and port that the service listens on. Start must have succeeded.
 func (kv *KV) Addr() string { return kv.host.addr() }
 
-// Close ends the service and all waiting watches.
+// Close stops the service and all waiting watches.
 func (kv *KV) Close() {
 	kv.host.close()
 	kv.sweeper.Wait()
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (kv *KV) SetFaults(kf KVFaults) {
 	kv.mu.Lock()
 	kv.faults = kf
 	kv.mu.Unlock()
-	kv.host.gate.setRefuse(kf.Refuse)
+	kv.host.listener.setRefuse(kf.Refuse)
 }
 
-// Counts gives the calls so far.
+// Counts returns the number of calls so far.
 func (kv *KV) Counts() KVCounts {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return kv.counts
 }
 
-// Remember keeps the present state for the fault Past.
+// Remember saves the current state for the fault Past and for Restore.
 func (kv *KV) Remember() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.past = kv.now.clone()
+	kv.remembered = kv.current.clone()
 }
 
-// Restore goes back to the state that Remember took, for writes too, as when a
-// backup is put in place. All events and leases are forgotten.
+// Restore replaces the current state by the one that Remember saved, as a restored backup does.
+// All events and leases are lost.
 func (kv *KV) Restore() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.now = kv.past.clone()
-	kv.now.compacted = kv.now.revision
+	kv.current = kv.remembered.clone()
+	kv.current.compacted = kv.current.revision
 	kv.log = nil
 	kv.leases = map[uint64]*lease{}
-	kv.wake()
+	kv.notifyWatches()
 }
 
-// Compact forgets all events, so that a watch from any earlier revision is told
-// to read the range anew.
+// Compact discards all events, so that a watch from any earlier revision is answered as
+// compacted and its caller has to read the range again.
 func (kv *KV) Compact() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.log = nil
-	kv.now.compacted = kv.now.revision
-	kv.wake()
+	kv.current.compacted = kv.current.revision
+	kv.notifyWatches()
 }
 
-// Lapse deletes the keys of leases whose time is over by the clock.
-func (kv *KV) Lapse() {
+// ExpireLeases deletes the leases that have expired by the Clock, with their keys.
+func (kv *KV) ExpireLeases() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.lapse()
+	kv.expireLeases()
 }
 
-func (kv *KV) sweep() {
+func (kv *KV) sweepLeases() {
 	defer kv.sweeper.Done()
 	tk := time.NewTicker(kv.cfg.Sweep)
 	defer tk.Stop()
@@ -179,7 +179,7 @@
 		case <-kv.host.ctx.Done():
 			return
 		case <-tk.C:
-			kv.Lapse()
+			kv.ExpireLeases()
 		}
 	}
 }
--- a/io/emul/kv_test.go
+++ b/io/emul/kv_test.go
@@ -20,7 +20,7 @@
 func swap(t *testing.T, kv *KV, rq wire.KVSwapRequest) wire.KVSwapReply {
 	t.Helper()
 	var ry wire.KVSwapReply
-	code, err := newCaller(t, patience).send(kv.Addr(), wire.RouteKVSwap, rq, &ry)
+	code, err := newTestClient(t, waitTimeout).send(kv.Addr(), wire.RouteKVSwap, rq, &ry)
 	is.New(t).NoErr(err)
 	is.New(t).Equal(code, http.StatusOK)
 	return ry
@@ -29,7 +29,7 @@
 func rangeOf(t *testing.T, kv *KV, prefix string) wire.KVRangeReply {
 	t.Helper()
 	var ry wire.KVRangeReply
-	_, err := newCaller(t, patience).send(kv.Addr(), wire.RouteKVRange, wire.KVRangeRequest{Prefix: prefix}, &ry)
+	_, err := newTestClient(t, waitTimeout).send(kv.Addr(), wire.RouteKVRange, wire.KVRangeRequest{Prefix: prefix}, &ry)
 	is.New(t).NoErr(err)
 	return ry
 }
@@ -37,7 +37,7 @@
 func watch(t *testing.T, kv *KV, rq wire.KVWatchRequest) wire.KVWatchReply {
 	t.Helper()
 	var ry wire.KVWatchReply
-	_, err := newCaller(t, patience).send(kv.Addr(), wire.RouteKVWatch, rq, &ry)
+	_, err := newTestClient(t, waitTimeout).send(kv.Addr(), wire.RouteKVWatch, rq, &ry)
 	is.New(t).NoErr(err)
 	return ry
 }
@@ -50,13 +50,13 @@
 		value   string
 		expect  uint64
 		swapped bool
-		current uint64 // revision that stands; 0 means absent
+		current uint64 // revision afterwards; 0 means absent
 	}{
 		{"create", "team/a", "1", 0, true, 1},
 		{"create again", "team/a", "2", 0, false, 1},
 		{"other key", "team/b", "1", 0, true, 2},
 		{"update", "team/a", "3", 1, true, 3},
-		{"late writer", "team/a", "4", 1, false, 3},
+		{"outdated revision", "team/a", "4", 1, false, 3},
 		{"absent key", "team/c", "1", 7, false, 0},
 	}
 	for _, st := range steps {
@@ -81,13 +81,12 @@
 }
 
 func TestKVLease(t *testing.T) {
-	// The holder of a lease is paused: its key is gone once the time is over,
-	// a watch reports the deletion, and a write under the old lease is refused
-	// although the holder does not know that it lapsed.
+	// The holder of a lease does not renew it in time: its key is deleted at the expiry, a
+	// watch reports the deletion, and a write under the expired lease is rejected.
 	is := is.New(t)
 	fc := &fakeClock{}
 	kv := startKV(t, KVConfig{Clock: fc.clock})
-	ca := newCaller(t, patience)
+	ca := newTestClient(t, waitTimeout)
 	var le wire.KVLeaseReply
 	_, err := ca.send(kv.Addr(), wire.RouteKVLease, wire.KVLeaseRequest{TTLMs: 100}, &le)
 	is.NoErr(err)
@@ -125,10 +124,10 @@
 		compacted bool
 		keys      []string
 	}{
-		{"all kept", "", 2, false, []string{"a/2", "a/3", "b/2"}},
+		{"all events kept", "", 2, false, []string{"a/2", "a/3", "b/2"}},
 		{"prefix", "a/", 2, false, []string{"a/2", "a/3"}},
-		{"nothing new", "a/", 5, false, []string{}},
-		{"too old", "a/", 1, true, []string{}},
+		{"no new events", "a/", 5, false, []string{}},
+		{"compacted", "a/", 1, true, []string{}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -150,7 +149,7 @@
 	kv := startKV(t, KVConfig{})
 	got := make(chan wire.KVWatchReply)
 	go func() {
-		got <- watch(t, kv, wire.KVWatchRequest{Prefix: "a/", WaitMs: patience.Milliseconds()})
+		got <- watch(t, kv, wire.KVWatchRequest{Prefix: "a/", WaitMs: waitTimeout.Milliseconds()})
 	}()
 	eventually(is, func() bool { return kv.Counts().Watch == 1 })
 	swap(t, kv, wire.KVSwapRequest{Key: "b/1"})
@@ -158,15 +157,15 @@
 	ry := <-got
 	is.Equal(len(ry.Events), 1)
 	is.Equal(ry.Events[0].Key, "a/1")
-	is.Equal(kv.Counts().Reads(), uint64(1)) // the wait cost one read
+	is.Equal(kv.Counts().Reads(), uint64(1)) // a watch counts as one read
 
 	kv.Compact()
 	is.True(watch(t, kv, wire.KVWatchRequest{From: 1}).Compacted)
 }
 
 func TestKVFaults(t *testing.T) {
-	// Each fault strikes one swap. The caller sees an error or an old answer;
-	// whether the write took effect differs, and shows once the fault is over.
+	// Each fault affects one swap. The caller sees an error or an outdated answer; whether
+	// the write took effect is seen after the fault is removed.
 	cases := []struct {
 		name   string
 		faults KVFaults
@@ -178,7 +177,7 @@
 		{"refused", KVFaults{Refuse: true}, true, false},
 		{"failing", KVFaults{Fail: true}, true, false},
 		{"answer lost", KVFaults{LoseSwaps: true}, true, true},
-		{"answers from the past", KVFaults{Past: true}, false, true},
+		{"outdated reads", KVFaults{Past: true}, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -186,7 +185,7 @@
 			kv := startKV(t, KVConfig{})
 			kv.SetFaults(tc.faults)
 			var ry wire.KVSwapReply
-			code, err := newCaller(t, patience).send(kv.Addr(), wire.RouteKVSwap, wire.KVSwapRequest{Key: "a"}, &ry)
+			code, err := newTestClient(t, waitTimeout).send(kv.Addr(), wire.RouteKVSwap, wire.KVSwapRequest{Key: "a"}, &ry)
 			is.Equal(err != nil || code != http.StatusOK, tc.fails)
 			if tc.faults.Past {
 				is.Equal(len(rangeOf(t, kv, "").Pairs), 0)
@@ -198,14 +197,14 @@
 }
 
 func TestKVSilentWatch(t *testing.T) {
-	// A watch waits while the service loses track of its connection. The event
-	// comes, but no answer ever does, also after the fault is over; the same
-	// watch on a new connection is answered at once.
+	// A watch whose connection goes silent gets no answer although the event has happened,
+	// also after the fault is removed. The same watch on a new connection is answered at
+	// once.
 	is := is.New(t)
 	kv := startKV(t, KVConfig{})
 	kv.SetFaults(KVFaults{SilentWatches: true})
 	swap(t, kv, wire.KVSwapRequest{Key: "a"})
-	_, err := newCaller(t, briefly).send(kv.Addr(), wire.RouteKVWatch, wire.KVWatchRequest{}, nil)
+	_, err := newTestClient(t, silenceWindow).send(kv.Addr(), wire.RouteKVWatch, wire.KVWatchRequest{}, nil)
 	is.True(err != nil)
 	kv.SetFaults(KVFaults{})
 	is.Equal(len(watch(t, kv, wire.KVWatchRequest{}).Events), 1)
--- a/io/emul/kvroutes.go
+++ b/io/emul/kvroutes.go
@@ -21,25 +21,26 @@
 	}
 }
 
-// begin counts the call and applies the faults that strike before its effect.
-// On success it returns holding the lock, with lapsed leases gone.
-func (kv *KV) begin(rc *app.RequestContext, count *uint64) bool {
+// beginCall counts the call and applies the faults that precede its effect. On success it
+// returns holding the lock, with expired leases deleted. On failure the reply is already
+// written.
+func (kv *KV) beginCall(rc *app.RequestContext, count *uint64) bool {
 	kv.mu.Lock()
 	*count++
 	slow := kv.faults.Slow
 	kv.mu.Unlock()
-	kv.pause(slow)
+	kv.delay(slow)
 	kv.mu.Lock()
 	if kv.faults.Fail {
 		kv.mu.Unlock()
 		replyError(rc, http.StatusInternalServerError, reasonFault, "the service fails")
 		return false
 	}
-	kv.lapse()
+	kv.expireLeases()
 	return true
 }
 
-func (kv *KV) pause(dur time.Duration) {
+func (kv *KV) delay(dur time.Duration) {
 	if dur <= 0 {
 		return
 	}
@@ -51,22 +52,22 @@
 	}
 }
 
-// readable is the state that reads see. The caller holds the lock.
-func (kv *KV) readable() kvState {
+// readState returns the state that reads see. The caller holds the lock.
+func (kv *KV) readState() kvState {
 	if kv.faults.Past {
-		return kv.past
+		return kv.remembered
 	}
-	return kv.now
+	return kv.current
 }
 
 func (kv *KV) serveGet(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVGetRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.Get) {
+	if !ok || !kv.beginCall(rc, &kv.counts.Get) {
 		return
 	}
-	ks := kv.readable()
+	ks := kv.readState()
 	ry := wire.KVRangeReply{Revision: ks.revision, Pairs: []wire.KVPair{}}
-	if kp, held := ks.pairs[rq.Key]; held {
+	if kp, found := ks.pairs[rq.Key]; found {
 		ry.Pairs = append(ry.Pairs, kp)
 	}
 	kv.mu.Unlock()
@@ -75,10 +76,10 @@
 
 func (kv *KV) serveRange(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVRangeRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.Range) {
+	if !ok || !kv.beginCall(rc, &kv.counts.Range) {
 		return
 	}
-	ks := kv.readable()
+	ks := kv.readState()
 	ry := wire.KVRangeReply{Revision: ks.revision, Pairs: ks.withPrefix(rq.Prefix)}
 	kv.mu.Unlock()
 	reply(rc, http.StatusOK, ry)
@@ -86,7 +87,7 @@
 
 func (kv *KV) serveSwap(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVSwapRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.Swap) {
+	if !ok || !kv.beginCall(rc, &kv.counts.Swap) {
 		return
 	}
 	if len(rq.Value) > MaxValue {
@@ -111,7 +112,7 @@
 
 func (kv *KV) serveLease(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVLeaseRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.Lease) {
+	if !ok || !kv.beginCall(rc, &kv.counts.Lease) {
 		return
 	}
 	if rq.TTLMs <= 0 {
@@ -119,14 +120,14 @@
 		replyError(rc, http.StatusBadRequest, reasonMalformed, "ttlMs must be positive")
 		return
 	}
-	ry := kv.grant(millis(rq.TTLMs))
+	ry := kv.grantLease(millis(rq.TTLMs))
 	kv.mu.Unlock()
 	reply(rc, http.StatusOK, ry)
 }
 
 func (kv *KV) serveKeepAlive(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVLeaseRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.KeepAlive) {
+	if !ok || !kv.beginCall(rc, &kv.counts.KeepAlive) {
 		return
 	}
 	ry := kv.keepAlive(rq.ID)
@@ -136,26 +137,26 @@
 
 func (kv *KV) serveWatch(_ context.Context, rc *app.RequestContext) {
 	rq, ok := decode[wire.KVWatchRequest](rc)
-	if !ok || !kv.begin(rc, &kv.counts.Watch) {
+	if !ok || !kv.beginCall(rc, &kv.counts.Watch) {
 		return
 	}
 	kv.mu.Unlock()
-	ry := kv.await(rq)
+	ry := kv.awaitEvents(rq)
 	kv.mu.Lock()
 	silent := kv.faults.SilentWatches
 	kv.mu.Unlock()
 	if silent {
-		kv.host.silence(rc)
+		kv.host.silenceConn(rc)
 	}
 	reply(rc, http.StatusOK, ry)
 }
 
-// await waits for an event with the prefix, at most as long as is asked for.
-func (kv *KV) await(rq wire.KVWatchRequest) wire.KVWatchReply {
+// awaitEvents waits for an event with the prefix, no longer than requested.
+func (kv *KV) awaitEvents(rq wire.KVWatchRequest) wire.KVWatchReply {
 	tm := time.NewTimer(min(millis(rq.WaitMs), maxWatchWait))
 	defer tm.Stop()
 	for {
-		ry, changed := kv.look(rq)
+		ry, changed := kv.checkEvents(rq)
 		if len(ry.Events) > 0 || ry.Compacted {
 			return ry
 		}
@@ -169,15 +170,15 @@
 	}
 }
 
-// look gives what is known now, and a channel that closes with the next change.
-func (kv *KV) look(rq wire.KVWatchRequest) (wire.KVWatchReply, <-chan struct{}) {
+// checkEvents returns the reply as of now, and a channel that is closed by the next change.
+func (kv *KV) checkEvents(rq wire.KVWatchRequest) (wire.KVWatchReply, <-chan struct{}) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	if kv.faults.Past {
-		return wire.KVWatchReply{Revision: kv.past.revision, Events: []wire.KVPair{}}, kv.changed
+		return wire.KVWatchReply{Revision: kv.remembered.revision, Events: []wire.KVPair{}}, kv.changed
 	}
-	ry := wire.KVWatchReply{Revision: kv.now.revision, Events: []wire.KVPair{}}
-	if rq.From < kv.now.compacted {
+	ry := wire.KVWatchReply{Revision: kv.current.revision, Events: []wire.KVPair{}}
+	if rq.From < kv.current.compacted {
 		ry.Compacted = true
 		return ry, kv.changed
 	}
--- a/io/emul/kvstate.go
+++ b/io/emul/kvstate.go
@@ -10,10 +10,10 @@
 	"laburnumvane/io/wire"
 )
 
-// kvState is what the service holds at one revision.
+// kvState is the content of the service at one revision.
 type kvState struct {
 	revision  uint64
-	compacted uint64 // events up to this revision are forgotten
+	compacted uint64 // events up to this revision are discarded
 	pairs     map[string]wire.KVPair
 }
 
@@ -36,7 +36,7 @@
 	return ks
 }
 
-// withPrefix gives the pairs in the order of their keys.
+// withPrefix returns the pairs whose keys have the prefix, ordered by key.
 func (ks kvState) withPrefix(prefix string) []wire.KVPair {
 	kps := []wire.KVPair{}
 	for key, kp := range ks.pairs {
@@ -48,52 +48,52 @@
 	return kps
 }
 
-// put writes the pair at a new revision. The caller holds the lock.
+// put writes or deletes a pair at a new revision. The caller holds the lock.
 func (kv *KV) put(kp wire.KVPair) wire.KVPair {
-	kv.now.revision++
-	kp.Revision = kv.now.revision
-	kv.detach(kv.now.pairs[kp.Key])
+	kv.current.revision++
+	kp.Revision = kv.current.revision
+	kv.removeFromLease(kv.current.pairs[kp.Key])
 	if kp.Deleted {
-		delete(kv.now.pairs, kp.Key)
+		delete(kv.current.pairs, kp.Key)
 	} else {
-		kv.now.pairs[kp.Key] = kp
-		kv.attach(kp)
+		kv.current.pairs[kp.Key] = kp
+		kv.addToLease(kp)
 	}
-	kv.record(kp)
+	kv.appendEvent(kp)
 	return kp
 }
 
-func (kv *KV) attach(kp wire.KVPair) {
+func (kv *KV) addToLease(kp wire.KVPair) {
 	if le := kv.leases[kp.Lease]; le != nil {
 		le.keys[kp.Key] = struct{}{}
 	}
 }
 
-func (kv *KV) detach(kp wire.KVPair) {
+func (kv *KV) removeFromLease(kp wire.KVPair) {
 	if le := kv.leases[kp.Lease]; le != nil {
 		delete(le.keys, kp.Key)
 	}
 }
 
-func (kv *KV) record(ev kvEvent) {
+func (kv *KV) appendEvent(ev kvEvent) {
 	kv.log = append(kv.log, ev)
 	over := len(kv.log) - kv.cfg.MaxEvents
 	if over > 0 {
-		kv.now.compacted = kv.log[over-1].Revision
+		kv.current.compacted = kv.log[over-1].Revision
 		kv.log = slices.Delete(kv.log, 0, over)
 	}
-	kv.wake()
+	kv.notifyWatches()
 }
 
-// wake lets all waiting watches look again.
-func (kv *KV) wake() {
+// notifyWatches makes all waiting watches check for events again.
+func (kv *KV) notifyWatches() {
 	close(kv.changed)
 	kv.changed = make(chan struct{})
 }
 
-// eventsAfter gives the events with the prefix after a revision.
-func (kv *KV) eventsAfter(prefix string, from uint64) []kvEvent {
-	first := sort.Search(len(kv.log), func(i int) bool { return kv.log[i].Revision > from })
+// eventsAfter returns the events with the prefix after a revision.
+func (kv *KV) eventsAfter(prefix string, revision uint64) []kvEvent {
+	first := sort.Search(len(kv.log), func(i int) bool { return kv.log[i].Revision > revision })
 	evs := []kvEvent{}
 	for _, ev := range kv.log[first:] {
 		if strings.HasPrefix(ev.Key, prefix) {
@@ -104,9 +104,9 @@
 }
 
 func (kv *KV) swap(rq wire.KVSwapRequest) wire.KVSwapReply {
-	cur, held := kv.now.pairs[rq.Key]
+	cur, ok := kv.current.pairs[rq.Key]
 	if cur.Revision != rq.Expect {
-		if !held {
+		if !ok {
 			return wire.KVSwapReply{}
 		}
 		return wire.KVSwapReply{Current: &cur}
@@ -115,7 +115,7 @@
 	return wire.KVSwapReply{Swapped: true, Current: &kp}
 }
 
-func (kv *KV) grant(ttl time.Duration) wire.KVLeaseReply {
+func (kv *KV) grantLease(ttl time.Duration) wire.KVLeaseReply {
 	kv.leaseID++
 	le := &lease{ttl: ttl, expires: kv.cfg.Clock() + ttl, keys: map[string]struct{}{}}
 	kv.leases[kv.leaseID] = le
@@ -131,7 +131,7 @@
 	return wire.KVLeaseReply{ID: id, TTLMs: le.ttl.Milliseconds()}
 }
 
-func (kv *KV) lapse() {
+func (kv *KV) expireLeases() {
 	now := kv.cfg.Clock()
 	for _, id := range slices.Sorted(maps.Keys(kv.leases)) {
 		le := kv.leases[id]
--- a/io/emul/listener.go
+++ b/io/emul/listener.go
@@ -7,175 +7,174 @@
 	"time"
 )
 
-// gate is a listener that keeps hold of its connections, so that a server can
-// limit them, drop them all, or make them go silent.
-type gate struct {
+// faultListener is a listener that tracks its connections, so that a server can limit them,
+// close them all, or make them go silent.
+type faultListener struct {
 	net.Listener
 
-	mu       sync.Mutex
-	conns    map[string]*gateConn // by remote address
-	limit    int                  // 0 means none
-	refuse   bool
-	setup    time.Duration
-	silentAt int64 // bytes written before a new connection goes silent; 0 means never
-	mute     atomic.Bool
+	mu          sync.Mutex
+	conns       map[string]*faultConn // by remote address
+	limit       int                   // 0 means no limit
+	refuse      bool
+	setup       time.Duration
+	silentAfter int64 // bytes written before a new connection goes silent; 0 means never
+	mute        atomic.Bool
 
 	accepted atomic.Uint64
 	rejected atomic.Uint64
 }
 
-func openGate(addr string) (*gate, error) {
+func openListener(addr string) (*faultListener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	return &gate{Listener: ln, conns: map[string]*gateConn{}}, nil
+	return &faultListener{Listener: ln, conns: map[string]*faultConn{}}, nil
 }
 
-// Accept gives the next connection that fits under the limit and closes the
-// others at once.
-func (gt *gate) Accept() (net.Conn, error) {
+// Accept returns the next connection within the limit and closes the others at once.
+func (li *faultListener) Accept() (net.Conn, error) {
 	for {
-		nc, err := gt.Listener.Accept()
+		nc, err := li.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		gc := gt.admit(nc)
-		if gc != nil {
-			gt.accepted.Add(1)
-			return gc, nil
+		fc := li.admit(nc)
+		if fc != nil {
+			li.accepted.Add(1)
+			return fc, nil
 		}
-		gt.rejected.Add(1)
+		li.rejected.Add(1)
 		_ = nc.Close()
 	}
 }
 
-func (gt *gate) admit(nc net.Conn) *gateConn {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	if gt.refuse {
+func (li *faultListener) admit(nc net.Conn) *faultConn {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	if li.refuse {
 		return nil
 	}
-	if gt.limit > 0 && len(gt.conns) >= gt.limit {
+	if li.limit > 0 && len(li.conns) >= li.limit {
 		return nil
 	}
-	gc := &gateConn{Conn: nc, gate: gt, setup: gt.setup, left: gt.silentAt}
-	gc.counted = gt.silentAt > 0
-	gt.conns[nc.RemoteAddr().String()] = gc
-	return gc
-}
-
-func (gt *gate) forget(gc *gateConn) {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	key := gc.RemoteAddr().String()
-	if gt.conns[key] == gc {
-		delete(gt.conns, key)
+	fc := &faultConn{Conn: nc, listener: li, setup: li.setup, remaining: li.silentAfter}
+	fc.limited = li.silentAfter > 0
+	li.conns[nc.RemoteAddr().String()] = fc
+	return fc
+}
+
+func (li *faultListener) removeConn(fc *faultConn) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	key := fc.RemoteAddr().String()
+	if li.conns[key] == fc {
+		delete(li.conns, key)
 	}
 }
 
-func (gt *gate) open() int {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	return len(gt.conns)
+func (li *faultListener) countOpen() int {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	return len(li.conns)
 }
 
-func (gt *gate) all() []*gateConn {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	gcs := make([]*gateConn, 0, len(gt.conns))
-	for _, gc := range gt.conns {
-		gcs = append(gcs, gc)
+func (li *faultListener) openConns() []*faultConn {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	fcs := make([]*faultConn, 0, len(li.conns))
+	for _, fc := range li.conns {
+		fcs = append(fcs, fc)
 	}
-	return gcs
+	return fcs
 }
 
-func (gt *gate) find(remote net.Addr) *gateConn {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	return gt.conns[remote.String()]
+func (li *faultListener) findConn(remote net.Addr) *faultConn {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	return li.conns[remote.String()]
 }
 
-// setRefuse makes the server look down: open connections break and new ones
-// are closed before a byte is read.
-func (gt *gate) setRefuse(on bool) {
-	gt.mu.Lock()
-	gt.refuse = on
-	gt.mu.Unlock()
+// setRefuse makes the server look down: open connections are closed, and new ones are closed
+// before a byte is read.
+func (li *faultListener) setRefuse(on bool) {
+	li.mu.Lock()
+	li.refuse = on
+	li.mu.Unlock()
 	if on {
-		gt.dropAll()
+		li.closeAll()
 	}
 }
 
-func (gt *gate) setSilentAfter(n int64) {
-	gt.mu.Lock()
-	defer gt.mu.Unlock()
-	gt.silentAt = n
+func (li *faultListener) setSilentAfter(n int64) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	li.silentAfter = n
 }
 
-func (gt *gate) silenceAll() {
-	for _, gc := range gt.all() {
-		gc.silent.Store(true)
+func (li *faultListener) silenceAll() {
+	for _, fc := range li.openConns() {
+		fc.silent.Store(true)
 	}
 }
 
-func (gt *gate) dropAll() {
-	for _, gc := range gt.all() {
-		_ = gc.Close()
+func (li *faultListener) closeAll() {
+	for _, fc := range li.openConns() {
+		_ = fc.Close()
 	}
 }
 
-// gateConn is a connection that can go silent for good. A silent connection
-// stays open, swallows what is written and drops what arrives: the other end
-// sees neither an answer nor an error, as behind a middlebox that has lost the
-// connection's state.
-type gateConn struct {
+// faultConn is a connection that can go silent permanently. A silent connection stays open and
+// discards the bytes written and received: the other end sees neither an answer nor an error, as
+// behind a middlebox that has lost the connection's state.
+type faultConn struct {
 	net.Conn
-	gate *gate
+	listener *faultListener
 
-	setup   time.Duration
-	ready   bool // of the reading goroutine alone
-	counted bool
-	left    int64
-	silent  atomic.Bool
+	setup     time.Duration
+	setupDone bool // used by the reading goroutine only
+	limited   bool
+	remaining int64
+	silent    atomic.Bool
 }
 
-// Read delays the first bytes by the cost of a new connection.
-func (gc *gateConn) Read(p []byte) (int, error) {
-	if !gc.ready {
-		gc.ready = true
-		time.Sleep(gc.setup)
+// Read delays the first read by the setup time, and discards what arrives on a silent
+// connection.
+func (fc *faultConn) Read(p []byte) (int, error) {
+	if !fc.setupDone {
+		fc.setupDone = true
+		time.Sleep(fc.setup)
 	}
 	for {
-		n, err := gc.Conn.Read(p)
+		n, err := fc.Conn.Read(p)
 		if err != nil {
 			return n, err
 		}
-		if !gc.silent.Load() {
+		if !fc.silent.Load() {
 			return n, nil
 		}
 	}
 }
 
-// Write passes on the bytes that the fault leaves over and swallows the rest.
-func (gc *gateConn) Write(p []byte) (int, error) {
-	if gc.silent.Load() || gc.gate.mute.Load() {
+// Write writes the bytes up to the limit of a fault and discards the rest, without an error.
+func (fc *faultConn) Write(p []byte) (int, error) {
+	if fc.silent.Load() || fc.listener.mute.Load() {
 		return len(p), nil
 	}
-	if !gc.counted || int64(len(p)) < gc.left {
-		gc.left -= int64(len(p))
-		return gc.Conn.Write(p)
+	if !fc.limited || int64(len(p)) < fc.remaining {
+		fc.remaining -= int64(len(p))
+		return fc.Conn.Write(p)
 	}
-	head := p[:gc.left]
-	gc.silent.Store(true)
-	if n, err := gc.Conn.Write(head); err != nil {
+	head := p[:fc.remaining]
+	fc.silent.Store(true)
+	if n, err := fc.Conn.Write(head); err != nil {
 		return n, err
 	}
 	return len(p), nil
 }
 
-// Close closes the connection and gives its place back.
-func (gc *gateConn) Close() error {
-	gc.gate.forget(gc)
-	return gc.Conn.Close()
+// Close closes the connection, which then no longer counts towards the limit.
+func (fc *faultConn) Close() error {
+	fc.listener.removeConn(fc)
+	return fc.Conn.Close()
 }
--- a/io/emul/load.go
+++ b/io/emul/load.go
@@ -23,48 +23,48 @@
 const (
 	DefaultLoadTimeout = 2 * time.Second
 	DefaultMaxInFlight = 512
-	// MaxLoadCount and MaxLoadTime bound any load, so that a mistaken flag
-	// cannot make one that does not end.
+	// MaxLoadCount and MaxLoadTime limit every load, so that a mistyped flag cannot start
+	// one that does not end.
 	MaxLoadCount = 10_000_000
 	MaxLoadTime  = time.Hour
 
-	loadStream = 0x6c6f6164 // keeps the load apart from other uses of a seed
+	loadSeedStream = 0x6c6f6164 // separates the load's random stream from other uses of a seed
 )
 
-// RequestMaker makes the nth search of a load, counted from 0. It is called by
-// one goroutine at a time.
+// RequestMaker returns the nth search of a load, counted from 0. It is called by one goroutine
+// at a time.
 type RequestMaker func(rd *rand.Rand, n int) wire.SearchRequest
 
-// LoadConfig configures a Load. All but Timeout, MaxInFlight and Seed are
-// needed.
+// LoadConfig configures a Load. All fields but Timeout, MaxInFlight and Seed are required.
 type LoadConfig struct {
-	// Targets are the VMs' addresses for callers. Each arrival goes to one by
-	// chance, as behind a balancer. Only loopback addresses are taken.
+	// Targets are the VMs' client addresses. Each arrival goes to a random one, as behind a
+	// load balancer. Only loopback addresses are accepted.
 	Targets []string
 	// Rate is the mean number of arrivals a second.
 	Rate float64
-	// Count and For end the load: at so many arrivals or after so long.
+	// Count and For end the load: after Count arrivals or after the time For, whichever
+	// comes first.
 	Count int
 	For   time.Duration
 	// Request makes the searches.
 	Request RequestMaker
-	// Timeout is how long an answer is waited for.
+	// Timeout is how long to wait for an answer; 0 means DefaultLoadTimeout.
 	Timeout time.Duration
-	// MaxInFlight bounds the searches under way; arrivals above it are dropped
-	// and counted, for waiting would slow the arrivals down.
+	// MaxInFlight limits the searches in progress; 0 means DefaultMaxInFlight. Arrivals
+	// above the limit are dropped and counted, because waiting would delay later arrivals.
 	MaxInFlight int
-	// Seed decides arrivals, targets and what Request draws.
+	// Seed determines the arrivals, the targets and the random numbers given to Request.
 	Seed uint64
 }
 
-// Load sends searches at times that do not depend on the answers (an open
-// loop), with seeded Poisson arrivals.
+// Load generates an open-loop load: searches are sent at seeded Poisson arrival times that do
+// not depend on the answers.
 type Load struct {
 	cfg LoadConfig
 	cli *client.Client
 }
 
-// NewLoad checks the configuration.
+// NewLoad checks the configuration and returns a Load that has not started.
 func NewLoad(cfg LoadConfig) (*Load, error) {
 	if cfg.Timeout == 0 {
 		cfg.Timeout = DefaultLoadTimeout
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// checkLoopback keeps a load off machines that are not its own: whoever
-// mistypes an address gets an error and floods nobody.
+// checkLoopback returns an error unless the address is on loopback, so that a mistyped address
+// cannot flood another machine.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -120,14 +120,14 @@
 	return nil
 }
 
-// arrival is one search that is due.
+// arrival is one scheduled search.
 type arrival struct {
 	at     time.Duration // after the start
 	target string
 	req    wire.SearchRequest
 }
 
-// arrivals draws the load; the same configuration draws the same.
+// arrivals generates the arrivals of a load. The same configuration gives the same arrivals.
 type arrivals struct {
 	cfg LoadConfig
 	rnd *rand.Rand
@@ -136,7 +136,7 @@
 }
 
 func (lc LoadConfig) arrivals() *arrivals {
-	return &arrivals{cfg: lc, rnd: rand.New(rand.NewPCG(lc.Seed, loadStream))}
+	return &arrivals{cfg: lc, rnd: rand.New(rand.NewPCG(lc.Seed, loadSeedStream))}
 }
 
 func (ar *arrivals) next() (arrival, bool) {
@@ -157,24 +157,24 @@
 	return due, true
 }
 
-// Run sends the load and waits for the last answer. The end of ctx stops new
-// arrivals only. A Load can be run once at a time.
+// Run sends the load and waits for the last answer. The end of ctx stops new arrivals only.
+// Only one Run of a Load may be in progress at a time.
 func (lo *Load) Run(ctx context.Context) (LoadReport, error) {
 	lr, err := lo.begin()
 	if err != nil {
 		return LoadReport{}, newError("Load.Run", KindConfig, err)
 	}
 	lr.dispatch(ctx)
-	return lr.end(), nil
+	return lr.finish(), nil
 }
 
 // loadRun is one run of a Load.
 type loadRun struct {
-	load  *Load
-	pool  *ants.Pool
-	start time.Time
-	tally *tally
-	sent  sync.WaitGroup
+	load    *Load
+	pool    *ants.Pool
+	start   time.Time
+	tally   *tally
+	pending sync.WaitGroup
 }
 
 func (lo *Load) begin() (*loadRun, error) {
@@ -193,29 +193,29 @@
 		if !sleepUntil(ctx, scheduled) {
 			return
 		}
-		lr.tally.arrive(time.Since(scheduled))
-		lr.sent.Add(1)
+		lr.tally.addArrival(time.Since(scheduled))
+		lr.pending.Add(1)
 		err := lr.pool.Submit(func() {
-			defer lr.sent.Done()
+			defer lr.pending.Done()
 			lr.load.send(due, scheduled, lr.tally)
 		})
 		if err != nil {
-			lr.sent.Done()
-			lr.tally.drop()
+			lr.pending.Done()
+			lr.tally.addDropped()
 		}
 	}
 }
 
-// end waits for the answers still due.
-func (lr *loadRun) end() LoadReport {
-	lr.sent.Wait()
+// finish waits for the searches in progress and returns the report.
+func (lr *loadRun) finish() LoadReport {
+	lr.pending.Wait()
 	elapsed := time.Since(lr.start)
 	lr.pool.Release()
 	lr.load.cli.CloseIdleConnections()
 	return lr.tally.report(elapsed)
 }
 
-// sleepUntil tells whether the time came before ctx ended.
+// sleepUntil sleeps until a time, and reports false if ctx ended before.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	tm := time.NewTimer(time.Until(at))
 	defer tm.Stop()
@@ -227,15 +227,15 @@
 	}
 }
 
-// send makes one search. Its latency counts from the scheduled arrival, so that
-// a sender that falls behind makes figures worse and not better.
+// send makes one search and records the result. Latency is measured from the scheduled arrival,
+// so that a load generator that falls behind makes the figures worse and not better.
 func (lo *Load) send(due arrival, scheduled time.Time, tl *tally) {
 	ans, err := lo.exchange(due)
 	if err != nil {
-		tl.fail(err)
+		tl.addFailed(err)
 		return
 	}
-	tl.answer(ans, time.Since(scheduled))
+	tl.addAnswer(ans, time.Since(scheduled))
 }
 
 func (lo *Load) exchange(due arrival) (wire.SearchAnswer, error) {
@@ -252,7 +252,7 @@
 	rq.Header.SetContentTypeBytes([]byte(contentJSON))
 	rq.SetBody(body)
 	rq.SetOptions(config.WithRequestTimeout(lo.cfg.Timeout))
-	// The library repeats idempotent methods only, so this is sent once.
+	// The library retries idempotent methods only, so this POST is sent once.
 	if err := lo.cli.Do(context.Background(), rq, rp); err != nil {
 		return ans, err
 	}
--- a/io/emul/load_test.go
+++ b/io/emul/load_test.go
@@ -14,8 +14,8 @@
 	"laburnumvane/io/wire"
 )
 
-// startVM answers searches by what their field Search asks for.
-func startVM(t *testing.T, answers map[string]wire.SearchAnswer, open <-chan struct{}) string {
+// startFakeVM starts a server that answers searches by their field Search, once open is closed.
+func startFakeVM(t *testing.T, answers map[string]wire.SearchAnswer, open <-chan struct{}) string {
 	serve := func(_ context.Context, rc *app.RequestContext) {
 		rq, ok := decode[wire.SearchRequest](rc)
 		if !ok {
@@ -24,45 +24,45 @@
 		<-open
 		reply(rc, http.StatusOK, answers[rq.Search])
 	}
-	ho, err := startHost(anyLoopbackPort, func(*gate) {}, []route{{http.MethodPost, wire.RouteSearch, serve}})
+	ho, err := startHost(anyLoopbackPort, func(*faultListener) {}, []route{{http.MethodPost, wire.RouteSearch, serve}})
 	is.New(t).NoErr(err)
 	t.Cleanup(ho.close)
 	return ho.addr()
 }
 
-func inTurn(searches ...string) RequestMaker {
+func roundRobin(searches ...string) RequestMaker {
 	return func(_ *rand.Rand, n int) wire.SearchRequest {
 		return wire.SearchRequest{Search: searches[n%len(searches)], Query: json.RawMessage(findAll)}
 	}
 }
 
-func opened() <-chan struct{} {
-	gate := make(chan struct{})
-	close(gate)
-	return gate
+func closedChan() <-chan struct{} {
+	ch := make(chan struct{})
+	close(ch)
+	return ch
 }
 
 func TestLoadCounts(t *testing.T) {
 	is := is.New(t)
-	addr := startVM(t, map[string]wire.SearchAnswer{
+	addr := startFakeVM(t, map[string]wire.SearchAnswer{
 		"all":  {Outcome: wire.OutcomeComplete, Coverage: wire.Coverage{Share: 1}, Work: wire.Work{Primaries: 4, Hedges: 1}},
 		"half": {Outcome: wire.OutcomePartial, Coverage: wire.Coverage{Share: 0.5}, Work: wire.Work{Primaries: 4}},
 		"none": {Outcome: wire.OutcomeNotRun, Reason: "shed"},
-	}, opened())
+	}, closedChan())
 	lo, err := NewLoad(LoadConfig{
 		Targets: []string{addr},
 		Rate:    5000,
 		Count:   40,
-		For:     patience,
-		Timeout: patience,
-		Request: inTurn("all", "half", "none", "what"),
+		For:     waitTimeout,
+		Timeout: waitTimeout,
+		Request: roundRobin("all", "half", "none", "what"),
 	})
 	is.NoErr(err)
 	rep, err := lo.Run(context.Background())
 	is.NoErr(err)
 	is.Equal(rep.Arrivals, uint64(40))
 	is.Equal(rep.Dropped, uint64(0))
-	is.Equal(rep.Failed, uint64(10)) // a reply without an outcome is no answer
+	is.Equal(rep.Failed, uint64(10)) // a reply without an outcome counts as failed
 	is.Equal(rep.Outcomes, map[wire.Outcome]uint64{
 		wire.OutcomeComplete: 10,
 		wire.OutcomePartial:  10,
@@ -76,27 +76,27 @@
 }
 
 func TestLoadDropsAboveBound(t *testing.T) {
-	// A VM stops answering. Arrivals go on at their own times: two wait for the
-	// VM and the others are dropped and counted, so that the caller of the tool
-	// sees that the load was not what was asked for.
+	// A VM stops answering. Arrivals continue at their scheduled times: two wait for the VM,
+	// and the others are dropped and counted, so that the report shows that the load was
+	// lower than configured.
 	is := is.New(t)
 	stuck := make(chan struct{})
-	addr := startVM(t, map[string]wire.SearchAnswer{"all": {Outcome: wire.OutcomeComplete}}, stuck)
+	addr := startFakeVM(t, map[string]wire.SearchAnswer{"all": {Outcome: wire.OutcomeComplete}}, stuck)
 	lo, err := NewLoad(LoadConfig{
 		Targets:     []string{addr},
 		Rate:        1e6,
 		Count:       50,
-		For:         patience,
-		Timeout:     patience,
+		For:         waitTimeout,
+		Timeout:     waitTimeout,
 		MaxInFlight: 2,
-		Request:     inTurn("all"),
+		Request:     roundRobin("all"),
 	})
 	is.NoErr(err)
 	lr, err := lo.begin()
 	is.NoErr(err)
 	lr.dispatch(context.Background())
 	close(stuck)
-	rep := lr.end()
+	rep := lr.finish()
 	is.Equal(rep.Dropped, uint64(48))
 	is.Equal(rep.Outcomes[wire.OutcomeComplete], uint64(2))
 }
@@ -104,7 +104,7 @@
 func TestLoadStops(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	addr := startVM(t, nil, opened())
+	addr := startFakeVM(t, nil, closedChan())
 	lo, err := NewLoad(LoadConfig{
 		Targets: []string{addr},
 		Rate:    1e6,
@@ -124,7 +124,7 @@
 }
 
 func TestArrivals(t *testing.T) {
-	// The seed decides a load: its times, targets and searches.
+	// The seed determines a load: its times, targets and searches.
 	is := is.New(t)
 	cfg := LoadConfig{
 		Targets: []string{"127.0.0.1:1", "127.0.0.1:2"},
@@ -157,7 +157,7 @@
 		Rate:    1,
 		Count:   1,
 		For:     time.Second,
-		Request: inTurn("all"),
+		Request: roundRobin("all"),
 	}
 	cases := []struct {
 		name   string
@@ -167,7 +167,7 @@
 		{"good", func(*LoadConfig) {}, true},
 		{"no targets", func(lc *LoadConfig) { lc.Targets = nil }, false},
 		{"other machine", func(lc *LoadConfig) { lc.Targets = []string{"192.0.2.1:80"} }, false},
-		{"by name", func(lc *LoadConfig) { lc.Targets = []string{"example.org:80"} }, false},
+		{"host name", func(lc *LoadConfig) { lc.Targets = []string{"example.org:80"} }, false},
 		{"no port", func(lc *LoadConfig) { lc.Targets = []string{"127.0.0.1"} }, false},
 		{"no rate", func(lc *LoadConfig) { lc.Rate = 0 }, false},
 		{"unbounded count", func(lc *LoadConfig) { lc.Count = MaxLoadCount + 1 }, false},
--- a/io/emul/query.go
+++ b/io/emul/query.go
@@ -12,61 +12,60 @@
 	"laburnumvane/io/wire"
 )
 
-// Words of the query language; they cannot be matched as field names.
+// Keywords of the query language; fields of these names cannot be matched.
 const (
-	wordText    = "text"
-	wordOrderBy = "orderBy"
+	keywordText    = "text"
+	keywordOrderBy = "orderBy"
 )
 
-// Query is a parsed query: a JSON object whose members must all hold. A field's
-// name with a value asks for exactly that value, "text" for a substring of any
-// string field, and "orderBy" names the field that hits are ordered by. An
-// empty object finds all.
+// Query is a parsed query: a JSON object whose conditions must all hold. A field's name matches
+// that exact value, "text" matches a substring of any string field, and "orderBy" is the name
+// of the field that hits are ordered by. An empty object matches all members.
 type Query struct {
 	exact   map[string]any
 	text    string
 	orderBy string
 }
 
-// ParseQuery reads a query.
+// ParseQuery parses a query from JSON. Errors are of KindQuery.
 func ParseQuery(raw json.RawMessage) (Query, error) {
 	const op = "ParseQuery"
-	var words map[string]any
-	if err := json.Unmarshal(raw, &words); err != nil {
+	var conditions map[string]any
+	if err := json.Unmarshal(raw, &conditions); err != nil {
 		return Query{}, newError(op, KindQuery, err)
 	}
-	if words == nil {
+	if conditions == nil {
 		return Query{}, errorf(op, KindQuery, "not an object")
 	}
-	qu := Query{orderBy: FieldMember, exact: words}
-	for word, into := range map[string]*string{wordText: &qu.text, wordOrderBy: &qu.orderBy} {
-		val, given := words[word]
-		if !given {
+	qu := Query{orderBy: FieldMember, exact: conditions}
+	for keyword, into := range map[string]*string{keywordText: &qu.text, keywordOrderBy: &qu.orderBy} {
+		val, found := conditions[keyword]
+		if !found {
 			continue
 		}
 		str, ok := val.(string)
 		if !ok || str == "" {
-			return Query{}, errorf(op, KindQuery, "%q needs a string", word)
+			return Query{}, errorf(op, KindQuery, "%q needs a string", keyword)
 		}
 		*into = str
-		delete(words, word)
+		delete(conditions, keyword)
 	}
 	return qu, nil
 }
 
-// Matches tells whether a member fits.
+// Matches reports whether a member satisfies all conditions.
 func (qu Query) Matches(me *Member) bool {
 	for name, want := range qu.exact {
-		got, held := me.Fields[name]
-		if !held || !sameValue(got, want) {
+		got, ok := me.Fields[name]
+		if !ok || !sameValue(got, want) {
 			return false
 		}
 	}
 	return qu.text == "" || hasText(me, qu.text)
 }
 
-// Run searches one shard. Hits are ordered by key and then by member; more
-// tells that the limit cut some off. A limit of 0 or less means none.
+// Run searches one shard. Hits are ordered by key and then by member; more reports whether the
+// limit omitted some. A limit of 0 or less means no limit.
 func (qu Query) Run(sn *Snapshot, shard, limit int) (hits []wire.Hit, more bool) {
 	for _, me := range sn.Members(shard) {
 		if qu.Matches(me) {
@@ -80,9 +79,9 @@
 	return hits, false
 }
 
-// Key is what a hit is ordered by, such that keys compare as strings. A number
-// is spelled in hexadecimal so that smaller numbers come first; a field that is
-// missing or of another type gives the empty key.
+// Key returns the sort key of a hit; keys compare as strings. A number is encoded in
+// hexadecimal so that smaller numbers come first; a field that is missing or of another type
+// gives the empty key.
 func (qu Query) Key(me *Member) string {
 	switch val := me.Fields[qu.orderBy].(type) {
 	case string:
@@ -94,8 +93,8 @@
 	}
 }
 
-// numberKey flips the bits of a float so that its bytes sort as the number
-// does: the sign bit of a positive one, all bits of a negative one.
+// numberKey flips bits of a float so that its bytes sort as the number does: the sign bit of a
+// positive number, all bits of a negative one.
 func numberKey(num float64) string {
 	const sign = 1 << 63
 	bits := math.Float64bits(num + 0) // turns -0 into 0
--- a/io/emul/register.go
+++ b/io/emul/register.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// FieldMember names the field that identifies a member.
+	// FieldMember is the name of the field that identifies a member.
 	FieldMember = "member"
 	// maxLine is the longest line of a register file in bytes.
 	maxLine = 1 << 20
 )
 
-// Member is one object of a register. It is never changed once made.
+// Member is one object of a register. It is immutable.
 type Member struct {
 	ID     string
-	Raw    json.RawMessage // the whole object
-	Fields map[string]any  // the same, decoded
+	Raw    json.RawMessage // the object as JSON
+	Fields map[string]any  // the object, decoded
 }
 
-// Register is a named set of members from which snapshots are taken. Changes
-// show in later snapshots only.
+// Register is a named set of members from which snapshots are taken. Changes appear only in
+// snapshots taken later.
 type Register struct {
 	Name string
 
@@ -38,20 +38,20 @@
 	version uint64
 }
 
-// Snapshot is a register at one version, split into shards. It never changes.
+// Snapshot is a register at one version, split into shards. It is immutable.
 type Snapshot struct {
 	Register string
 	Version  uint64
 	Shards   int
-	parts    [][]*Member // by shard, each ordered by member id
+	byShard  [][]*Member // each ordered by member id
 }
 
-// NewRegister makes an empty register.
+// NewRegister returns an empty register.
 func NewRegister(name string) *Register {
 	return &Register{Name: name, members: map[string]*Member{}}
 }
 
-// LoadRegister reads a file of JSON lines; see ReadRegister.
+// LoadRegister reads a register from a file of JSON lines; see ReadRegister.
 func LoadRegister(name, path string) (*Register, error) {
 	fi, err := os.Open(path)
 	if err != nil {
@@ -61,37 +61,37 @@
 	return ReadRegister(name, fi)
 }
 
-// ReadRegister reads JSON lines, each an object with a string field "member"
-// that is not empty and occurs once. Blank lines are skipped. The error names
-// the first line that is wrong, counted from 1.
+// ReadRegister reads a register from JSON lines. Each line is an object with a non-empty string
+// field "member" that is unique in the file. Blank lines are skipped. The error names the first
+// invalid line, counted from 1.
 func ReadRegister(name string, rd io.Reader) (*Register, error) {
 	const op = "ReadRegister"
 	rg := NewRegister(name)
 	sc := bufio.NewScanner(rd)
 	sc.Buffer(nil, maxLine)
-	no := 0
+	lineNo := 0
 	for sc.Scan() {
-		no++
+		lineNo++
 		line := bytes.TrimSpace(sc.Bytes())
 		if len(line) == 0 {
 			continue
 		}
 		me, err := parseMember(line)
 		if err != nil {
-			return nil, newError(op, KindFormat, errors.Wrapf(err, "line %d", no))
+			return nil, newError(op, KindFormat, errors.Wrapf(err, "line %d", lineNo))
 		}
 		if rg.members[me.ID] != nil {
-			return nil, errorf(op, KindFormat, "line %d: member %q occurs twice", no, me.ID)
+			return nil, errorf(op, KindFormat, "line %d: member %q occurs twice", lineNo, me.ID)
 		}
 		rg.members[me.ID] = me
 	}
 	if err := sc.Err(); err != nil {
-		return nil, newError(op, KindFormat, errors.Wrapf(err, "line %d", no+1))
+		return nil, newError(op, KindFormat, errors.Wrapf(err, "line %d", lineNo+1))
 	}
 	return rg, nil
 }
 
-// Put adds a member or replaces the one of the same id.
+// Put adds a member or replaces the one with the same id.
 func (rg *Register) Put(object json.RawMessage) error {
 	me, err := parseMember(object)
 	if err != nil {
@@ -103,15 +103,15 @@
 	return nil
 }
 
-// Len is the number of members.
+// Len returns the number of members.
 func (rg *Register) Len() int {
 	rg.mu.Lock()
 	defer rg.mu.Unlock()
 	return len(rg.members)
 }
 
-// Snapshot takes the next version, split into so many shards. The first version
-// is 1.
+// Snapshot takes a snapshot with the next version number, split into the given number of
+// shards. The first version is 1.
 func (rg *Register) Snapshot(shards int) (*Snapshot, error) {
 	if shards < 1 {
 		return nil, errorf("Register.Snapshot", KindConfig, "%d shards", shards)
@@ -123,27 +123,27 @@
 		Register: rg.Name,
 		Version:  rg.version,
 		Shards:   shards,
-		parts:    make([][]*Member, shards),
+		byShard:  make([][]*Member, shards),
 	}
 	for _, id := range slices.Sorted(maps.Keys(rg.members)) {
 		sh := ShardOf(id, shards)
-		sn.parts[sh] = append(sn.parts[sh], rg.members[id])
+		sn.byShard[sh] = append(sn.byShard[sh], rg.members[id])
 	}
 	return sn, nil
 }
 
-// ShardOf is the shard that holds a member.
+// ShardOf returns the shard that holds a member, by the hash of the member's id.
 func ShardOf(member string, shards int) int {
 	return int(xxhash.Sum64String(member) % uint64(shards))
 }
 
-// Members gives a shard's members in the order of their ids. The caller must
-// not change the slice.
+// Members returns a shard's members in the order of their ids, or nil if there is no such
+// shard. The caller must not change the slice.
 func (sn *Snapshot) Members(shard int) []*Member {
 	if shard < 0 || shard >= sn.Shards {
 		return nil
 	}
-	return sn.parts[shard]
+	return sn.byShard[shard]
 }
 
 func parseMember(object []byte) (*Member, error) {
@@ -154,7 +154,7 @@
 	}
 	id, ok := fields[FieldMember].(string)
 	if !ok || id == "" {
-		return nil, errors.Errorf("no string %q", FieldMember)
+		return nil, errors.Errorf("field %q is not a non-empty string", FieldMember)
 	}
 	return &Member{ID: id, Raw: raw, Fields: fields}, nil
 }
--- a/io/emul/register_test.go
+++ b/io/emul/register_test.go
@@ -57,7 +57,7 @@
 		name  string
 		query string
 		limit int
-		found string // members in order; "!" means the query is refused
+		found string // members in order; "!" means the query is invalid
 		more  bool
 	}{
 		{"exact string", `{"plate":"CD-2"}`, 0, "m2", false},
@@ -70,12 +70,12 @@
 		{"everything", `{}`, 0, "m1 m2 m3 m4", false},
 		{"by number", `{"orderBy":"washes"}`, 0, "m4 m2 m3 m1", false},
 		{"by string, ties by member", `{"orderBy":"name"}`, 0, "m1 m4 m2 m3", false},
-		{"cut", `{"orderBy":"name"}`, 2, "m1 m4", true},
-		{"limit just met", `{"text":"Brook"}`, 3, "m1 m3 m4", false},
+		{"limited", `{"orderBy":"name"}`, 2, "m1 m4", true},
+		{"exactly at the limit", `{"text":"Brook"}`, 3, "m1 m3 m4", false},
 		{"not an object", `["m1"]`, 0, "!", false},
 		{"null", `null`, 0, "!", false},
 		{"text not a string", `{"text":3}`, 0, "!", false},
-		{"nothing", ``, 0, "!", false},
+		{"empty text", ``, 0, "!", false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,13 +86,13 @@
 				return
 			}
 			hits, more := qu.Run(sn, 0, tc.limit)
-			is.Equal(membersOf(hits), tc.found)
+			is.Equal(memberIDs(hits), tc.found)
 			is.Equal(more, tc.more)
 		})
 	}
 }
 
-func membersOf(hits []wire.Hit) string {
+func memberIDs(hits []wire.Hit) string {
 	ms := []string{}
 	for _, hi := range hits {
 		ms = append(ms, hi.Member)
@@ -101,8 +101,7 @@
 }
 
 func TestSnapshots(t *testing.T) {
-	// A repartition changes the shards and later members, never what an older
-	// snapshot holds.
+	// A repartition and changes of members don't change an older snapshot.
 	is := is.New(t)
 	rg, err := SampleRegister("members", 1, 500)
 	is.NoErr(err)
@@ -138,7 +137,7 @@
 	is.NoErr(err)
 	same, err := again.Snapshot(4)
 	is.NoErr(err)
-	is.Equal(old.Members(2), same.Members(2)) // the seed decides the members
+	is.Equal(old.Members(2), same.Members(2)) // the seed determines the members
 }
 
 func TestNumberKeyOrder(t *testing.T) {
--- a/io/emul/runs.go
+++ b/io/emul/runs.go
@@ -5,20 +5,20 @@
 	ID       string
 	Shard    int
 	Snapshot uint64
-	Query    string // as it came
+	Query    string // as received
 }
 
-// runRecord keeps the last runs in a ring, so that a long load cannot fill the
-// memory.
-type runRecord struct {
+// runLog keeps the last runs in a ring buffer, so that its memory stays bounded under a long
+// load.
+type runLog struct {
 	ring  []Run
 	limit int
 	total uint64
 }
 
-func newRunRecord(limit int) runRecord { return runRecord{limit: limit} }
+func newRunLog(limit int) runLog { return runLog{limit: limit} }
 
-func (rr *runRecord) add(rn Run) {
+func (rr *runLog) add(rn Run) {
 	if len(rr.ring) < rr.limit {
 		rr.ring = append(rr.ring, rn)
 	} else {
@@ -27,25 +27,25 @@
 	rr.total++
 }
 
-func (rr *runRecord) find(fits func(Run) bool) []Run {
+func (rr *runLog) find(match func(Run) bool) []Run {
 	var rns []Run
 	for _, rn := range rr.ring {
-		if fits(rn) {
+		if match(rn) {
 			rns = append(rns, rn)
 		}
 	}
 	return rns
 }
 
-// Ran tells whether a sub-request began to run, as far as the record reaches.
+// Ran reports whether a sub-request began to run, as far back as the run log goes.
 func (up *Upstream) Ran(id string) bool {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return len(up.runs.find(func(rn Run) bool { return rn.ID == id })) > 0
+	return len(up.runLog.find(func(rn Run) bool { return rn.ID == id })) > 0
 }
 
-// RunsOf counts the runs with this very query text, under whatever id. A test
-// of at-most-once gives each search a query of its own.
+// RunsOf returns the number of logged runs with exactly this query text, whatever their ids. A
+// test of at-most-once execution uses a unique query for each search.
 func (up *Upstream) RunsOf(query string) int {
 	return len(up.runsOf(query))
 }
@@ -53,12 +53,12 @@
 func (up *Upstream) runsOf(query string) []Run {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return up.runs.find(func(rn Run) bool { return rn.Query == query })
+	return up.runLog.find(func(rn Run) bool { return rn.Query == query })
 }
 
-// Runs is the number of runs ever, also of those no longer on record.
+// Runs returns the number of all runs, including those no longer in the run log.
 func (up *Upstream) Runs() uint64 {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	return up.runs.total
+	return up.runLog.total
 }
--- a/io/emul/sample.go
+++ b/io/emul/sample.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	sampleStream   = 0x6d656d62 // keeps the sample apart from other uses of a seed
-	sampleMaxDays  = 3650
-	sampleMaxWash  = 400
-	plateLetters   = "ABCDEFGHJKLMNPRSTVWXYZ"
-	plateDigits    = 1000
-	sampleDateForm = "2006-01-02"
+	sampleSeedStream = 0x6d656d62 // separates the sample's random stream from other uses of a seed
+	sampleMaxDays    = 3650
+	sampleMaxWash    = 400
+	plateLetters     = "ABCDEFGHJKLMNPRSTVWXYZ"
+	plateDigits      = 1000
+	sampleDateForm   = "2006-01-02"
 )
 
 // sampleMember is one object of a sample register.
@@ -28,12 +28,11 @@
 	Washes int    `json:"washes"`
 }
 
-// SampleRegister makes a register of car-wash members. The same seed and count
-// give the same members; ids run from m000000 on and plates are unique up to
-// some ten million members.
+// SampleRegister returns a register of car-wash members. The same seed and count give the same
+// members. Ids start at m000000, and plates are unique up to about ten million members.
 func SampleRegister(name string, seed uint64, count int) (*Register, error) {
 	rg := NewRegister(name)
-	rd := rand.New(rand.NewPCG(seed, sampleStream))
+	rd := rand.New(rand.NewPCG(seed, sampleSeedStream))
 	for i := range count {
 		raw, err := json.Marshal(sample(rd, i))
 		if err != nil {
@@ -61,8 +60,8 @@
 	}
 }
 
-// plate spells a number as three letters and three digits. The first letters
-// turn fastest, so that neighbours do not look alike.
+// plate formats a number as a plate of three letters and three digits. The first letter changes
+// with each number, so that consecutive plates do not look alike.
 func plate(i int) string {
 	num := i % plateDigits
 	rest := i / plateDigits
@@ -74,8 +73,8 @@
 	return fmt.Sprintf("%s-%03d", ls, num)
 }
 
-// PlateLookups makes searches for single members of a sample register of so
-// many members, by plate.
+// PlateLookups returns a RequestMaker that searches by plate for random single members of a
+// sample register with the given number of members.
 func PlateLookups(team, search string, members int) RequestMaker {
 	return func(rd *rand.Rand, _ int) wire.SearchRequest {
 		return wire.SearchRequest{
--- a/io/emul/seed_test.go
+++ b/io/emul/seed_test.go
@@ -1,4 +1,4 @@
 package emul
 
-// Property tests use one seed, so that their verdict is the same every time.
+// Property tests use a fixed seed, so that their result is reproducible.
 import _ "laburnumvane/internal/seed"
--- a/io/emul/stage.go
+++ b/io/emul/stage.go
@@ -8,39 +8,39 @@
 	"github.com/cloudwego/hertz/pkg/app"
 )
 
-// Ports of a Stage, counted from its first.
+// Ports of a Stage, as offsets from its first.
 const (
 	portKV = iota
 	portVMList
 	portAdmin
-	// portUpstreams is the first server's.
+	// portUpstreams is the port of the first upstream server.
 	portUpstreams = 10
 )
 
 // StageConfig configures a Stage.
 type StageConfig struct {
-	// Port is the first on loopback: the key-value service, the VM list, the
-	// administration, and from 10 on the servers. 0 takes free ports.
+	// Port is the first loopback port, used by the key-value service. The VM list uses the
+	// next, the admin API the one after, and the servers those from Port+10 on. 0 means
+	// free ports.
 	Port int
-	// Fleet is the servers; its own Port is not used.
+	// Fleet configures the upstream servers; its own Port is ignored.
 	Fleet FleetConfig
-	// Lag is how far the served VM list is behind.
+	// Lag is the lag of the VM list.
 	Lag time.Duration
 }
 
-// Stage is all stand-ins around one fleet of VMs, with routes on loopback to
-// bring about faults while it runs. VMs in processes of their own need nothing
-// else.
+// Stage runs all the emulators that one fleet of VMs needs, and an admin API on loopback that
+// injects faults at run time. VMs that run as separate processes need nothing else.
 type Stage struct {
 	kv    *KV
 	vms   *VMs
 	fleet *Fleet
 	admin *host
-	// started is closed once admin is set, which the first call may precede.
+	// started is closed once admin is set; the first call may come before that.
 	started chan struct{}
 }
 
-// NewStage starts everything.
+// NewStage starts all emulators and the admin API.
 func NewStage(cfg StageConfig) (*Stage, error) {
 	sg := &Stage{
 		kv:  NewKV(KVConfig{Addr: loopback(cfg.Port, portKV)}),
@@ -72,7 +72,7 @@
 		return err
 	}
 	sg.fleet = fl
-	ho, err := startHost(loopback(cfg.Port, portAdmin), func(*gate) {}, sg.routes())
+	ho, err := startHost(loopback(cfg.Port, portAdmin), func(*faultListener) {}, sg.routes())
 	if err != nil {
 		return newError("NewStage", KindListen, err)
 	}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// Close ends everything that was started.
+// Close stops the emulators and the admin API, as far as they were started.
 func (sg *Stage) Close() {
 	if sg.admin != nil {
 		sg.admin.close()
@@ -97,19 +97,19 @@
 	}
 }
 
-// KV is the stand-in of the key-value service.
+// KV returns the emulated key-value service.
 func (sg *Stage) KV() *KV { return sg.kv }
 
-// VMs is the stand-in of the VM list.
+// VMs returns the emulated VM list.
 func (sg *Stage) VMs() *VMs { return sg.vms }
 
-// Fleet is the servers.
+// Fleet returns the upstream servers.
 func (sg *Stage) Fleet() *Fleet { return sg.fleet }
 
-// Admin is the host and port of the administration.
+// Admin returns the host and port of the admin API.
 func (sg *Stage) Admin() string { return sg.admin.addr() }
 
-// Describe tells where everything listens and what it does.
+// Describe returns the addresses and the present state of all emulators.
 func (sg *Stage) Describe() StageReply {
 	sn := sg.fleet.Current()
 	ry := StageReply{
@@ -120,7 +120,7 @@
 		Snapshot:  sn.Version,
 		Shards:    sn.Shards,
 		Upstreams: []StageUpstream{},
-		VMs:       sg.vms.visible(),
+		VMs:       sg.vms.servedList(),
 		KVCounts:  sg.kv.Counts(),
 	}
 	for _, sv := range sg.fleet.Servers() {
--- a/io/emul/stage_test.go
+++ b/io/emul/stage_test.go
@@ -21,17 +21,17 @@
 	return sg, ad
 }
 
-// Faults that a process of its own brings about have to reach the stand-in that
-// is named, and no other; an empty request mends.
-func TestAdminOfUpstreams(t *testing.T) {
+// Faults requested through the admin API must reach the targeted servers and no others; an
+// empty request removes them.
+func TestAdminUpstreams(t *testing.T) {
 	sg, ad := startStage(t)
 	svs := sg.Fleet().Servers()
 	one := svs[0]
 	for _, tc := range []struct {
-		rq    UpstreamFaultRequest
-		meant int
-		state wire.UpstreamState
-		life  uint64
+		rq          UpstreamFaultRequest
+		targets     int
+		state       wire.UpstreamState
+		incarnation uint64
 	}{
 		{UpstreamFaultRequest{Target: one.Addr, Action: ActionDrain}, 1, wire.UpstreamDraining, 1},
 		{UpstreamFaultRequest{Target: one.Service, Action: ActionCold}, 2, wire.UpstreamCold, 1},
@@ -44,13 +44,13 @@
 		is := is.New(t)
 		ry, err := ad.Upstream(t.Context(), tc.rq)
 		is.NoErr(err)
-		is.Equal(len(ry.Addrs), tc.meant)
+		is.Equal(len(ry.Addrs), tc.targets)
 		is.Equal(one.Upstream.Load().State, tc.state)
-		is.Equal(one.Upstream.Load().Incarnation, tc.life)
+		is.Equal(one.Upstream.Load().Incarnation, tc.incarnation)
 		is.Equal(one.Upstream.faults, faultsOf(tc.rq))
 		other := svs[3].Upstream
 		is.Equal(other.Load().Incarnation, uint64(1))
-		if tc.meant < 4 {
+		if tc.targets < 4 {
 			is.Equal(other.Load().State, wire.UpstreamServing)
 		}
 	}
@@ -61,7 +61,7 @@
 	is.True(err != nil)
 }
 
-func TestAdminOfPlatform(t *testing.T) {
+func TestAdminKVAndVMs(t *testing.T) {
 	is := is.New(t)
 	sg, ad := startStage(t)
 	is.NoErr(ad.KV(t.Context(), KVFaultRequest{Down: true, SlowMs: 5, LoseSwaps: true, SilentWatches: true, Past: true, Fail: true}))
@@ -73,8 +73,8 @@
 	is.NoErr(ad.KV(t.Context(), KVFaultRequest{Remember: true}))
 	sg.kv.swap(wire.KVSwapRequest{Key: "b", Value: []byte("2")})
 	is.NoErr(ad.KV(t.Context(), KVFaultRequest{Restore: true}))
-	is.Equal(sg.kv.now.revision, uint64(1))
-	is.Equal(len(sg.kv.now.pairs), 1)
+	is.Equal(sg.kv.current.revision, uint64(1))
+	is.Equal(len(sg.kv.current.pairs), 1)
 
 	vm := wire.VM{Addr: "127.0.0.1:1", DataCentre: "east", State: wire.VMLive}
 	is.NoErr(ad.VMs(t.Context(), VMsRequest{Set: []wire.VM{vm}}))
@@ -84,7 +84,7 @@
 	is.Equal(ry.VMs, []wire.VM{{Addr: vm.Addr, DataCentre: vm.DataCentre, State: wire.VMLeaving}})
 	is.Equal(ry.Admin, sg.Admin())
 	is.NoErr(ad.VMs(t.Context(), VMsRequest{Remove: []string{vm.Addr}}))
-	is.Equal(len(sg.vms.visible()), 0)
+	is.Equal(len(sg.vms.servedList()), 0)
 
 	sn, err := ad.Snapshot(t.Context(), SnapshotRequest{Shards: 5})
 	is.NoErr(err)
--- a/io/emul/stageup.go
+++ b/io/emul/stageup.go
@@ -14,7 +14,7 @@
 	if !ok {
 		return
 	}
-	svs := sg.meant(rq.Target)
+	svs := sg.targets(rq.Target)
 	if len(svs) == 0 {
 		replyError(rc, http.StatusNotFound, reasonTarget, "no server or service is called "+rq.Target)
 		return
@@ -22,7 +22,7 @@
 	ry := UpstreamFaultReply{Addrs: []string{}}
 	for _, sv := range svs {
 		sv.Upstream.SetFaults(faultsOf(rq))
-		if err := act(sv.Upstream, rq.Action); err != nil {
+		if err := applyAction(sv.Upstream, rq.Action); err != nil {
 			replyError(rc, http.StatusConflict, reasonAction, err.Error())
 			return
 		}
@@ -31,7 +31,7 @@
 	reply(rc, http.StatusOK, ry)
 }
 
-func (sg *Stage) meant(target string) []Server {
+func (sg *Stage) targets(target string) []Server {
 	var svs []Server
 	for _, sv := range sg.fleet.Servers() {
 		if target == EveryUpstream || target == sv.Addr || target == sv.Service {
@@ -53,7 +53,7 @@
 	}
 }
 
-func act(up *Upstream, ac UpstreamAction) error {
+func applyAction(up *Upstream, ac UpstreamAction) error {
 	switch ac {
 	case "":
 	case ActionCrash:
--- a/io/emul/tally.go
+++ b/io/emul/tally.go
@@ -16,37 +16,38 @@
 	latencyDigits  = 3
 )
 
-// LoadReport is what became of a load.
+// LoadReport is the result of a load.
 type LoadReport struct {
 	// Arrivals is Dropped + Failed + the sum of Outcomes.
 	Arrivals uint64
-	// Dropped arrivals were never sent, for too many were under way.
+	// Dropped counts the arrivals that were not sent because MaxInFlight was reached.
 	Dropped uint64
-	// Failed ones got no answer in time, or one that is not a search's.
+	// Failed counts the searches that got no answer in time or an invalid one. FirstFail is
+	// the error of the first.
 	Failed    uint64
 	FirstFail string
 	Outcomes  map[wire.Outcome]uint64
 	Reasons   map[string]uint64
-	// Latency is of the answered, in microseconds from the scheduled arrival.
+	// Latency is the latency of all answers, in microseconds from the scheduled arrival.
 	Latency *hdrhistogram.Histogram
-	// Whole is Latency of those answered completely: a refusal is quick, and
-	// many of them would hide how slow the answers are.
+	// Whole is the latency of complete answers only: refusals are fast, and many of them
+	// would hide the latency of the other answers.
 	Whole *hdrhistogram.Histogram
-	// Coverage is the mean share over the answers that are complete or partial.
+	// Coverage is the mean share over the complete and partial answers.
 	Coverage float64
 	Work     wire.Work
-	// MaxLag is how late the tool itself was at worst; figures of a load with
-	// a large one say more about the machine than about the VMs.
+	// MaxLag is the longest delay between a scheduled arrival and its sending. With a large
+	// one the figures measure the load generator's machine rather than the VMs.
 	MaxLag  time.Duration
 	Elapsed time.Duration
 }
 
-// Quantile gives a latency, for a quantile between 0 and 100.
-func (lr LoadReport) Quantile(qu float64) time.Duration {
-	return time.Duration(lr.Latency.ValueAtQuantile(qu)) * time.Microsecond
+// Quantile returns a percentile of Latency, given between 0 and 100.
+func (lr LoadReport) Quantile(percentile float64) time.Duration {
+	return time.Duration(lr.Latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Extra is the work beyond the primaries, as a share of them.
+// Extra returns the number of hedges and retries as a fraction of the primaries.
 func (lr LoadReport) Extra() float64 {
 	if lr.Work.Primaries == 0 {
 		return 0
@@ -54,12 +55,12 @@
 	return float64(lr.Work.Hedges+lr.Work.Retries) / float64(lr.Work.Primaries)
 }
 
-// tally gathers the answers of a load.
+// tally collects the results of a load.
 type tally struct {
-	mu       sync.Mutex
-	rep      LoadReport
-	covered  uint64
-	coverage float64
+	mu            sync.Mutex
+	rep           LoadReport
+	coverageCount uint64
+	coverageSum   float64
 }
 
 func newTally() *tally {
@@ -71,20 +72,20 @@
 	}}
 }
 
-func (tl *tally) arrive(lag time.Duration) {
+func (tl *tally) addArrival(lag time.Duration) {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	tl.rep.Arrivals++
 	tl.rep.MaxLag = max(tl.rep.MaxLag, lag)
 }
 
-func (tl *tally) drop() {
+func (tl *tally) addDropped() {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	tl.rep.Dropped++
 }
 
-func (tl *tally) fail(err error) {
+func (tl *tally) addFailed(err error) {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	tl.rep.Failed++
@@ -93,7 +94,7 @@
 	}
 }
 
-func (tl *tally) answer(ans wire.SearchAnswer, latency time.Duration) {
+func (tl *tally) addAnswer(ans wire.SearchAnswer, latency time.Duration) {
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	tl.rep.Outcomes[ans.Outcome]++
@@ -104,8 +105,8 @@
 	tl.rep.Work.Hedges += ans.Work.Hedges
 	tl.rep.Work.Retries += ans.Work.Retries
 	if ans.Outcome == wire.OutcomeComplete || ans.Outcome == wire.OutcomePartial {
-		tl.covered++
-		tl.coverage += ans.Coverage.Share
+		tl.coverageCount++
+		tl.coverageSum += ans.Coverage.Share
 	}
 	us := min(max(latency.Microseconds(), latencyLowest), latencyHighest)
 	_ = tl.rep.Latency.RecordValue(us) // cannot fail within the range
@@ -119,8 +120,8 @@
 	defer tl.mu.Unlock()
 	rep := tl.rep
 	rep.Elapsed = elapsed
-	if tl.covered > 0 {
-		rep.Coverage = tl.coverage / float64(tl.covered)
+	if tl.coverageCount > 0 {
+		rep.Coverage = tl.coverageSum / float64(tl.coverageCount)
 	}
 	return rep
 }
--- a/io/emul/upserve.go
+++ b/io/emul/upserve.go
@@ -9,8 +9,8 @@
 	"laburnumvane/io/wire"
 )
 
-// statusCancelled answers a sub-request that was cancelled while it ran; nobody
-// waits for this reply.
+// statusCancelled is the status of a sub-request that was cancelled while running. The caller
+// does not wait for this reply.
 const statusCancelled = 499
 
 func (up *Upstream) routes() []route {
@@ -42,13 +42,13 @@
 		up.refuse(rc, rq, rf)
 		return
 	}
-	ctx := up.lifetime()
-	up.finish(rc, jb, up.work(ctx, jb))
+	ctx := up.incarnationContext()
+	up.finish(rc, jb, up.runJob(ctx, jb))
 }
 
-// lifetime is the context of the present incarnation; a server that crashed in
-// this moment has none, and its context has ended.
-func (up *Upstream) lifetime() context.Context {
+// incarnationContext returns the context of the present incarnation, or a cancelled context if
+// the server has crashed meanwhile.
+func (up *Upstream) incarnationContext() context.Context {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.host != nil {
@@ -59,22 +59,22 @@
 	return ctx
 }
 
-func (up *Upstream) finish(rc *app.RequestContext, jb *job, en ending) {
-	switch en {
-	case endDone:
-		up.answer(rc, jb)
-	case endExpired, endUnstarted:
+func (up *Upstream) finish(rc *app.RequestContext, jb *job, jo jobOutcome) {
+	switch jo {
+	case jobDone:
+		up.replyHits(rc, jb)
+	case jobExpiredQueued, jobCancelledQueued:
 		up.refuse(rc, jb.req, wire.RefusalExpired)
-	case endDeadline:
+	case jobExpiredRunning:
 		replyError(rc, http.StatusGatewayTimeout, reasonDeadline, "the deadline passed")
-	case endCancelled:
+	case jobCancelledRunning:
 		replyError(rc, statusCancelled, reasonCancelled, "cancelled")
-	case endStopped:
+	case jobStopped:
 		replyError(rc, http.StatusServiceUnavailable, reasonStopped, "the server stops")
 	}
 }
 
-func (up *Upstream) answer(rc *app.RequestContext, jb *job) {
+func (up *Upstream) replyHits(rc *app.RequestContext, jb *job) {
 	hits, more := jb.query.Run(jb.snap, jb.req.Shard, jb.req.Limit)
 	reply(rc, http.StatusOK, wire.ShardReply{
 		ID:       jb.req.ID,
@@ -87,8 +87,8 @@
 	})
 }
 
-// refuse answers with status 200: the refusal in the body is the server's own
-// word that nothing ran, which a bare status from anything between is not.
+// refuse answers with status 200: the refusal in the body is the server's own statement that
+// nothing was run. A status code alone could come from an intermediary.
 func (up *Upstream) refuse(rc *app.RequestContext, rq wire.ShardRequest, rf wire.Refusal) {
 	ry := wire.ShardReply{ID: rq.ID, Shard: rq.Shard, Refusal: rf}
 	if rf == wire.RefusalShed {
@@ -97,7 +97,7 @@
 	up.mu.Lock()
 	up.refusals[rf]++
 	ry.Load = up.load()
-	if sn := up.newest(rq.Register); sn != nil {
+	if sn := up.newestSnapshot(rq.Register); sn != nil {
 		ry.Snapshot = sn.Version
 		ry.Shards = sn.Shards
 	}
@@ -105,10 +105,10 @@
 	reply(rc, http.StatusOK, ry)
 }
 
-func (up *Upstream) newest(register string) *Snapshot {
-	for i := len(up.held) - 1; i >= 0; i-- {
-		if up.held[i].snap.Register == register {
-			return up.held[i].snap
+func (up *Upstream) newestSnapshot(register string) *Snapshot {
+	for i := len(up.holdings) - 1; i >= 0; i-- {
+		if up.holdings[i].snap.Register == register {
+			return up.holdings[i].snap
 		}
 	}
 	return nil
@@ -140,17 +140,17 @@
 	reply(rc, code, us.UpstreamLoad)
 }
 
-// status is what the endpoints say, which the faults may hold back or falsify.
+// status returns what the load and health endpoints report. Faults may delay or falsify it.
 func (up *Upstream) status() wire.UpstreamStatus {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	now := up.cfg.Clock()
-	if !up.toldOnce || now-up.toldAt >= up.faults.StatusLag {
-		up.told = up.trueStatus()
-		up.toldAt = now
-		up.toldOnce = true
+	if !up.hasReported || now-up.reportedAt >= up.faults.StatusLag {
+		up.reported = up.actualStatus()
+		up.reportedAt = now
+		up.hasReported = true
 	}
-	us := up.told
+	us := up.reported
 	if up.faults.Claim != "" {
 		us.State = up.faults.Claim
 		us.InFlight = 0
@@ -159,12 +159,12 @@
 	return us
 }
 
-func (up *Upstream) trueStatus() wire.UpstreamStatus {
+func (up *Upstream) actualStatus() wire.UpstreamStatus {
 	us := wire.UpstreamStatus{UpstreamLoad: up.load(), Slots: up.cfg.Slots, Holdings: []wire.ShardHolding{}}
 	if up.host != nil {
-		us.Connections = up.host.gate.open()
+		us.Connections = up.host.listener.countOpen()
 	}
-	for _, hd := range up.held {
+	for _, hd := range up.holdings {
 		us.Holdings = append(us.Holdings, wire.ShardHolding{
 			Register: hd.snap.Register,
 			Snapshot: hd.snap.Version,
--- a/io/emul/upstream.go
+++ b/io/emul/upstream.go
@@ -10,67 +10,70 @@
 
 // Defaults of an UpstreamConfig.
 const (
-	DefaultSlots      = 3
-	DefaultQueue      = 3
-	DefaultKeep       = 2
-	DefaultRecord     = 1 << 16
-	DefaultRetryAfter = 20 * time.Millisecond
+	DefaultSlots        = 3
+	DefaultQueue        = 3
+	DefaultMaxSnapshots = 2
+	DefaultMaxRuns      = 1 << 16
+	DefaultRetryAfter   = 20 * time.Millisecond
 )
 
-// ServiceTime draws how long one sub-request takes. It is called by one
-// goroutine at a time.
+// ServiceTime draws the service time of one sub-request. It is called by one goroutine at a
+// time.
 type ServiceTime func(rd *rand.Rand) time.Duration
 
 // UpstreamConfig configures an Upstream. Zero values take the defaults.
 type UpstreamConfig struct {
-	// Clock ages the status that StatusLag holds back.
+	// Clock measures the age of the status for StatusLag.
 	Clock Clock
 	// Seed makes service times and faults repeatable.
 	Seed uint64
-	// Slots is how many sub-requests run at once.
+	// Slots is the number of sub-requests that run at once.
 	Slots int
-	// Queue is how many wait for a slot; below 0 means none.
+	// Queue is the number of sub-requests that can wait for a slot; below 0 means none.
 	Queue int
-	// Connections is how many may be open; 0 means any number.
+	// Connections is the limit of open connections; 0 means no limit.
 	Connections int
-	// Setup is the time that a new connection costs before it is read.
+	// Setup is the delay before a new connection is read.
 	Setup time.Duration
-	// Service draws service times; nil means none at all.
+	// Service draws service times; nil means that sub-requests take no time.
 	Service ServiceTime
-	// Keep is how many snapshots are held, the newest ones.
-	Keep int
-	// Record is how many runs are remembered.
-	Record int
-	// RetryAfter is what a refusal by shedding advises.
+	// MaxSnapshots is how many snapshots are held; the oldest is retired beyond that.
+	MaxSnapshots int
+	// MaxRuns is the number of recent runs kept in the run log.
+	MaxRuns int
+	// RetryAfter is the delay before a retry that a shed sub-request's refusal advises.
 	RetryAfter time.Duration
-	// ReportsOnly ignores the snapshot wished for and serves the newest held.
+	// ReportsOnly ignores the requested snapshot and serves the newest one held.
 	ReportsOnly bool
-	// State is the state at the start; empty means serving.
+	// State is the initial state; empty means serving.
 	State wire.UpstreamState
-	// Addr is listened on; empty means a free loopback port.
+	// Addr is the address to listen on; empty means a free loopback port.
 	Addr string
 }
 
-// UpstreamFaults are the ways in which a server can fail. The zero value works.
+// UpstreamFaults are the faults injected into a server. The zero value injects none.
 type UpstreamFaults struct {
-	// SlowShare is the fraction of sub-requests that take SlowTimes as long.
+	// SlowShare is the fraction of sub-requests whose service time is multiplied by
+	// SlowTimes.
 	SlowShare float64
 	SlowTimes float64
-	// ErrorShare is the fraction that fails at once with status 500, unrun.
+	// ErrorShare is the fraction of sub-requests that fail at once with status 500 and are
+	// not run.
 	ErrorShare float64
-	// Mute takes and runs requests but writes no reply at all.
+	// Mute accepts and runs requests but writes no bytes of a reply.
 	Mute bool
-	// SilentAfter lets each connection opened from now on go silent in both
-	// directions once so many bytes are written; 0 means never.
+	// SilentAfter makes each connection opened from now on go silent in both directions
+	// after this many bytes have been written; 0 means never.
 	SilentAfter int64
-	// StatusLag lets the load and health endpoints tell what was so long ago.
+	// StatusLag is how long the load and health endpoints repeat a status before they
+	// update it.
 	StatusLag time.Duration
-	// Claim is the state that those endpoints give, with no load, whatever is
-	// so; empty means the truth. Replies to sub-requests stay true.
+	// Claim is a false state that those endpoints report, with no load; empty means the
+	// actual state. Replies to sub-requests always report the actual state.
 	Claim wire.UpstreamState
 }
 
-// Upstream stands in for one server of a service.
+// Upstream emulates one server of a service.
 type Upstream struct {
 	cfg UpstreamConfig
 
@@ -81,30 +84,30 @@
 	state       wire.UpstreamState
 	incarnation uint64
 	faults      UpstreamFaults
-	held        []holding // oldest snapshot first
+	holdings    []holding // oldest snapshot first
 	running     int
 	queue       []*job
 	jobs        map[string]*job
-	runs        runRecord
+	runLog      runLog
 	refusals    map[wire.Refusal]uint64
-	told        wire.UpstreamStatus
-	toldAt      time.Duration
-	toldOnce    bool
+	reported    wire.UpstreamStatus
+	reportedAt  time.Duration
+	hasReported bool
 }
 
-// holding is the part of a snapshot that a server holds.
+// holding is the set of shards of one snapshot that a server holds.
 type holding struct {
 	snap   *Snapshot
 	shards []int
 }
 
-// NewUpstream makes a server that holds nothing.
+// NewUpstream returns a server that holds no shards and is not started.
 func NewUpstream(cfg UpstreamConfig) *Upstream {
 	cfg.Clock = orRealClock(cfg.Clock)
 	cfg.Slots = orDefault(cfg.Slots, DefaultSlots)
 	cfg.Queue = max(orDefault(cfg.Queue, DefaultQueue), 0)
-	cfg.Keep = orDefault(cfg.Keep, DefaultKeep)
-	cfg.Record = orDefault(cfg.Record, DefaultRecord)
+	cfg.MaxSnapshots = orDefault(cfg.MaxSnapshots, DefaultMaxSnapshots)
+	cfg.MaxRuns = orDefault(cfg.MaxRuns, DefaultMaxRuns)
 	cfg.RetryAfter = orDefault(cfg.RetryAfter, DefaultRetryAfter)
 	if cfg.Service == nil {
 		cfg.Service = func(*rand.Rand) time.Duration { return 0 }
@@ -118,7 +121,7 @@
 		rnd:      rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
 		state:    cfg.State,
 		jobs:     map[string]*job{},
-		runs:     newRunRecord(cfg.Record),
+		runLog:   newRunLog(cfg.MaxRuns),
 		refusals: map[wire.Refusal]uint64{},
 	}
 }
@@ -135,8 +138,8 @@
 	return up.start("Upstream.Start", up.cfg.State)
 }
 
-// Restart serves again after a crash: at the same address, in the given state,
-// as the next incarnation and with no work left over.
+// Restart serves again after a crash, at the same address and in the given state, as the next
+// incarnation. Sub-requests from before the crash are lost.
 func (up *Upstream) Restart(state wire.UpstreamState) error {
 	return up.start("Upstream.Restart", state)
 }
@@ -147,7 +150,7 @@
 	if up.host != nil {
 		return errorf(op, KindState, "already serving on %s", up.addr)
 	}
-	ho, err := startHost(up.addr, up.setUp, up.routes())
+	ho, err := startHost(up.addr, up.configureListener, up.routes())
 	if err != nil {
 		return newError(op, KindListen, err)
 	}
@@ -155,25 +158,25 @@
 	up.addr = ho.addr()
 	up.incarnation++
 	up.state = state
-	up.toldOnce = false
+	up.hasReported = false
 	return nil
 }
 
-func (up *Upstream) setUp(gt *gate) {
-	gt.limit = up.cfg.Connections
-	gt.setup = up.cfg.Setup
-	gt.silentAt = up.faults.SilentAfter
-	gt.mute.Store(up.faults.Mute)
+func (up *Upstream) configureListener(li *faultListener) {
+	li.limit = up.cfg.Connections
+	li.setup = up.cfg.Setup
+	li.silentAfter = up.faults.SilentAfter
+	li.mute.Store(up.faults.Mute)
 }
 
-// Addr is the host and port of the server; it stays the same over a restart.
+// Addr returns the host and port of the server; a restart does not change it.
 func (up *Upstream) Addr() string {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	return up.addr
 }
 
-// Crash closes the listener and all connections and gives up all work.
+// Crash closes the listener and all connections and aborts all sub-requests.
 func (up *Upstream) Crash() {
 	up.mu.Lock()
 	ho := up.host
@@ -184,46 +187,45 @@
 	}
 }
 
-// Close ends the server; it is the same as a crash.
+// Close stops the server. It is the same as Crash.
 func (up *Upstream) Close() { up.Crash() }
 
-// Silence makes all connections that are open now go silent for good. New ones
-// work.
+// Silence makes all open connections go silent permanently. New ones work.
 func (up *Upstream) Silence() {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.host != nil {
-		up.host.gate.silenceAll()
+		up.host.listener.silenceAll()
 	}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (up *Upstream) SetFaults(uf UpstreamFaults) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.faults = uf
 	if up.host != nil {
-		up.host.gate.setSilentAfter(uf.SilentAfter)
-		up.host.gate.mute.Store(uf.Mute)
+		up.host.listener.setSilentAfter(uf.SilentAfter)
+		up.host.listener.mute.Store(uf.Mute)
 	}
 }
 
-// SetState makes the server cold, serving or draining. Work that was accepted
-// before is finished.
+// SetState makes the server cold, serving or draining. Sub-requests accepted before are
+// completed.
 func (up *Upstream) SetState(state wire.UpstreamState) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	up.state = state
 }
 
-// Hold adds the shards of a newer snapshot, and retires the oldest snapshot if
-// more than Keep are held then.
+// Hold adds the shards of a newer snapshot, and retires the oldest snapshot if more than
+// MaxSnapshots are held then.
 func (up *Upstream) Hold(snap *Snapshot, shards []int) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	up.held = append(up.held, holding{snap: snap, shards: shards})
-	if over := len(up.held) - up.cfg.Keep; over > 0 {
-		up.held = append([]holding(nil), up.held[over:]...)
+	up.holdings = append(up.holdings, holding{snap: snap, shards: shards})
+	if over := len(up.holdings) - up.cfg.MaxSnapshots; over > 0 {
+		up.holdings = append([]holding(nil), up.holdings[over:]...)
 	}
 }
 
@@ -231,34 +233,34 @@
 func (up *Upstream) Retire(version uint64) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
-	kept := make([]holding, 0, len(up.held))
-	for _, hd := range up.held {
+	kept := make([]holding, 0, len(up.holdings))
+	for _, hd := range up.holdings {
 		if hd.snap.Version != version {
 			kept = append(kept, hd)
 		}
 	}
-	up.held = kept
+	up.holdings = kept
 }
 
-// Connections is the number open now, and how many were refused by the limit
-// since the start of this incarnation.
+// Connections returns the number of open connections, and how many were refused because of the
+// limit since the start of this incarnation.
 func (up *Upstream) Connections() (open int, refused uint64) {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	if up.host == nil {
 		return 0, 0
 	}
-	return up.host.gate.open(), up.host.gate.rejected.Load()
+	return up.host.listener.countOpen(), up.host.listener.rejected.Load()
 }
 
-// Refused is how often a refusal was given.
+// Refused returns how often a refusal was given.
 func (up *Upstream) Refused(rf wire.Refusal) uint64 {
 	up.mu.Lock()
 	defer up.mu.Unlock()
 	return up.refusals[rf]
 }
 
-// Load is the true load now.
+// Load returns the actual present load.
 func (up *Upstream) Load() wire.UpstreamLoad {
 	up.mu.Lock()
 	defer up.mu.Unlock()
--- a/io/emul/upstream_test.go
+++ b/io/emul/upstream_test.go
@@ -19,8 +19,8 @@
 
 const findAll = `{}`
 
-// startUpstream holds shards 0 and 1 of versions 1 to 3 with four shards each,
-// of which Keep leaves the last two.
+// startUpstream starts a server and adds shards 0 and 1 of the snapshots 1 to 3, which have four
+// shards each. With the default MaxSnapshots it then holds the last two.
 func startUpstream(t *testing.T, cfg UpstreamConfig) *Upstream {
 	is := is.New(t)
 	rg, err := SampleRegister("members", 1, 100)
@@ -36,28 +36,27 @@
 	return up
 }
 
-func ask(id string) wire.ShardRequest {
+func newShardRequest(id string) wire.ShardRequest {
 	return wire.ShardRequest{
 		ID:         id,
 		Register:   "members",
 		Snapshot:   3,
-		DeadlineMs: patience.Milliseconds(),
+		DeadlineMs: waitTimeout.Milliseconds(),
 		Query:      []byte(findAll),
 	}
 }
 
 func search(t *testing.T, up *Upstream, rq wire.ShardRequest) (wire.ShardReply, int, error) {
 	var ry wire.ShardReply
-	code, err := newCaller(t, patience).send(up.Addr(), wire.RouteShardSearch, rq, &ry)
+	code, err := newTestClient(t, waitTimeout).send(up.Addr(), wire.RouteShardSearch, rq, &ry)
 	return ry, code, err
 }
 
-// never is the service time of work that only a cancellation or deadline ends.
-func never(*rand.Rand) time.Duration { return time.Hour }
+// endlessService is the service time of work that only a cancellation or deadline ends.
+func endlessService(*rand.Rand) time.Duration { return time.Hour }
 
 func TestUpstreamRefusals(t *testing.T) {
-	// The caller sees a refusal, the server's own word that nothing ran; the
-	// record of runs must bear it out.
+	// A refusal states that nothing was run; the run log must agree.
 	cases := []struct {
 		name     string
 		cfg      UpstreamConfig
@@ -66,10 +65,10 @@
 		snapshot uint64
 	}{
 		{"newest", UpstreamConfig{}, func(*wire.ShardRequest) {}, "", 3},
-		{"one before", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Snapshot = 2 }, "", 2},
+		{"previous", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Snapshot = 2 }, "", 2},
 		{"any", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Snapshot = 0 }, "", 3},
 		{"retired", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Snapshot = 1 }, wire.RefusalSnapshotGone, 3},
-		{"wish ignored", UpstreamConfig{ReportsOnly: true}, func(rq *wire.ShardRequest) { rq.Snapshot = 1 }, "", 3},
+		{"reports only", UpstreamConfig{ReportsOnly: true}, func(rq *wire.ShardRequest) { rq.Snapshot = 1 }, "", 3},
 		{"other shard", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Shard = 2 }, wire.RefusalNotHeld, 3},
 		{"other register", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.Register = "x" }, wire.RefusalNotHeld, 0},
 		{"expired", UpstreamConfig{}, func(rq *wire.ShardRequest) { rq.DeadlineMs = 0 }, wire.RefusalExpired, 3},
@@ -80,7 +79,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			up := startUpstream(t, tc.cfg)
-			rq := ask("s1")
+			rq := newShardRequest("s1")
 			tc.change(&rq)
 			ry, code, err := search(t, up, rq)
 			is.NoErr(err)
@@ -95,32 +94,32 @@
 }
 
 func TestUpstreamSlots(t *testing.T) {
-	// One sub-request runs, one waits, the third is shed. The one that waits is
-	// cancelled and says that it did not run; the running one is cancelled and
-	// cannot say so. The slot is then free again.
+	// One sub-request runs, one is queued, the third is shed. The queued one is cancelled
+	// and refused as not run; the running one is cancelled without such a refusal. The slot
+	// is then free again.
 	is := is.New(t)
-	up := startUpstream(t, UpstreamConfig{Slots: 1, Queue: 1, Service: never})
+	up := startUpstream(t, UpstreamConfig{Slots: 1, Queue: 1, Service: endlessService})
 	codes := map[string]chan int{"runs": make(chan int, 1), "waits": make(chan int, 1)}
 	waited := make(chan wire.ShardReply, 1)
 	go func() {
-		_, code, _ := search(t, up, ask("runs"))
+		_, code, _ := search(t, up, newShardRequest("runs"))
 		codes["runs"] <- code
 	}()
 	eventually(is, func() bool { return up.Load().InFlight == 1 })
 	go func() {
-		ry, _, _ := search(t, up, ask("waits"))
+		ry, _, _ := search(t, up, newShardRequest("waits"))
 		waited <- ry
 	}()
 	eventually(is, func() bool { return up.Load().Queued == 1 })
 
-	ry, _, err := search(t, up, ask("shed"))
+	ry, _, err := search(t, up, newShardRequest("shed"))
 	is.NoErr(err)
 	is.Equal(ry.Refusal, wire.RefusalShed)
 	is.Equal(ry.RetryAfterMs, DefaultRetryAfter.Milliseconds())
 	is.Equal(ry.Load.InFlight, 1)
 	is.Equal(ry.Load.Queued, 1)
 
-	ca := newCaller(t, patience)
+	ca := newTestClient(t, waitTimeout)
 	for _, id := range []string{"waits", "unknown", "runs"} {
 		_, err = ca.send(up.Addr(), wire.RouteShardCancel, wire.CancelRequest{ID: id}, nil)
 		is.NoErr(err)
@@ -135,12 +134,12 @@
 }
 
 func TestUpstreamDeadline(t *testing.T) {
-	// Two sub-requests run out of time. The one that got a slot gets no refusal,
-	// for it did run; the one that waited behind another gets one.
+	// The deadlines of two sub-requests pass. The one that got a slot is not refused,
+	// because it was run; the queued one is.
 	is := is.New(t)
-	up := startUpstream(t, UpstreamConfig{Slots: 1, Service: never})
+	up := startUpstream(t, UpstreamConfig{Slots: 1, Service: endlessService})
 	short := func(id string) wire.ShardRequest {
-		rq := ask(id)
+		rq := newShardRequest(id)
 		rq.DeadlineMs = 1
 		return rq
 	}
@@ -152,7 +151,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, _, _ = search(t, up, ask("holds"))
+		_, _, _ = search(t, up, newShardRequest("holds"))
 	}()
 	eventually(is, func() bool { return up.Ran("holds") })
 	ry, _, err := search(t, up, short("waits"))
@@ -163,7 +162,7 @@
 	<-ended
 }
 
-func TestUpstreamQueueMovesOn(t *testing.T) {
+func TestUpstreamQueueDrains(t *testing.T) {
 	is := is.New(t)
 	up := startUpstream(t, UpstreamConfig{Slots: 1, Queue: 8, Service: func(*rand.Rand) time.Duration {
 		return time.Millisecond
@@ -171,7 +170,7 @@
 	got := make(chan wire.ShardReply, 8)
 	for range cap(got) {
 		go func() {
-			ry, _, _ := search(t, up, ask("s"))
+			ry, _, _ := search(t, up, newShardRequest("s"))
 			got <- ry
 		}()
 	}
@@ -184,8 +183,8 @@
 }
 
 func TestUpstreamFaults(t *testing.T) {
-	// A caller searches under a fault. From a bare status it cannot tell whether
-	// the search ran.
+	// The status of a search under a fault does not tell the caller whether it was run; the
+	// run log does.
 	cases := []struct {
 		name   string
 		faults UpstreamFaults
@@ -201,7 +200,7 @@
 			is := is.New(t)
 			up := startUpstream(t, UpstreamConfig{})
 			up.SetFaults(tc.faults)
-			_, code, err := search(t, up, ask("s"))
+			_, code, err := search(t, up, newShardRequest("s"))
 			is.NoErr(err)
 			is.Equal(code, tc.code)
 			is.Equal(up.Ran("s"), tc.ran)
@@ -210,12 +209,12 @@
 }
 
 func TestUpstreamNoAnswer(t *testing.T) {
-	// The server takes a search and runs it, but no answer comes, or a part of
-	// one. The connection stays open; one opened after the fault works.
+	// The server accepts a search and runs it, but no answer comes, or only a part of one.
+	// The connection stays open; one opened after the fault is removed works.
 	cases := []struct {
 		name   string
 		faults UpstreamFaults
-		bytes  int // of the reply that come
+		bytes  int // of the reply that arrive
 	}{
 		{"mute", UpstreamFaults{Mute: true}, 0},
 		{"silent within the reply", UpstreamFaults{SilentAfter: 40}, 40},
@@ -228,7 +227,7 @@
 			nc, err := net.Dial("tcp", up.Addr())
 			is.NoErr(err)
 			defer func() { _ = nc.Close() }()
-			body, err := json.Marshal(ask("s"))
+			body, err := json.Marshal(newShardRequest("s"))
 			is.NoErr(err)
 			rq, err := http.NewRequest(http.MethodPost, "http://"+up.Addr()+wire.RouteShardSearch, bytes.NewReader(body))
 			is.NoErr(err)
@@ -236,12 +235,12 @@
 			eventually(is, func() bool { return up.Ran("s") })
 			_, err = io.ReadFull(nc, make([]byte, tc.bytes))
 			is.NoErr(err)
-			is.NoErr(nc.SetReadDeadline(time.Now().Add(briefly)))
+			is.NoErr(nc.SetReadDeadline(time.Now().Add(silenceWindow)))
 			_, err = nc.Read(make([]byte, 1))
-			is.True(errors.Is(err, os.ErrDeadlineExceeded)) // open, and nothing comes
+			is.True(errors.Is(err, os.ErrDeadlineExceeded)) // open, but no more bytes
 
 			up.SetFaults(UpstreamFaults{})
-			_, code, err := search(t, up, ask("after"))
+			_, code, err := search(t, up, newShardRequest("after"))
 			is.NoErr(err)
 			is.Equal(code, http.StatusOK)
 		})
@@ -249,19 +248,19 @@
 }
 
 func TestUpstreamSilence(t *testing.T) {
-	// An open connection goes silent: the next request on it gets no answer and
-	// never reaches the server, while one on a new connection is answered.
+	// After an open connection goes silent, the next request on it does not reach the server
+	// and gets no answer, while one on a new connection is answered.
 	is := is.New(t)
 	up := startUpstream(t, UpstreamConfig{})
-	ca := newCaller(t, patience)
+	ca := newTestClient(t, waitTimeout)
 	_, err := ca.send(up.Addr(), wire.RoutePing, nil, nil)
 	is.NoErr(err)
 	up.Silence()
-	ca.hc.Timeout = briefly
-	_, err = ca.send(up.Addr(), wire.RouteShardSearch, ask("lost"), nil)
+	ca.hc.Timeout = silenceWindow
+	_, err = ca.send(up.Addr(), wire.RouteShardSearch, newShardRequest("lost"), nil)
 	is.True(err != nil)
 	is.True(!up.Ran("lost"))
-	_, _, err = search(t, up, ask("new"))
+	_, _, err = search(t, up, newShardRequest("new"))
 	is.NoErr(err)
 	is.True(up.Ran("new"))
 }
@@ -287,19 +286,18 @@
 		is.NoErr(nc.Close())
 	}
 	eventually(is, func() bool { open, _ := up.Connections(); return open == 0 })
-	_, _, err = search(t, up, ask("s"))
-	is.NoErr(err) // a closed connection gives its place back
+	_, _, err = search(t, up, newShardRequest("s"))
+	is.NoErr(err) // a closed connection does not count towards the limit
 }
 
 func TestUpstreamCrash(t *testing.T) {
-	// The server dies under a search, which gets an error and has run. Nobody
-	// listens until the restart, whose incarnation is the next and whose slots
-	// are free.
+	// The server crashes while it runs a search, which gets an error. Its port is closed
+	// until the restart, which has the next incarnation and free slots.
 	is := is.New(t)
-	up := startUpstream(t, UpstreamConfig{Slots: 1, Service: never})
+	up := startUpstream(t, UpstreamConfig{Slots: 1, Service: endlessService})
 	failed := make(chan error, 1)
 	go func() {
-		_, _, err := search(t, up, ask("s"))
+		_, _, err := search(t, up, newShardRequest("s"))
 		failed <- err
 	}()
 	eventually(is, func() bool { return up.Load().InFlight == 1 })
@@ -309,22 +307,22 @@
 	_, err := net.Dial("tcp", up.Addr())
 	is.True(err != nil)
 	is.NoErr(up.Restart(wire.UpstreamCold))
-	is.True(up.Restart(wire.UpstreamCold) != nil) // it serves already
-	ry, _, err := search(t, up, ask("again"))
+	is.True(up.Restart(wire.UpstreamCold) != nil) // already serving
+	ry, _, err := search(t, up, newShardRequest("again"))
 	is.NoErr(err)
 	is.Equal(ry.Refusal, wire.RefusalCold)
 	is.Equal(ry.Load, wire.UpstreamLoad{Incarnation: 2, State: wire.UpstreamCold})
 }
 
 func TestUpstreamStatus(t *testing.T) {
-	// The endpoints lag behind a server that drains, and then lie about it; a
-	// reply to a sub-request tells the truth throughout.
+	// The status endpoints lag behind a server that drains, and then report a false state;
+	// replies to sub-requests always report the actual state.
 	is := is.New(t)
 	fc := &fakeClock{}
 	up := startUpstream(t, UpstreamConfig{Clock: fc.clock})
 	status := func() (wire.UpstreamState, int) {
 		var us wire.UpstreamStatus
-		ca := newCaller(t, patience)
+		ca := newTestClient(t, waitTimeout)
 		_, err := ca.send(up.Addr(), wire.RouteUpLoad, nil, &us)
 		is.NoErr(err)
 		code, err := ca.send(up.Addr(), wire.RouteUpHealth, nil, nil)
@@ -350,7 +348,7 @@
 		state, code := status()
 		is.Equal(state, st.state)
 		is.Equal(code, st.code)
-		ry, _, err := search(t, up, ask("s"))
+		ry, _, err := search(t, up, newShardRequest("s"))
 		is.NoErr(err)
 		is.Equal(ry.Load.State, wire.UpstreamDraining)
 	}
--- a/io/emul/vms.go
+++ b/io/emul/vms.go
@@ -13,21 +13,21 @@
 	"laburnumvane/io/wire"
 )
 
-// maxVMHistory bounds the past lists kept to serve a lagging one.
+// maxVMHistory limits the number of earlier lists kept to serve a lagging one.
 const maxVMHistory = 1024
 
 // VMsConfig configures a VM list.
 type VMsConfig struct {
-	// Clock is what the lag is measured by; nil means real time.
+	// Clock measures the lag; nil means real time.
 	Clock Clock
-	// Lag is how far the served list is behind.
+	// Lag is the delay after which a change appears in the served list.
 	Lag time.Duration
-	// Addr is listened on; empty means a free loopback port.
+	// Addr is the address to listen on; empty means a free loopback port.
 	Addr string
 }
 
-// VMs stands in for the platform's VM list. It serves the list as it was one
-// lag ago, and an empty one before that.
+// VMs emulates the platform's VM list. It serves the list as it was one lag ago; it serves an
+// empty list until the first change is that old.
 type VMs struct {
 	clock Clock
 	addr  string
@@ -36,15 +36,15 @@
 	mu      sync.Mutex
 	lag     time.Duration
 	current map[string]wire.VM
-	history []vmList // oldest first
+	history []vmListVersion // oldest first
 }
 
-type vmList struct {
+type vmListVersion struct {
 	at  time.Duration
 	vms []wire.VM
 }
 
-// NewVMs makes an empty list.
+// NewVMs returns an empty list, not yet served.
 func NewVMs(cfg VMsConfig) *VMs {
 	return &VMs{
 		clock:   orRealClock(cfg.Clock),
@@ -57,7 +57,7 @@
 // Start serves on the configured address.
 func (vs *VMs) Start() error {
 	rts := []route{{http.MethodGet, wire.RouteVMs, vs.serve}}
-	ho, err := startHost(vs.addr, func(*gate) {}, rts)
+	ho, err := startHost(vs.addr, func(*faultListener) {}, rts)
 	if err != nil {
 		return newError("VMs.Start", KindListen, err)
 	}
@@ -65,16 +65,16 @@
 	return nil
 }
 
-// Addr is the host and port that the list is served on.
+// Addr returns the host and port that the list is served on. Start must have succeeded.
 func (vs *VMs) Addr() string { return vs.host.addr() }
 
-// Close ends the server.
+// Close stops the server.
 func (vs *VMs) Close() { vs.host.close() }
 
 // SetDown makes the list unreachable, or reachable again.
-func (vs *VMs) SetDown(down bool) { vs.host.gate.setRefuse(down) }
+func (vs *VMs) SetDown(down bool) { vs.host.listener.setRefuse(down) }
 
-// SetLag changes how far the served list is behind.
+// SetLag changes the lag of the served list.
 func (vs *VMs) SetLag(lag time.Duration) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
@@ -86,10 +86,10 @@
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	vs.current[vm.Addr] = vm
-	vs.record()
+	vs.recordHistory()
 }
 
-// Leaving marks a VM as leaving; an unknown address is ignored.
+// Leaving sets a VM's state to leaving; an unknown address is ignored.
 func (vs *VMs) Leaving(addr string) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
@@ -99,39 +99,39 @@
 	}
 	vm.State = wire.VMLeaving
 	vs.current[addr] = vm
-	vs.record()
+	vs.recordHistory()
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (vs *VMs) Remove(addr string) {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
 	delete(vs.current, addr)
-	vs.record()
+	vs.recordHistory()
 }
 
-func (vs *VMs) record() {
+func (vs *VMs) recordHistory() {
 	vms := make([]wire.VM, 0, len(vs.current))
 	for _, addr := range slices.Sorted(maps.Keys(vs.current)) {
 		vms = append(vms, vs.current[addr])
 	}
-	vs.history = append(vs.history, vmList{at: vs.clock(), vms: vms})
+	vs.history = append(vs.history, vmListVersion{at: vs.clock(), vms: vms})
 	if over := len(vs.history) - maxVMHistory; over > 0 {
 		vs.history = slices.Delete(vs.history, 0, over)
 	}
 }
 
 func (vs *VMs) serve(_ context.Context, rc *app.RequestContext) {
-	reply(rc, http.StatusOK, wire.VMList{VMs: vs.visible()})
+	reply(rc, http.StatusOK, wire.VMList{VMs: vs.servedList()})
 }
 
-// visible is the newest list that is at least one lag old.
-func (vs *VMs) visible() []wire.VM {
+// servedList returns the newest list that is at least one lag old.
+func (vs *VMs) servedList() []wire.VM {
 	vs.mu.Lock()
 	defer vs.mu.Unlock()
-	cut := vs.clock() - vs.lag
+	newest := vs.clock() - vs.lag
 	for _, vl := range slices.Backward(vs.history) {
-		if vl.at <= cut {
+		if vl.at <= newest {
 			return vl.vms
 		}
 	}
--- a/io/emul/vms_test.go
+++ b/io/emul/vms_test.go
@@ -17,7 +17,7 @@
 	defer vs.Close()
 	states := func() map[string]wire.VMState {
 		var vl wire.VMList
-		_, err := newCaller(t, patience).send(vs.Addr(), wire.RouteVMs, nil, &vl)
+		_, err := newTestClient(t, waitTimeout).send(vs.Addr(), wire.RouteVMs, nil, &vl)
 		is.NoErr(err)
 		sts := map[string]wire.VMState{}
 		for _, vm := range vl.VMs {
@@ -41,7 +41,7 @@
 	is.Equal(states(), after)
 
 	vs.SetDown(true)
-	_, err := newCaller(t, patience).send(vs.Addr(), wire.RouteVMs, nil, nil)
+	_, err := newTestClient(t, waitTimeout).send(vs.Addr(), wire.RouteVMs, nil, nil)
 	is.True(err != nil)
 	vs.SetDown(false)
 	is.Equal(states(), after)
