--- a/io/upst/bench_test.go
+++ b/io/upst/bench_test.go
@@ -10,8 +10,9 @@
 	"laburnumvane/io/upst"
 )
 
-// canned answers every request with the same reply, with no work of its own.
-func canned(b *testing.B) string {
+// startCannedServer starts a server that answers every request with the same reply, without
+// other work.
+func startCannedServer(b *testing.B) string {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -26,14 +27,14 @@
 			if err != nil {
 				return
 			}
-			go answer(nc, reply)
+			go serveCanned(nc, reply)
 		}
 	}()
 	return ln.Addr().String()
 }
 
-// answer takes each read for one request: they are small and come one by one.
-func answer(nc net.Conn, reply []byte) {
+// serveCanned treats each read as one request: requests are small and come one at a time.
+func serveCanned(nc net.Conn, reply []byte) {
 	buf := make([]byte, 4096)
 	for {
 		if _, err := nc.Read(buf); err != nil {
@@ -45,10 +46,10 @@
 	}
 }
 
-// One exchange over a warm connection on loopback, encoding and decoding
-// included.
+// BenchmarkExchange measures one exchange over an open loopback connection, including encoding
+// and decoding.
 func BenchmarkExchange(b *testing.B) {
-	sv := upst.New(upst.Config{Addr: canned(b), MaxConns: 4, DialTimeout: time.Second})
+	sv := upst.New(upst.Config{Addr: startCannedServer(b), MaxConns: 4, DialTimeout: time.Second})
 	defer sv.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
 	defer cancel()
--- a/io/upst/cancel.go
+++ b/io/upst/cancel.go
@@ -12,24 +12,23 @@
 	"laburnumvane/io/wire"
 )
 
-// cancelRoom bounds the cancellations that wait for a connection; beyond it a
-// sub-request is left to its deadline.
-const cancelRoom = 64
+// maxQueuedCancels limits the cancellations that wait for a connection. Further ones are not
+// sent, and their sub-requests end at their deadlines.
+const maxQueuedCancels = 64
 
-// cancels are the sub-requests to be given up once a connection is free. To
-// wait for one in the queue of requests would put a cancellation behind the
-// very requests that it is about, and to open one costs the server more than
-// the work that is given up.
-type cancels struct {
+// cancelQueue holds the ids of sub-requests to cancel once a connection is free. In the queue of
+// requests a cancellation would wait behind the requests that it is meant to relieve, and a new
+// connection would cost the server more than the cancelled work.
+type cancelQueue struct {
 	mu  sync.Mutex
 	ids []string
 	n   atomic.Int32
 }
 
-func (ca *cancels) add(id string) bool {
+func (ca *cancelQueue) add(id string) bool {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	if len(ca.ids) >= cancelRoom {
+	if len(ca.ids) >= maxQueuedCancels {
 		return false
 	}
 	ca.ids = append(ca.ids, id)
@@ -37,7 +36,7 @@
 	return true
 }
 
-func (ca *cancels) next() (string, bool) {
+func (ca *cancelQueue) next() (string, bool) {
 	if ca.n.Load() == 0 {
 		return "", false
 	}
@@ -46,7 +45,7 @@
 	if len(ca.ids) == 0 {
 		return "", false
 	}
-	// The newest first: it has the most time left, and so the most to save.
+	// The newest first: it has the most time left, so cancelling it saves the most work.
 	last := len(ca.ids) - 1
 	id := ca.ids[last]
 	ca.ids = ca.ids[:last]
@@ -54,8 +53,8 @@
 	return id, true
 }
 
-// forget drops the cancellation of a sub-request that has ended.
-func (ca *cancels) forget(id string) {
+// remove removes the cancellation of a sub-request that has ended.
+func (ca *cancelQueue) remove(id string) {
 	if ca.n.Load() == 0 {
 		return
 	}
@@ -68,7 +67,7 @@
 func (po *pool) cancel(id string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.shut {
+	if po.closed {
 		return
 	}
 	if cn, ok := po.popIdle(); ok {
@@ -80,19 +79,19 @@
 	}
 }
 
-// sendCancel sends a cancellation on a connection in nobody's hands.
+// sendCancel sends a cancellation on a connection that has no user.
 func (po *pool) sendCancel(cn *conn, id string) {
-	po.use(cn)
+	po.markUsed(cn)
 	po.stats.count(evCancelSent)
 	go func() {
 		body, err := json.Marshal(wire.CancelRequest{ID: id})
 		if err != nil {
-			// A struct of one string always encodes.
+			// A struct with one string can always be encoded.
 			panic(err)
 		}
-		po.begin(cn, cancelTimeout)
+		po.beginExchange(cn, cancelTimeout)
 		at := time.Now().Add(cancelTimeout)
-		end, _ := cn.exchange(at, message{consts.MethodPost, wire.RouteShardCancel, body}, nil)
-		po.end(cn, end)
+		cs, _ := cn.exchange(at, message{consts.MethodPost, wire.RouteShardCancel, body}, nil)
+		po.endExchange(cn, cs)
 	}()
 }
--- a/io/upst/chaos_test.go
+++ b/io/upst/chaos_test.go
@@ -17,52 +17,52 @@
 )
 
 const (
-	chaosCallers  = 6
-	chaosSearches = 60
-	chaosAnswered = 5
-	chaosLimit    = 4
+	chaosCallers     = 6
+	chaosSearches    = 60
+	chaosMinAnswered = 5
+	chaosLimit       = 4
 )
 
-// outcome is what one caller was told of one sub-request.
+// outcome is the result that a caller got for one sub-request.
 type outcome struct {
 	id    string
 	query string
 	err   error
 }
 
-// Callers keep asking, some once only, with deadlines that often pass, while the
-// server crashes and comes back, its connections go silent, it answers nobody,
-// errs, or is told to have fewer connections. Whatever happens: a reply is the
-// caller's own, what is called unsent never ran, nothing ran twice, and the
-// pool works when the trouble ends, with no connection too many.
+// Callers search continually, partly with SearchOnce and with deadlines that often pass, while
+// the server crashes and restarts, its connections go silent, it does not answer, it fails, or
+// the limit of connections changes. In all cases a reply belongs to its request, a sub-request
+// reported as unsent was not run, nothing ran twice, and after the faults end the pool works
+// within its limit.
 func TestChaos(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
-			ri := newRig(t, emul.UpstreamConfig{Seed: seed, Slots: 8, Queue: 8, Connections: chaosLimit + 1, Service: slow(time.Millisecond)},
+			fx := newFixture(t, emul.UpstreamConfig{Seed: seed, Slots: 8, Queue: 8, Connections: chaosLimit + 1, Service: fixedServiceTime(time.Millisecond)},
 				upst.Config{MaxConns: chaosLimit, Floor: 2, DialTimeout: 100 * time.Millisecond, PingTimeout: 20 * time.Millisecond, Seed: seed})
 			stop := make(chan struct{})
-			var trouble sync.WaitGroup
-			trouble.Add(1)
+			var faults sync.WaitGroup
+			faults.Add(1)
 			go func() {
-				defer trouble.Done()
-				ri.trouble(seed, stop)
+				defer faults.Done()
+				fx.injectFaults(seed, stop)
 			}()
-			told := ri.callers(seed)
+			outcomes := fx.runCallers(seed)
 			close(stop)
-			trouble.Wait()
+			faults.Wait()
 			kinds := map[upst.Kind]int{}
-			for _, oc := range told {
-				kinds[ri.judge(oc)]++
+			for _, oc := range outcomes {
+				kinds[fx.checkOutcome(oc)]++
 			}
 			t.Log(kinds)
-			ri.recovers()
+			fx.checkRecovery()
 		})
 	}
 }
 
-func (ri *rig) callers(seed uint64) []outcome {
+func (fx *fixture) runCallers(seed uint64) []outcome {
 	var mu sync.Mutex
-	var told []outcome
+	var outcomes []outcome
 	var wg sync.WaitGroup
 	for caller := range chaosCallers {
 		wg.Add(1)
@@ -70,45 +70,46 @@
 			defer wg.Done()
 			rnd := rand.New(rand.NewPCG(seed, uint64(caller)))
 			answered := 0
-			for i := 0; i < chaosSearches || answered < chaosAnswered; i++ {
-				oc := ri.ask(fmt.Sprintf("%d.%d", caller, i), rnd)
+			for i := 0; i < chaosSearches || answered < chaosMinAnswered; i++ {
+				oc := fx.searchRandomly(fmt.Sprintf("%d.%d", caller, i), rnd)
 				mu.Lock()
-				told = append(told, oc)
+				outcomes = append(outcomes, oc)
 				mu.Unlock()
 				if oc.err == nil {
 					answered++
 				} else {
-					time.Sleep(time.Millisecond) // lets the trouble go on to the next
+					time.Sleep(time.Millisecond) // lets injectFaults go on to the next fault
 				}
 			}
 		}()
 	}
 	wg.Wait()
-	return told
+	return outcomes
 }
 
-// ask runs one sub-request with a query text of its own.
-func (ri *rig) ask(id string, rnd *rand.Rand) outcome {
+// searchRandomly runs one sub-request with a unique query and a random deadline, sometimes as
+// SearchOnce and sometimes with a cancellation.
+func (fx *fixture) searchRandomly(id string, rnd *rand.Rand) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(1+rnd.IntN(60))*time.Millisecond)
 	defer cancel()
 	rq := request(id)
 	rq.Query = json.RawMessage(fmt.Sprintf(`{"member":%q}`, id))
-	run := ri.sv.Search
+	run := fx.sv.Search
 	if rnd.IntN(3) == 0 {
-		run = ri.sv.SearchOnce
+		run = fx.sv.SearchOnce
 	}
 	if rnd.IntN(8) == 0 {
-		go ri.sv.Cancel(id)
+		go fx.sv.Cancel(id)
 	}
 	rp, err := run(ctx, rq)
 	if err == nil && rp.ID != id {
-		err = errors.Errorf("a reply of %s for %s", rp.ID, id)
+		err = errors.Errorf("reply to %s received for %s", rp.ID, id)
 	}
 	return outcome{id: id, query: string(rq.Query), err: err}
 }
 
-// trouble does one thing after another to the server until stop.
-func (ri *rig) trouble(seed uint64, stop <-chan struct{}) {
+// injectFaults injects random faults one after the other until stop is closed.
+func (fx *fixture) injectFaults(seed uint64, stop <-chan struct{}) {
 	rnd := rand.New(rand.NewPCG(seed, 99))
 	for {
 		select {
@@ -116,60 +117,61 @@
 			return
 		case <-time.After(time.Duration(rnd.IntN(8)) * time.Millisecond):
 		}
-		ri.fc.advance(time.Duration(rnd.IntN(700)) * time.Millisecond)
-		ri.sv.Tick(true)
+		fx.fc.advance(time.Duration(rnd.IntN(700)) * time.Millisecond)
+		fx.sv.Tick(true)
 		switch rnd.IntN(9) {
 		case 0:
-			ri.up.Crash()
-			ri.is.NoErr(ri.up.Restart(wire.UpstreamServing))
+			fx.up.Crash()
+			fx.is.NoErr(fx.up.Restart(wire.UpstreamServing))
 		case 1:
-			ri.up.Silence()
+			fx.up.Silence()
 		case 2:
-			ri.up.SetFaults(emul.UpstreamFaults{Mute: true})
+			fx.up.SetFaults(emul.UpstreamFaults{Mute: true})
 		case 3:
-			ri.up.SetFaults(emul.UpstreamFaults{ErrorShare: 0.5})
+			fx.up.SetFaults(emul.UpstreamFaults{ErrorShare: 0.5})
 		case 4:
-			ri.up.SetFaults(emul.UpstreamFaults{SilentAfter: 600})
+			fx.up.SetFaults(emul.UpstreamFaults{SilentAfter: 600})
 		case 5:
-			ri.sv.SetLimit(rnd.IntN(chaosLimit + 1))
+			fx.sv.SetLimit(rnd.IntN(chaosLimit + 1))
 		default:
-			ri.up.SetFaults(emul.UpstreamFaults{})
-			ri.sv.SetLimit(chaosLimit)
+			fx.up.SetFaults(emul.UpstreamFaults{})
+			fx.sv.SetLimit(chaosLimit)
 		}
 	}
 }
 
-// judge holds what a caller was told against what the server did, and returns
-// the kind of its error.
-func (ri *rig) judge(oc outcome) upst.Kind {
-	ri.is.Helper()
-	runs := ri.up.RunsOf(oc.query)
-	ri.is.True(runs <= 1)
+// checkOutcome compares a caller's result with what the server ran, and returns the kind of the
+// error, if any.
+func (fx *fixture) checkOutcome(oc outcome) upst.Kind {
+	fx.is.Helper()
+	runs := fx.up.RunsOf(oc.query)
+	fx.is.True(runs <= 1)
 	if oc.err == nil {
-		ri.is.Equal(runs, 1)
+		fx.is.Equal(runs, 1)
 		return ""
 	}
 	var ue *upst.Error
-	ri.is.True(errors.As(oc.err, &ue)) // another's reply, or an error of no kind
+	fx.is.True(errors.As(oc.err, &ue)) // fails on a reply to another request, or an error of another type
 	if !ue.Sent {
-		ri.is.Equal(runs, 0)
+		fx.is.Equal(runs, 0)
 	}
 	return ue.Kind
 }
 
-// recovers checks that all is well again once the trouble has ended.
-func (ri *rig) recovers() {
-	ri.up.SetFaults(emul.UpstreamFaults{})
-	ri.sv.SetLimit(chaosLimit)
-	ri.until("a search is answered", func() bool {
-		ri.fc.advance(300 * time.Millisecond)
-		ri.sv.Tick(true)
-		return ri.search("after", time.Second) == nil
+// checkRecovery checks that searches succeed again, and that no connection is left over, after
+// the faults have ended.
+func (fx *fixture) checkRecovery() {
+	fx.up.SetFaults(emul.UpstreamFaults{})
+	fx.sv.SetLimit(chaosLimit)
+	fx.until("a search is answered", func() bool {
+		fx.fc.advance(300 * time.Millisecond)
+		fx.sv.Tick(true)
+		return fx.search("after", time.Second) == nil
 	})
-	ri.until("no connection is left over", func() bool {
-		ri.fc.advance(300 * time.Millisecond)
-		ri.sv.Tick(false)
-		open, _ := ri.up.Connections()
-		return ri.sv.Open() <= chaosLimit && open <= chaosLimit
+	fx.until("no connection is left over", func() bool {
+		fx.fc.advance(300 * time.Millisecond)
+		fx.sv.Tick(false)
+		open, _ := fx.up.Connections()
+		return fx.sv.Open() <= chaosLimit && open <= chaosLimit
 	})
 }
--- a/io/upst/conn.go
+++ b/io/upst/conn.go
@@ -15,31 +15,31 @@
 	"laburnumvane/io/wire"
 )
 
-// maxReplyBytes bounds a reply; a server that sends more is broken.
+// maxReplyBytes limits the size of a reply; a larger one is an error.
 const maxReplyBytes = 8 << 20
 
-// ending says what an exchange leaves of its connection.
-type ending uint8
+// connState is the state of a connection after an exchange.
+type connState uint8
 
 const (
-	// endUsable: the reply was read whole.
-	endUsable ending = iota + 1
-	// endOverdue: not a byte of the reply came before the deadline. It may
-	// still come, and the connection be used again after it.
-	endOverdue
-	// endBroken: the connection must be closed.
-	endBroken
+	// connUsable: the reply was read completely.
+	connUsable connState = iota + 1
+	// connOverdue: no byte of the reply came before the deadline. The reply may still come,
+	// and the connection can be used again after it.
+	connOverdue
+	// connBroken: the connection must be closed.
+	connBroken
 )
 
 // conn is one connection; it carries one exchange at a time.
 type conn struct {
-	link *link
+	tcp  *bufConn
 	addr string
-	// proved is when the last reply came, on the server's clock.
-	proved time.Duration
-	// used is when a request last went out on it.
-	used time.Duration
-	// silent is set before the connection is closed under an exchange.
+	// answeredAt is when the last reply came, on Config.Clock.
+	answeredAt time.Duration
+	// usedAt is when the connection was last taken for a request, on Config.Clock.
+	usedAt time.Duration
+	// silent is set before the connection is closed during an exchange.
 	silent atomic.Bool
 }
 
@@ -55,15 +55,15 @@
 }
 
 // exchange sends a message and decodes the reply into out before the deadline.
-func (cn *conn) exchange(at time.Time, ms message, out any) (ending, error) {
-	if err := cn.link.setDeadline(at); err != nil {
-		return endBroken, &Error{Op: "upst.write", Kind: KindWrite, Addr: cn.addr, Err: err}
+func (cn *conn) exchange(at time.Time, ms message, out any) (connState, error) {
+	if err := cn.tcp.setDeadline(at); err != nil {
+		return connBroken, &Error{Op: "upst.write", Kind: KindWrite, Addr: cn.addr, Err: err}
 	}
 	if err := cn.write(ms); err != nil {
-		return endBroken, err
+		return connBroken, err
 	}
-	if _, err := cn.link.Peek(1); err != nil {
-		return cn.noReply(err)
+	if _, err := cn.tcp.Peek(1); err != nil {
+		return cn.noReplyError(err)
 	}
 	return cn.read(out)
 }
@@ -78,61 +78,61 @@
 		rq.Header.Set(consts.HeaderContentType, consts.MIMEApplicationJSON)
 		rq.SetBodyRaw(ms.body)
 	}
-	before := cn.link.written
-	err := req.Write(rq, cn.link)
+	before := cn.tcp.written
+	err := req.Write(rq, cn.tcp)
 	if err == nil {
-		err = cn.link.Flush()
+		err = cn.tcp.Flush()
 	}
 	if err == nil {
 		return nil
 	}
-	// A write that the kernel took no byte of has not left this VM. One that
-	// took some may have, even if the server cannot use half a request.
-	return cn.fail("upst.write", KindWrite, cn.link.written > before, err)
+	// If the kernel accepted no byte, nothing has left this VM. Otherwise part of the
+	// request may have, even if the server cannot use an incomplete one.
+	return cn.fail("upst.write", KindWrite, cn.tcp.written > before, err)
 }
 
-// noReply judges an exchange that ended before the first byte of its reply.
-func (cn *conn) noReply(err error) (ending, error) {
+// noReplyError returns the result of an exchange that ended before the first byte of its reply.
+func (cn *conn) noReplyError(err error) (connState, error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) && !cn.silent.Load() {
-		return endOverdue, cn.fail("upst.read", KindTimeout, true, err)
+		return connOverdue, cn.fail("upst.read", KindTimeout, true, err)
 	}
-	return endBroken, cn.fail("upst.read", kindOf(err), true, err)
+	return connBroken, cn.fail("upst.read", kindOf(err), true, err)
 }
 
-// read takes a reply whose first byte is there.
-func (cn *conn) read(out any) (ending, error) {
+// read reads a reply whose first byte has arrived.
+func (cn *conn) read(out any) (connState, error) {
 	rs := protocol.AcquireResponse()
 	defer protocol.ReleaseResponse(rs)
-	if err := resp.ReadHeaderAndLimitBody(rs, cn.link, maxReplyBytes); err != nil {
-		return endBroken, cn.fail("upst.read", kindOf(err), true, err)
+	if err := resp.ReadHeaderAndLimitBody(rs, cn.tcp, maxReplyBytes); err != nil {
+		return connBroken, cn.fail("upst.read", kindOf(err), true, err)
 	}
-	end := endUsable
+	cs := connUsable
 	if rs.ConnectionClose() {
-		end = endBroken
+		cs = connBroken
 	}
 	if rs.StatusCode() != consts.StatusOK {
-		return end, cn.fail("upst.read", KindStatus, true, errors.Errorf("status %d", rs.StatusCode()))
+		return cs, cn.fail("upst.read", KindStatus, true, errors.Errorf("status %d", rs.StatusCode()))
 	}
 	if out == nil {
-		return end, nil
+		return cs, nil
 	}
-	// Decoding copies what it keeps, so the buffer may be recycled.
+	// Decoding copies the data, so the buffer may be reused.
 	if err := wire.Decode(rs.Body(), out); err != nil {
-		return end, cn.fail("upst.read", KindDecode, true, err)
+		return cs, cn.fail("upst.read", KindDecode, true, err)
 	}
-	return end, nil
+	return cs, nil
 }
 
-// late waits for a reply after its deadline and drops it.
-func (cn *conn) late(until time.Time) ending {
-	if err := cn.link.setDeadline(until); err != nil {
-		return endBroken
+// readLate waits for a reply after its deadline and discards it.
+func (cn *conn) readLate(until time.Time) connState {
+	if err := cn.tcp.setDeadline(until); err != nil {
+		return connBroken
 	}
-	if _, err := cn.link.Peek(1); err != nil {
-		return endBroken
+	if _, err := cn.tcp.Peek(1); err != nil {
+		return connBroken
 	}
-	end, _ := cn.read(nil) // what it says is of no use to anybody any more
-	return end
+	cs, _ := cn.read(nil) // the caller has already got a timeout
+	return cs
 }
 
 func (cn *conn) fail(op string, kind Kind, sent bool, err error) error {
@@ -142,10 +142,10 @@
 	return &Error{Op: op, Kind: kind, Addr: cn.addr, Sent: sent, Err: err}
 }
 
-// cut closes a connection under the exchange that waits on it.
-func (cn *conn) cut() {
+// closeSilent closes a silent connection, which ends the exchange that waits on it.
+func (cn *conn) closeSilent() {
 	cn.silent.Store(true)
-	cn.link.close()
+	cn.tcp.close()
 }
 
 func kindOf(err error) Kind {
--- a/io/upst/doc.go
+++ b/io/upst/doc.go
@@ -1,5 +1,5 @@
-// Package upst talks to upstream servers over connections of its own, so that
-// it can tell for each failure whether any byte of the request left this VM.
+// Package upst is the client of upstream servers. It manages its own connections, so that it
+// knows for each failure whether any byte of the request may have left this VM.
 //
 // # Usage
 //
@@ -8,22 +8,21 @@
 //	reply, err := sv.Search(ctx, req)
 //	var ue *upst.Error
 //	if errors.As(err, &ue) && !ue.Sent {
-//		// it did not run
+//		// the sub-request was not executed
 //	}
 //	sv.SetLimit(2)
 //
-// A connection carries one request at a time and is used again only after a
-// whole reply. Nothing here tries again on its own: retries are decided by the
-// search.
+// A connection carries one request at a time and is reused only after a complete reply. The
+// package never retries: the search decides on retries.
 //
 // # Connections
 //
-// Requests wait for whichever comes first: a connection given back or one newly
-// opened. Openings are bounded and proved by a ping (core/warm), so that a
-// server which refuses one more costs no request. Keep closes connections that
-// have gone silent (core/stall), pings idle ones, and keeps as many open as
-// were needed lately.
+// A request waits for a released or a newly opened connection, whichever comes first. The rate
+// of openings is limited (core/warm), and a new connection is pinged before use, so that no
+// request is lost on a connection that the server closes at once. Keep closes connections that
+// have gone silent (core/stall), pings idle ones, and keeps as many open as were needed
+// recently.
 //
-// A reply that does not come before its deadline is waited for a little longer
-// on its connection, and dropped: the next request must not read it.
+// If a reply misses its deadline, the connection waits for it a little longer and discards it,
+// so that the next request does not read it as its own.
 package upst
--- a/io/upst/error.go
+++ b/io/upst/error.go
@@ -2,34 +2,34 @@
 
 import "fmt"
 
-// Kind says at which step an exchange failed.
+// Kind is the cause or the step at which an exchange failed.
 type Kind string
 
-// Kinds of errors; each is also the reason in counters and answers.
+// Kinds of errors. The values are also used as reasons in counters and answers.
 const (
 	// KindDial: no connection could be opened.
 	KindDial Kind = "dial"
-	// KindNoConn: none was free before the deadline.
+	// KindNoConn: no connection was free before the deadline, or none is allowed.
 	KindNoConn Kind = "noConnection"
-	// KindBackoff: opening failed lately and is not tried again yet.
+	// KindBackoff: opening a connection failed recently and is not retried yet.
 	KindBackoff Kind = "backoff"
 	// KindRefused: the server accepts connections and closes them at once.
 	KindRefused Kind = "connectionRefused"
-	// KindExpired: too little time was left to send.
+	// KindExpired: too little time was left to send the request.
 	KindExpired Kind = "expired"
-	// KindWrite: the request could not be written whole.
+	// KindWrite: the request could not be written completely.
 	KindWrite Kind = "write"
-	// KindTimeout: no reply before the deadline.
+	// KindTimeout: no reply came before the deadline.
 	KindTimeout Kind = "timeout"
-	// KindReset: the connection broke before the reply.
+	// KindReset: the connection failed before the reply was complete.
 	KindReset Kind = "reset"
-	// KindSilent: the connection was given up while others were answered.
+	// KindSilent: the connection was closed as silent, while others were answered.
 	KindSilent Kind = "silent"
-	// KindStatus: a reply without the server's own account.
+	// KindStatus: the reply's status is not 200, so it has no statement by the server itself.
 	KindStatus Kind = "status"
-	// KindDecode: a reply that cannot be read.
+	// KindDecode: a message could not be encoded or decoded.
 	KindDecode Kind = "decode"
-	// KindClosed: this VM has given up the server.
+	// KindClosed: the Server was closed.
 	KindClosed Kind = "closed"
 )
 
@@ -43,7 +43,7 @@
 	Err  error
 }
 
-// Error gives operation, kind and server on one line.
+// Error returns the operation, the kind, the server and the cause on one line.
 func (e *Error) Error() string {
 	if e.Err == nil {
 		return fmt.Sprintf("%s: %s: %s", e.Op, e.Kind, e.Addr)
--- a/io/upst/keep.go
+++ b/io/upst/keep.go
@@ -7,198 +7,198 @@
 )
 
 const (
-	// tickEvery is short against the second or two within which a silent
-	// connection must be found.
-	tickEvery = 250 * time.Millisecond
-	// fillsPerTick bounds the connections opened without demand, over all
-	// servers, so that a VM's cold start is no storm of its own.
+	// tickInterval is short compared with the second or two within which a silent connection
+	// must be found.
+	tickInterval = 250 * time.Millisecond
+	// fillsPerTick limits the connections opened without demand, over all servers, so that a
+	// VM's cold start does not cause a burst of openings.
 	fillsPerTick = 16
-	// doubtEvery is the least number of ticks between spreading doubt.
-	doubtEvery = 20
-	// pingsPerTick bounds the background pings to one server.
+	// pingAllTicks is the minimum number of ticks between two calls of RequirePing for all
+	// servers.
+	pingAllTicks = 20
+	// pingsPerTick limits the background pings to one server in a tick.
 	pingsPerTick = 2
 )
 
-// KeepConfig sets the upkeep of all servers' connections.
+// KeepConfig configures the maintenance of all servers' connections.
 type KeepConfig struct {
-	// Servers lists the servers of the moment.
+	// Servers returns the present servers; it is called at each tick.
 	Servers func() []*Server
-	// Count is told what happened to connections since the last time.
+	// Count receives the number of events since the last tick, by reason.
 	Count func(reason string, n int64)
 }
 
-// Keep looks after the connections of all servers until the context ends.
+// Keep maintains the connections of all servers until the context ends.
 func Keep(ctx context.Context, cfg KeepConfig) {
-	ke := &keeper{cfg: cfg}
-	tk := time.NewTicker(tickEvery)
+	ma := &maintainer{cfg: cfg}
+	tk := time.NewTicker(tickInterval)
 	defer tk.Stop()
 	for {
 		select {
 		case <-tk.C:
-			ke.tick()
+			ma.tick()
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// keeper is the upkeep of all servers.
-type keeper struct {
+// maintainer maintains the connections of all servers.
+type maintainer struct {
 	cfg KeepConfig
-	// quiet counts down the ticks until doubt may spread again.
-	quiet int
+	// cooldownTicks is the number of ticks until pingAll may act again.
+	cooldownTicks int
 }
 
-func (ke *keeper) tick() {
-	servers := ke.cfg.Servers()
+func (ma *maintainer) tick() {
+	servers := ma.cfg.Servers()
 	if len(servers) == 0 {
 		return
 	}
 	fills := fillsPerTick
-	alarm := false
-	// Another server first each time: the bound must starve none.
+	silentFound := false
+	// Start at a random server, so that fillsPerTick starves none.
 	first := rand.IntN(len(servers))
 	for i := range servers {
 		sv := servers[(first+i)%len(servers)]
 		if sv.Tick(fills > 0) {
 			fills--
 		}
-		alarm = sv.pool.alarm.Swap(false) || alarm
-		sv.Harvest(ke.cfg.Count)
+		silentFound = sv.pool.silentFound.Swap(false) || silentFound
+		sv.ReportEvents(ma.cfg.Count)
 	}
-	ke.spread(servers, alarm)
+	ma.pingAll(servers, silentFound)
 }
 
-// spread has the connections to all servers proved when one was found silent: a
-// search that met three of them in a row would have no replica left. One server
-// that is mute must not cause it again and again.
-func (ke *keeper) spread(servers []*Server, alarm bool) {
-	if ke.quiet > 0 {
-		ke.quiet--
+// pingAll makes all servers' connections require a ping after one was found silent: a search
+// that used three silent connections in a row would have no replica left. The cooldown keeps a
+// single server that never answers from causing this continually.
+func (ma *maintainer) pingAll(servers []*Server, silentFound bool) {
+	if ma.cooldownTicks > 0 {
+		ma.cooldownTicks--
 		return
 	}
-	if !alarm {
+	if !silentFound {
 		return
 	}
-	ke.quiet = doubtEvery
+	ma.cooldownTicks = pingAllTicks
 	for _, sv := range servers {
-		sv.Doubt()
+		sv.RequirePing()
 	}
 }
 
-// Tick looks after the connections once: it closes silent ones, pings and
-// closes idle ones, and with fill opens one where too few are open. It tells
-// whether it opened one.
+// Tick maintains the connections once: it closes silent ones, pings or closes idle ones, and
+// with fill opens one if too few are open. It reports whether it opened one for that reason.
 func (sv *Server) Tick(fill bool) bool {
 	return sv.pool.tick(fill)
 }
 
-// Harvest reports what happened to connections since the last call, by reason.
-func (sv *Server) Harvest(count func(reason string, n int64)) {
-	sv.pool.stats.harvest(count)
+// ReportEvents reports the number of connection events since the last call, by reason.
+func (sv *Server) ReportEvents(count func(reason string, n int64)) {
+	sv.pool.stats.report(count)
 }
 
 func (po *pool) tick(fill bool) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.shut {
+	if po.closed {
 		return false
 	}
 	now := po.cfg.Clock()
-	for _, cn := range po.track.Silent(now, nil) {
-		// Its exchange sees the end of the connection and gives it back.
+	for _, cn := range po.tracker.Silent(now, nil) {
+		// The exchange in progress fails and gives the connection back.
 		if !cn.silent.Load() {
 			po.stats.count(evSilent)
-			po.foundSilent()
-			cn.cut()
+			po.noteSilent()
+			cn.closeSilent()
 		}
 	}
-	po.dropDead()
+	po.closeStale()
 	po.pingIdle(now)
 	po.closeUnneeded(now)
-	po.feed()
-	if po.track.Doubt(now) {
-		po.seekProof(now)
+	po.openForWaiters()
+	if po.tracker.Doubt(now) {
+		po.checkServer(now)
 	}
 	if fill && po.gate.Fill(now) {
-		po.open()
+		po.startOpening()
 		return true
 	}
 	return false
 }
 
-// dropDead drops idle connections that the server has closed, so that they are
-// replaced before a request needs one.
-func (po *pool) dropDead() {
+// closeStale closes idle connections that the server has closed, so that they are replaced
+// before a request needs one.
+func (po *pool) closeStale() {
 	kept := po.idle[:0]
 	for _, cn := range po.idle {
-		if cn.link.alive() {
+		if cn.tcp.alive() {
 			kept = append(kept, cn)
 			continue
 		}
 		po.stats.count(evStale)
-		po.drop(cn)
+		po.closeConn(cn)
 	}
 	clear(po.idle[len(kept):])
 	po.idle = kept
 }
 
-// pingIdle proves the connections that were not answered on for long.
+// pingIdle pings idle connections without a recent answer.
 func (po *pool) pingIdle(now time.Duration) {
 	for range pingsPerTick {
-		i := po.leastProved()
+		i := po.longestUnanswered()
 		if i < 0 {
 			return
 		}
-		age := now - po.idle[i].proved
-		if age < po.cfg.ProveIdle && po.idle[i].proved > po.doubted {
+		age := now - po.idle[i].answeredAt
+		if age < po.cfg.PingAfter && po.idle[i].answeredAt > po.answersVoidUntil {
 			return
 		}
 		po.pingInBackground(po.takeIdle(i))
 	}
 }
 
-// seekProof pings to learn whether the server answers at all while an exchange
-// is in doubt; a new connection, which is proved by a ping, does as well.
-func (po *pool) seekProof(now time.Duration) {
+// checkServer finds out whether the server answers at all, while the reply of an exchange is
+// unusually late. It pings on an idle connection, or opens one, which includes a ping.
+func (po *pool) checkServer(now time.Duration) {
 	if n := len(po.idle); n > 0 {
 		po.pingInBackground(po.takeIdle(n - 1))
 		return
 	}
 	if po.gate.MayOpen(now) {
-		po.open()
+		po.startOpening()
 		return
 	}
 	if po.gate.Full(now) && !po.probing {
-		po.probeBeyond()
+		po.probeOverLimit()
 	}
 }
 
-// probeBeyond opens a connection for one ping and closes it again, although the
-// limit is reached. With a single connection, which is the one in doubt, there
-// is no other way to learn whether the server answers. It is one more for some
-// milliseconds, out of the reserve that the connection plan leaves.
-func (po *pool) probeBeyond() {
+// probeOverLimit opens a connection for one ping and closes it again, although the limit is
+// reached. If the only connection allowed is the one that may be silent, there is no other way
+// to find out whether the server answers. The extra connection is open for some milliseconds and
+// is covered by the reserve of the connection plan.
+func (po *pool) probeOverLimit() {
 	po.probing = true
 	po.stats.count(evProbe)
 	go func() {
 		began := po.cfg.Clock()
 		cn, err := po.dial()
 		if err == nil {
-			cn.link.close()
+			cn.tcp.close()
 		}
 		po.mu.Lock()
 		defer po.mu.Unlock()
 		po.probing = false
 		if err == nil {
-			po.track.Vouch(began)
+			po.tracker.Vouch(began)
 		}
 	}()
 }
 
 func (po *pool) pingInBackground(cn *conn) {
-	// A ping is no use of the connection: it must not keep it from being
-	// closed as unneeded.
+	// A ping does not update usedAt, or it would keep an unneeded connection from being
+	// closed.
 	po.inUse++
 	go func() {
 		if po.ping(cn, po.cfg.DialTimeout/2) {
@@ -211,20 +211,21 @@
 	if len(po.idle) == 0 || po.gate.Open() <= po.gate.Want() {
 		return
 	}
-	if now-po.idle[0].used >= po.cfg.IdleClose {
+	if now-po.idle[0].usedAt >= po.cfg.IdleClose {
 		po.stats.count(evIdleClosed)
-		po.drop(po.takeIdle(0))
+		po.closeConn(po.takeIdle(0))
 	}
 }
 
-func (po *pool) leastProved() int {
-	least := -1
+// longestUnanswered returns the index of the idle connection with the oldest answer, or -1.
+func (po *pool) longestUnanswered() int {
+	oldest := -1
 	for i, cn := range po.idle {
-		if least < 0 || cn.proved < po.idle[least].proved {
-			least = i
+		if oldest < 0 || cn.answeredAt < po.idle[oldest].answeredAt {
+			oldest = i
 		}
 	}
-	return least
+	return oldest
 }
 
 func (po *pool) takeIdle(i int) *conn {
--- a/io/upst/open.go
+++ b/io/upst/open.go
@@ -10,8 +10,8 @@
 	"laburnumvane/core/warm"
 )
 
-// open begins the opening of a connection; the pool is locked.
-func (po *pool) open() {
+// startOpening opens a connection in the background. The caller holds the lock.
+func (po *pool) startOpening() {
 	po.gate.Begin()
 	go func() {
 		began := po.cfg.Clock()
@@ -24,18 +24,18 @@
 		}
 		po.stats.count(evOpened)
 		po.gate.Opened()
-		po.track.Vouch(began)
-		if po.shut || po.gate.Excess() > 0 {
-			po.drop(cn)
+		po.tracker.Vouch(began)
+		if po.closed || po.gate.Excess() > 0 {
+			po.closeConn(cn)
 			return
 		}
-		po.offer(cn)
-		po.feed()
+		po.assign(cn)
+		po.openForWaiters()
 	}()
 }
 
-// dial opens a connection and proves it: a server that has too many accepts one
-// and closes it at once, which must not cost a request.
+// dial opens a connection and pings on it: a server with too many connections accepts a further
+// one and closes it at once, and no request must be lost on it.
 func (po *pool) dial() (*conn, error) {
 	at := time.Now().Add(po.cfg.DialTimeout)
 	dr := net.Dialer{Deadline: at}
@@ -43,18 +43,18 @@
 	if err != nil {
 		return nil, po.fail("upst.dial", KindDial, err)
 	}
-	cn := &conn{link: newLink(nc), addr: po.cfg.Addr}
-	end, err := cn.exchange(at, pingMessage(), nil)
-	if end != endUsable {
-		cn.link.close()
-		return nil, po.fail("upst.dial", refusalKind(err), err)
+	cn := &conn{tcp: newBufConn(nc), addr: po.cfg.Addr}
+	cs, err := cn.exchange(at, pingMessage(), nil)
+	if cs != connUsable {
+		cn.tcp.close()
+		return nil, po.fail("upst.dial", dialErrorKind(err), err)
 	}
-	cn.proved = po.cfg.Clock()
-	cn.used = cn.proved
+	cn.answeredAt = po.cfg.Clock()
+	cn.usedAt = cn.answeredAt
 	return cn, nil
 }
 
-func refusalKind(err error) Kind {
+func dialErrorKind(err error) Kind {
 	var ue *Error
 	if errors.As(err, &ue) && (ue.Kind == KindReset || ue.Kind == KindWrite) {
 		return KindRefused
--- a/io/upst/pool.go
+++ b/io/upst/pool.go
@@ -11,32 +11,33 @@
 	"laburnumvane/core/warm"
 )
 
-// lateBackstop ends the wait for an overdue reply where nobody calls Tick.
-const lateBackstop = 5 * time.Second
+// lateReplyTimeout ends the wait for an overdue reply if Tick is not called.
+const lateReplyTimeout = 5 * time.Second
 
-// pool is the connections to one server. Its mutex guards all but the
-// exchanges themselves.
+// pool holds the connections to one server. Its mutex guards the connections' state, but is not
+// held during exchanges.
 type pool struct {
 	cfg     Config
 	stats   stats
-	cancels cancels
+	cancels cancelQueue
 	mu      sync.Mutex
 	gate    *warm.Gate
-	track   *stall.Tracker[*conn]
-	// idle lists connections without an exchange, the one used last at the
-	// end: taking from there lets the others age, so that they can be closed.
+	tracker *stall.Tracker[*conn]
+	// idle holds the idle connections, the most recently used last. They are taken from the
+	// end, so that the others stay unused and can be closed.
 	idle    []*conn
 	waiters waitList
-	// overdue are connections whose reply may still come.
+	// overdue holds the connections whose reply missed its deadline but may still come.
 	overdue map[*conn]struct{}
 	inUse   int
-	shut    bool
-	// probing is set while a connection beyond the limit is open for a ping.
+	closed  bool
+	// probing is set while a connection over the limit is open for a ping.
 	probing bool
-	// doubted is the time up to which a reply proves nothing any more.
-	doubted time.Duration
-	// alarm is set when a connection was found silent, for Keep.
-	alarm atomic.Bool
+	// answersVoidUntil is the time up to which an answer no longer counts as a sign that its
+	// connection works.
+	answersVoidUntil time.Duration
+	// silentFound is set when a connection is found silent; Keep reads and clears it.
+	silentFound atomic.Bool
 }
 
 func newPool(cfg Config) *pool {
@@ -47,13 +48,13 @@
 			Floor: cfg.Floor,
 			Rand:  rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Addr)))),
 		}),
-		track:   stall.New[*conn](stall.Config{}),
-		overdue: make(map[*conn]struct{}),
-		doubted: -1,
+		tracker:          stall.New[*conn](stall.Config{}),
+		overdue:          make(map[*conn]struct{}),
+		answersVoidUntil: -1,
 	}
 }
 
-func (po *pool) opened() int {
+func (po *pool) openCount() int {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	return po.gate.Open()
@@ -70,50 +71,50 @@
 	defer po.mu.Unlock()
 	po.gate.SetLimit(n)
 	for len(po.idle) > 0 && po.gate.Excess() > 0 {
-		po.drop(po.takeIdle(0))
+		po.closeConn(po.takeIdle(0))
 	}
-	po.feed()
+	po.openForWaiters()
 }
 
 func (po *pool) close() {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	po.shut = true
+	po.closed = true
 	for len(po.idle) > 0 {
-		po.drop(po.takeIdle(0))
+		po.closeConn(po.takeIdle(0))
 	}
 	for cn := range po.overdue {
-		cn.cut()
+		cn.closeSilent()
 	}
 	po.failWaiters(KindClosed, nil)
 }
 
-// take returns a connection for one exchange; it must be given back by put or
-// by begin and end.
+// take returns a connection for one exchange. The caller must give it back with put, or with
+// beginExchange and endExchange.
 func (po *pool) take(ctx context.Context) (*conn, error) {
 	po.mu.Lock()
-	if po.shut {
+	if po.closed {
 		po.mu.Unlock()
 		return nil, po.fail("upst.take", KindClosed, nil)
 	}
 	if cn, ok := po.popIdle(); ok {
-		po.use(cn)
+		po.markUsed(cn)
 		po.mu.Unlock()
 		return cn, nil
 	}
-	if err := po.hopeless(); err != nil {
+	if err := po.checkAvailable(); err != nil {
 		po.mu.Unlock()
 		return nil, err
 	}
 	wt := po.waiters.add()
-	po.feed()
+	po.openForWaiters()
 	po.mu.Unlock()
 	return po.wait(ctx, wt)
 }
 
-// hopeless refuses a request for which no connection can come free soon: to let
-// it wait would cost its deadline, while another server could still answer.
-func (po *pool) hopeless() error {
+// checkAvailable returns an error if no connection can become free soon. Waiting would then use
+// up the request's deadline, while another server could still answer.
+func (po *pool) checkAvailable() error {
 	if po.gate.Open() > 0 || po.gate.Opening() > 0 {
 		return nil
 	}
@@ -127,192 +128,193 @@
 	return nil
 }
 
-// popIdle takes the idle connection used last. Those that the server has
-// closed in the meantime are dropped on the way.
+// popIdle takes the most recently used idle connection. It closes those that the server has
+// closed in the meantime.
 func (po *pool) popIdle() (*conn, bool) {
 	for n := len(po.idle); n > 0; n = len(po.idle) {
 		cn := po.idle[n-1]
 		po.idle[n-1] = nil
 		po.idle = po.idle[:n-1]
-		if cn.link.alive() {
+		if cn.tcp.alive() {
 			return cn, true
 		}
 		po.stats.count(evStale)
-		po.drop(cn)
+		po.closeConn(cn)
 	}
 	return nil, false
 }
 
-func (po *pool) use(cn *conn) {
+func (po *pool) markUsed(cn *conn) {
 	now := po.cfg.Clock()
-	cn.used = now
+	cn.usedAt = now
 	po.inUse++
 	po.gate.Used(now, po.inUse)
 }
 
-// put gives back a connection that no request went out on.
+// put gives back a connection on which no request was sent.
 func (po *pool) put(cn *conn) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	po.release(cn)
 }
 
-// release passes a connection on: to a cancellation, to a waiter, or to the
-// idle ones.
+// release gives a connection that is no longer in use to assign, or closes it if it is over the
+// limit.
 func (po *pool) release(cn *conn) {
 	po.inUse--
-	if po.shut || po.gate.Excess() > 0 {
-		po.drop(cn)
+	if po.closed || po.gate.Excess() > 0 {
+		po.closeConn(cn)
 		return
 	}
-	po.offer(cn)
+	po.assign(cn)
 }
 
-func (po *pool) offer(cn *conn) {
+// assign uses a free connection for a queued cancellation, for a waiter, or makes it idle.
+func (po *pool) assign(cn *conn) {
 	if id, ok := po.cancels.next(); ok {
-		// It goes first: it costs one exchange without work, and frees a
-		// slot of the server that a waiter's request would queue for.
+		// Cancellations go first: one costs the server no work, and frees a slot that a
+		// waiter's request would queue for.
 		po.sendCancel(cn, id)
 		return
 	}
 	if wt, ok := po.waiters.next(); ok {
-		po.use(cn)
-		wt.ch <- handout{cn: cn}
+		po.markUsed(cn)
+		wt.ch <- assignment{cn: cn}
 		return
 	}
 	po.idle = append(po.idle, cn)
 }
 
-// drop closes a connection that is in nobody's hands.
-func (po *pool) drop(cn *conn) {
-	cn.link.close()
+// closeConn closes a connection that has no user.
+func (po *pool) closeConn(cn *conn) {
+	cn.tcp.close()
 	po.gate.Closed()
 }
 
-// feed opens connections for waiters, as far as the gate allows.
-func (po *pool) feed() {
+// openForWaiters opens connections for waiters, as far as the gate allows.
+func (po *pool) openForWaiters() {
 	now := po.cfg.Clock()
 	for po.gate.Opening() < po.waiters.len() && po.gate.MayOpen(now) {
-		po.open()
+		po.startOpening()
 	}
 }
 
-// begin notes that a request goes out on a connection.
-func (po *pool) begin(cn *conn, left time.Duration) {
+// beginExchange records that a request is sent on a connection.
+func (po *pool) beginExchange(cn *conn, left time.Duration) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	now := po.cfg.Clock()
-	po.track.Begin(now, cn, now+left)
+	po.tracker.Begin(now, cn, now+left)
 }
 
-// end takes a connection back after an exchange.
-func (po *pool) end(cn *conn, end ending) {
-	if end == endOverdue && po.awaitLate(cn) {
+// endExchange takes a connection back after an exchange.
+func (po *pool) endExchange(cn *conn, cs connState) {
+	if cs == connOverdue && po.awaitLateReply(cn) {
 		return
 	}
-	po.settle(cn, end)
+	po.finishExchange(cn, cs)
 }
 
-// awaitLate waits in the background for a reply that is overdue, and drops it.
-// Closing the connection at the deadline instead would cost an overloaded
-// server a new connection for each request that it was late with.
-func (po *pool) awaitLate(cn *conn) bool {
+// awaitLateReply waits in the background for an overdue reply and discards it. If the
+// connection were closed at the deadline instead, an overloaded server would have to accept a
+// new one for each late reply.
+func (po *pool) awaitLateReply(cn *conn) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if po.shut {
+	if po.closed {
 		return false
 	}
 	po.overdue[cn] = struct{}{}
 	go func() {
-		end := cn.late(time.Now().Add(lateBackstop))
-		if end == endUsable {
+		cs := cn.readLate(time.Now().Add(lateReplyTimeout))
+		if cs == connUsable {
 			po.stats.count(evLate)
 		}
-		po.settle(cn, end)
+		po.finishExchange(cn, cs)
 	}()
 	return true
 }
 
-func (po *pool) settle(cn *conn, end ending) {
+func (po *pool) finishExchange(cn *conn, cs connState) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	delete(po.overdue, cn)
-	if end == endUsable {
+	if cs == connUsable {
 		now := po.cfg.Clock()
-		po.track.Answer(now, cn)
-		cn.proved = now
+		po.tracker.Answer(now, cn)
+		cn.answeredAt = now
 		po.release(cn)
 		return
 	}
-	po.track.Drop(cn)
+	po.tracker.Drop(cn)
 	po.inUse--
-	po.drop(cn)
-	po.feed()
+	po.closeConn(cn)
+	po.openForWaiters()
 }
 
-// ping proves a connection in use; one that fails is dropped.
+// ping pings on a connection that is in use, and reports whether it was answered. If not, the
+// connection is closed.
 func (po *pool) ping(cn *conn, left time.Duration) bool {
 	began := po.cfg.Clock()
 	po.stats.count(evPing)
-	end, _ := cn.exchange(time.Now().Add(left), pingMessage(), nil)
+	cs, _ := cn.exchange(time.Now().Add(left), pingMessage(), nil)
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if end == endUsable {
-		cn.proved = po.cfg.Clock()
-		po.track.Vouch(began)
+	if cs == connUsable {
+		cn.answeredAt = po.cfg.Clock()
+		po.tracker.Vouch(began)
 		return true
 	}
 	po.stats.count(evPingFailed)
-	po.foundSilent()
+	po.noteSilent()
 	po.inUse--
-	po.drop(cn)
-	po.feed()
+	po.closeConn(cn)
+	po.openForWaiters()
 	return false
 }
 
-// dropIdle closes the idle connections that were last answered on no later
-// than proved.
-func (po *pool) dropIdle(proved time.Duration) {
+// closeIdleUpTo closes the idle connections whose last answer was received no later than at.
+func (po *pool) closeIdleUpTo(at time.Duration) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	kept := po.idle[:0]
 	for _, cn := range po.idle {
-		if cn.proved > proved {
+		if cn.answeredAt > at {
 			kept = append(kept, cn)
 			continue
 		}
-		po.drop(cn)
+		po.closeConn(cn)
 	}
 	clear(po.idle[len(kept):])
 	po.idle = kept
 }
 
-// proof tells whether a connection may be used as it is: it was answered on less
-// than prove ago, and nothing was found silent since.
-func (po *pool) proof(cn *conn, prove time.Duration) bool {
+// answeredWithin reports whether a connection can be used without a ping: its last answer is
+// less than maxAge old, and no connection was found silent since.
+func (po *pool) answeredWithin(cn *conn, maxAge time.Duration) bool {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	return cn.proved > po.doubted && po.cfg.Clock()-cn.proved < prove
+	return cn.answeredAt > po.answersVoidUntil && po.cfg.Clock()-cn.answeredAt < maxAge
 }
 
-// foundSilent puts all connections last answered on before now in doubt: what
-// has lost the state of one has likely lost that of others.
-func (po *pool) foundSilent() {
-	po.doubt()
-	po.alarm.Store(true)
+// noteSilent records that a connection was found silent. All others are then pinged before their
+// next use: a middlebox that has lost the state of one has probably lost that of others.
+func (po *pool) noteSilent() {
+	po.requirePing()
+	po.silentFound.Store(true)
 }
 
-func (po *pool) doubt() {
-	po.doubted = po.cfg.Clock()
+func (po *pool) requirePing() {
+	po.answersVoidUntil = po.cfg.Clock()
 }
 
 func (po *pool) failWaiters(kind Kind, err error) {
 	for wt, ok := po.waiters.next(); ok; wt, ok = po.waiters.next() {
-		wt.ch <- handout{err: po.fail("upst.take", kind, err)}
+		wt.ch <- assignment{err: po.fail("upst.take", kind, err)}
 	}
 }
 
-// fail makes the error of a request that did not leave this VM.
+// fail returns the error of a request that was not sent.
 func (po *pool) fail(op string, kind Kind, err error) error {
 	return &Error{Op: op, Kind: kind, Addr: po.cfg.Addr, Err: err}
 }
--- a/io/upst/pool_test.go
+++ b/io/upst/pool_test.go
@@ -18,70 +18,67 @@
 	"laburnumvane/io/wire"
 )
 
-// The server takes two connections and closes any further one at once. All
-// searches are answered over the two; the refusal is met once and not again
-// while the clock stands.
+// The server accepts two connections and closes any further one at once. All searches are
+// answered over the two; after the first refusal no more are opened while the clock stands still.
 func TestTooManyConnections(t *testing.T) {
-	ri := newRig(t, emul.UpstreamConfig{Connections: 2, Slots: 8, Queue: 8, Service: slow(5 * time.Millisecond)}, upst.Config{MaxConns: 6})
+	fx := newFixture(t, emul.UpstreamConfig{Connections: 2, Slots: 8, Queue: 8, Service: fixedServiceTime(5 * time.Millisecond)}, upst.Config{MaxConns: 6})
 	var done []<-chan error
 	for i := range 8 {
-		done = append(done, ri.begin(fmt.Sprint(i), patience))
+		done = append(done, fx.searchAsync(fmt.Sprint(i), waitTimeout))
 	}
 	for _, ch := range done {
-		ri.is.NoErr(<-ch)
+		fx.is.NoErr(<-ch)
 	}
-	ri.is.True(ri.sv.Open() <= 2)
-	_, refused := ri.up.Connections()
-	// So many openings may be under way when the first is refused.
-	ri.is.True(refused <= warm.DefaultMostAtOnce)
+	fx.is.True(fx.sv.Open() <= 2)
+	_, refused := fx.up.Connections()
+	// Up to this many openings may be in progress when the first is refused.
+	fx.is.True(refused <= warm.DefaultMostAtOnce)
 }
 
-// A hedge is lost: the message that gives it up goes out at once over an idle
-// connection, and the sub-request ends long before its deadline.
+// Cancel is sent at once over an idle connection, so that a hedged sub-request that is no longer
+// needed ends long before its deadline.
 func TestCancelOverIdle(t *testing.T) {
-	ri := newRig(t, emul.UpstreamConfig{Service: slow(time.Minute)}, upst.Config{MaxConns: 2, Floor: 2})
-	ri.until("two are open", func() bool {
-		ri.fc.advance(time.Second)
-		ri.sv.Tick(true)
-		return ri.sv.Open() == 2
+	fx := newFixture(t, emul.UpstreamConfig{Service: fixedServiceTime(time.Minute)}, upst.Config{MaxConns: 2, Floor: 2})
+	fx.until("two are open", func() bool {
+		fx.fc.advance(time.Second)
+		fx.sv.Tick(true)
+		return fx.sv.Open() == 2
 	})
-	done := ri.begin("loser", patience)
-	ri.until("it runs", func() bool { return ri.up.Load().InFlight == 1 })
-	ri.sv.Cancel("loser")
-	failure(ri.is, <-done, upst.KindStatus, true)
-	ri.is.Equal(ri.sv.Open(), 2)
+	done := fx.searchAsync("loser", waitTimeout)
+	fx.until("the sub-request runs", func() bool { return fx.up.Load().InFlight == 1 })
+	fx.sv.Cancel("loser")
+	checkError(fx.is, <-done, upst.KindStatus, true)
+	fx.is.Equal(fx.sv.Open(), 2)
 }
 
-// Many sub-requests of one server are given up at once while every connection
-// is busy with one of them. Nothing waits, nothing is opened; the deadline that
-// the server was told ends them.
+// Many sub-requests are cancelled at once while the only connection is in use. Cancel neither
+// blocks nor opens a connection; the sub-request in progress ends at its deadline.
 func TestCancelWithoutFreeConnection(t *testing.T) {
-	ri := newRig(t, emul.UpstreamConfig{Service: slow(time.Minute)}, upst.Config{MaxConns: 1})
-	done := ri.begin("busy", 300*time.Millisecond)
-	ri.until("it runs", func() bool { return ri.up.Load().InFlight == 1 })
+	fx := newFixture(t, emul.UpstreamConfig{Service: fixedServiceTime(time.Minute)}, upst.Config{MaxConns: 1})
+	done := fx.searchAsync("busy", 300*time.Millisecond)
+	fx.until("the sub-request runs", func() bool { return fx.up.Load().InFlight == 1 })
 	for i := range 1000 {
-		ri.sv.Cancel(fmt.Sprint(i))
+		fx.sv.Cancel(fmt.Sprint(i))
 	}
 	var ue *upst.Error
-	ri.is.True(errors.As(<-done, &ue)) // by the server's word or by this VM's own clock
-	ri.is.True(ue.Sent)
-	open, _ := ri.up.Connections()
-	ri.is.Equal(open, 1)
+	fx.is.True(errors.As(<-done, &ue)) // from the server's reply or the client's own timeout
+	fx.is.True(ue.Sent)
+	open, _ := fx.up.Connections()
+	fx.is.Equal(open, 1)
 }
 
-// A reply comes after its deadline. It is read off the connection and dropped;
-// the next search on that connection gets its own reply, and no new connection
-// was opened for it.
+// A reply that comes after its deadline is read and discarded. The next search on the same
+// connection gets its own reply, and no new connection is opened.
 func TestLateReply(t *testing.T) {
 	is := is.New(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	hs := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, hr *http.Request) {
 		var rq wire.ShardRequest
 		if hr.URL.Path == wire.RouteShardSearch {
 			_ = json.NewDecoder(hr.Body).Decode(&rq)
 		}
 		if rq.ID == "late" {
-			<-free
+			<-unblock
 		}
 		_ = json.NewEncoder(rw).Encode(wire.ShardReply{ID: rq.ID})
 	}))
@@ -91,50 +88,49 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	_, err := sv.Search(ctx, request("late"))
-	failure(is, err, upst.KindTimeout, true)
-	close(free)
-	ctx, cancel = context.WithTimeout(context.Background(), patience)
+	checkError(is, err, upst.KindTimeout, true)
+	close(unblock)
+	ctx, cancel = context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	rp, err := sv.Search(ctx, request("next"))
 	is.NoErr(err)
 	is.Equal(rp.ID, "next")
 	counts := map[string]int64{}
-	sv.Harvest(func(reason string, n int64) { counts[reason] += n })
+	sv.ReportEvents(func(reason string, n int64) { counts[reason] += n })
 	is.Equal(counts["opened"], int64(1))
 	is.Equal(counts["late"], int64(1))
 }
 
-// The connection plan changes while searches run: those over the limit are
-// closed, idle ones at once, and the rest serves on.
+// When the limit falls, idle connections over it are closed at once, and the rest stay usable.
 func TestSetLimit(t *testing.T) {
-	ri := newRig(t, emul.UpstreamConfig{Slots: 8}, upst.Config{MaxConns: 4, Floor: 4})
-	ri.until("four are open", func() bool {
-		ri.fc.advance(time.Second)
-		ri.sv.Tick(true)
-		return ri.sv.Open() == 4
+	fx := newFixture(t, emul.UpstreamConfig{Slots: 8}, upst.Config{MaxConns: 4, Floor: 4})
+	fx.until("four are open", func() bool {
+		fx.fc.advance(time.Second)
+		fx.sv.Tick(true)
+		return fx.sv.Open() == 4
 	})
-	ri.sv.SetLimit(1)
-	ri.is.Equal(ri.sv.Open(), 1)
-	ri.is.Equal(ri.sv.Limit(), 1)
-	ri.is.NoErr(ri.search("a", patience))
-	ri.sv.SetLimit(2)
-	ri.until("two are open", func() bool {
-		ri.fc.advance(time.Second)
-		ri.sv.Tick(true)
-		return ri.sv.Open() == 2
+	fx.sv.SetLimit(1)
+	fx.is.Equal(fx.sv.Open(), 1)
+	fx.is.Equal(fx.sv.Limit(), 1)
+	fx.is.NoErr(fx.search("a", waitTimeout))
+	fx.sv.SetLimit(2)
+	fx.until("two are open", func() bool {
+		fx.fc.advance(time.Second)
+		fx.sv.Tick(true)
+		return fx.sv.Open() == 2
 	})
 }
 
-// The server restarts while no search runs: Tick notices the closed connection
-// and opens another, so that the next search finds it ready.
+// After a restart of the server without searches, Tick detects the closed connection and opens
+// another before the next search needs one.
 func TestRefillAfterRestart(t *testing.T) {
-	ri := newRig(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2})
-	ri.is.True(ri.sv.Tick(true))
-	ri.until("one is open", func() bool { return ri.sv.Open() == 1 })
-	ri.up.Crash()
-	ri.is.NoErr(ri.up.Restart(wire.UpstreamServing))
-	ri.fc.advance(time.Second)
-	ri.is.True(ri.sv.Tick(true))
-	ri.until("one is open again", func() bool { return ri.sv.Open() == 1 })
-	ri.is.True(!ri.sv.Tick(true)) // the floor is kept: no more are wanted
+	fx := newFixture(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2})
+	fx.is.True(fx.sv.Tick(true))
+	fx.until("one is open", func() bool { return fx.sv.Open() == 1 })
+	fx.up.Crash()
+	fx.is.NoErr(fx.up.Restart(wire.UpstreamServing))
+	fx.fc.advance(time.Second)
+	fx.is.True(fx.sv.Tick(true))
+	fx.until("one is open again", func() bool { return fx.sv.Open() == 1 })
+	fx.is.True(!fx.sv.Tick(true)) // no more are needed
 }
--- a/io/upst/sent_test.go
+++ b/io/upst/sent_test.go
@@ -18,82 +18,82 @@
 	"laburnumvane/io/wire"
 )
 
-func slow(dur time.Duration) emul.ServiceTime {
+func fixedServiceTime(dur time.Duration) emul.ServiceTime {
 	return func(*rand.Rand) time.Duration { return dur }
 }
 
-// What the caller of a failed sub-request is told rests on one bit: whether any
-// byte may have left this VM. Each case brings about one failure.
+// The Sent flag of an error says whether any byte of the request may have left this VM, and thus
+// whether the sub-request may have run. Each case causes one failure.
 func TestSentFlag(t *testing.T) {
 	cases := []struct {
 		name string
 		up   emul.UpstreamConfig
 		conn upst.Config
-		// warm lets one search succeed first.
+		// warm makes one search succeed first.
 		warm   bool
-		before func(ri *rig)
-		run    func(ri *rig) error
+		before func(fx *fixture)
+		run    func(fx *fixture) error
 		kind   upst.Kind
 		sent   bool
 	}{
 		{
-			name:   "nobody listens",
-			before: func(ri *rig) { ri.up.Crash() },
-			run:    func(ri *rig) error { return ri.search("a", patience) },
+			name:   "port closed",
+			before: func(fx *fixture) { fx.up.Crash() },
+			run:    func(fx *fixture) error { return fx.search("a", waitTimeout) },
 			kind:   upst.KindDial,
 		},
 		{
-			name: "nobody listened a moment ago",
-			before: func(ri *rig) {
-				ri.up.Crash()
-				failure(ri.is, ri.search("a", patience), upst.KindDial, false)
+			name: "port closed at the previous attempt",
+			before: func(fx *fixture) {
+				fx.up.Crash()
+				checkError(fx.is, fx.search("a", waitTimeout), upst.KindDial, false)
 			},
-			run:  func(ri *rig) error { return ri.search("b", patience) },
+			run:  func(fx *fixture) error { return fx.search("b", waitTimeout) },
 			kind: upst.KindBackoff,
 		},
 		{
-			name: "the deadline passes before a connection is free",
-			up:   emul.UpstreamConfig{Service: slow(time.Minute)},
-			before: func(ri *rig) {
-				ri.begin("holder", time.Second)
-				ri.until("the holder runs", func() bool { return ri.up.Load().InFlight == 1 })
+			name: "no free connection before the deadline",
+			up:   emul.UpstreamConfig{Service: fixedServiceTime(time.Minute)},
+			before: func(fx *fixture) {
+				fx.searchAsync("holder", time.Second)
+				fx.until("the holder runs", func() bool { return fx.up.Load().InFlight == 1 })
 			},
-			run:  func(ri *rig) error { return ri.search("a", 20*time.Millisecond) },
+			run:  func(fx *fixture) error { return fx.search("a", 20*time.Millisecond) },
 			kind: upst.KindNoConn,
 		},
 		{
-			name: "too little time is left",
+			name: "too little time left",
 			warm: true,
-			run:  func(ri *rig) error { return ri.search("a", 100*time.Microsecond) },
+			run:  func(fx *fixture) error { return fx.search("a", 100*time.Microsecond) },
 			kind: upst.KindExpired,
 		},
 		{
-			name:   "no connection is allowed",
-			before: func(ri *rig) { ri.sv.SetLimit(0) },
-			run:    func(ri *rig) error { return ri.search("a", patience) },
+			name:   "no connection allowed",
+			before: func(fx *fixture) { fx.sv.SetLimit(0) },
+			run:    func(fx *fixture) error { return fx.search("a", waitTimeout) },
 			kind:   upst.KindNoConn,
 		},
 		{
-			name:   "given up",
-			before: func(ri *rig) { ri.sv.Close() },
-			run:    func(ri *rig) error { return ri.search("a", patience) },
+			name:   "server closed",
+			before: func(fx *fixture) { fx.sv.Close() },
+			run:    func(fx *fixture) error { return fx.search("a", waitTimeout) },
 			kind:   upst.KindClosed,
 		},
 		{
 			name: "no reply before the deadline",
 			up:   emul.UpstreamConfig{},
 			warm: true,
-			before: func(ri *rig) {
-				ri.up.SetFaults(emul.UpstreamFaults{Mute: true})
+			before: func(fx *fixture) {
+				fx.up.SetFaults(emul.UpstreamFaults{Mute: true})
 			},
-			run:  func(ri *rig) error { return ri.search("a", 30*time.Millisecond) },
+			run:  func(fx *fixture) error { return fx.search("a", 30*time.Millisecond) },
 			kind: upst.KindTimeout,
 			sent: true,
 		},
 		{
-			name:   "a status without the server's own word",
-			before: func(ri *rig) { ri.up.SetFaults(emul.UpstreamFaults{ErrorShare: 1}) },
-			run:    func(ri *rig) error { return ri.search("a", patience) },
+			name:   "status 500",
+			before: func(fx *fixture) { fx.up.SetFaults(emul.UpstreamFaults{ErrorShare: 1}) },
+			run:    func(fx *fixture) error { return fx.search("a", waitTimeout) },
 			kind:   upst.KindStatus,
 			sent:   true,
 		},
@@ -101,21 +101,21 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.conn.MaxConns = 1
-			ri := newRig(t, tc.up, tc.conn)
+			fx := newFixture(t, tc.up, tc.conn)
 			if tc.warm {
-				ri.is.NoErr(ri.search("warm", patience))
+				fx.is.NoErr(fx.search("warm", waitTimeout))
 			}
 			if tc.before != nil {
-				tc.before(ri)
+				tc.before(fx)
 			}
-			failure(ri.is, tc.run(ri), tc.kind, tc.sent)
+			checkError(fx.is, tc.run(fx), tc.kind, tc.sent)
 		})
 	}
 }
 
-// breaker is a server that answers one ping, reads what comes next once, and
-// breaks the connection.
-func breaker(t *testing.T) *upst.Server {
+// newResettingServer returns a client of a server that answers one ping, reads once more, and
+// resets the connection.
+func newResettingServer(t *testing.T) *upst.Server {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,60 +138,60 @@
 	return sv
 }
 
-// The server takes the whole request and dies: it may have run.
+// The server reads the whole request and resets the connection: the request may have run.
 func TestResetAfterRequest(t *testing.T) {
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	_, err := breaker(t).Search(ctx, request("a"))
-	failure(is, err, upst.KindReset, true)
+	_, err := newResettingServer(t).Search(ctx, request("a"))
+	checkError(is, err, upst.KindReset, true)
 }
 
-// The server dies after the beginning of a request. The rest is larger than what
-// the sockets hold, so that the write itself fails with a part of it out.
+// The server resets the connection after the beginning of a request. The rest is larger than the
+// socket buffers, so that the write itself fails after a part was sent.
 func TestPartialWrite(t *testing.T) {
 	is := is.New(t)
 	var err error
 	rq := request("large")
 	rq.Query, err = json.Marshal(strings.Repeat("x", 16<<20))
 	is.NoErr(err)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	_, err = breaker(t).Search(ctx, rq)
-	failure(is, err, upst.KindWrite, true)
+	_, err = newResettingServer(t).Search(ctx, rq)
+	checkError(is, err, upst.KindWrite, true)
 }
 
-// A sub-request waits behind another for the only connection. The server is
-// told the time that is left when it is sent, not when the wait began.
+// A sub-request waits behind another for the only connection. The deadline sent to the server is
+// the time left when the request is sent, not when the wait began.
 func TestDeadlineShrinksWhileWaiting(t *testing.T) {
 	is := is.New(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	arrived := make(chan wire.ShardRequest, 2)
 	hs := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, hr *http.Request) {
 		if hr.URL.Path == wire.RouteShardSearch {
 			var rq wire.ShardRequest
 			_ = json.NewDecoder(hr.Body).Decode(&rq)
 			arrived <- rq
-			<-free
+			<-unblock
 		}
 		_, _ = rw.Write([]byte(`{}`))
 	}))
 	defer hs.Close()
 	sv := upst.New(upst.Config{Addr: hs.Listener.Addr().String(), MaxConns: 1})
 	defer sv.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	at, _ := ctx.Deadline()
 	done := make(chan error, 2)
-	ask := func(id string) {
+	search := func(id string) {
 		_, err := sv.Search(ctx, request(id))
 		done <- err
 	}
-	go ask("first")
+	go search("first")
 	<-arrived
-	go ask("second")
+	go search("second")
 	left := time.Until(at)
-	close(free)
+	close(unblock)
 	second := <-arrived
 	is.NoErr(<-done)
 	is.NoErr(<-done)
--- a/io/upst/server.go
+++ b/io/upst/server.go
@@ -12,56 +12,57 @@
 
 // Defaults of a Config.
 const (
-	DefaultDialTimeout = 2 * time.Second
-	DefaultProveOnce   = time.Second
-	DefaultProveIdle   = 15 * time.Second
-	DefaultPingTimeout = 250 * time.Millisecond
-	DefaultIdleClose   = time.Minute
+	DefaultDialTimeout   = 2 * time.Second
+	DefaultPingAfterOnce = time.Second
+	DefaultPingAfter     = 15 * time.Second
+	DefaultPingTimeout   = 250 * time.Millisecond
+	DefaultIdleClose     = time.Minute
 )
 
 const (
-	// leastSend is the time below which a request is not sent: the server
-	// could not answer it in time.
-	leastSend = time.Millisecond
-	// proveShare is the part of the time left that proving may cost.
-	proveShare = 4
-	// callTimeout bounds exchanges whose context has no deadline.
+	// minSendTime is the time left below which a request is not sent, because the server
+	// could not answer in time.
+	minSendTime = time.Millisecond
+	// pingTimeDivisor limits a ping before a request to this fraction of the time left.
+	pingTimeDivisor = 4
+	// callTimeout limits exchanges whose context has no deadline.
 	callTimeout = 30 * time.Second
-	// cancelTimeout bounds a message that gives up a sub-request.
+	// cancelTimeout limits the exchange that cancels a sub-request.
 	cancelTimeout = time.Second
 )
 
-// Config sets the connections to one server. Addr and MaxConns are required;
-// the rest takes defaults.
+// Config configures the connections to one server. Addr and MaxConns are required; other fields
+// have defaults.
 type Config struct {
 	Addr string
-	// MaxConns bounds the connections of this VM to the server until SetLimit.
+	// MaxConns is the initial limit of this VM's connections to the server; SetLimit changes
+	// it.
 	MaxConns int
 	// Floor is the number of connections kept open without demand.
 	Floor int
-	// DialTimeout bounds the opening of a connection with its first ping.
+	// DialTimeout limits the opening of a connection, including its first ping.
 	DialTimeout time.Duration
-	// ProveOnce is the silence of a connection after which a request that must
-	// not be repeated is preceded by a ping.
-	ProveOnce time.Duration
-	// ProveIdle is the same for any request. Idle connections are pinged in
-	// the background that often.
-	ProveIdle time.Duration
-	// PingTimeout bounds a ping.
+	// PingAfterOnce is the time since a connection's last answer after which SearchOnce pings
+	// before it sends.
+	PingAfterOnce time.Duration
+	// PingAfter is the same for all requests. It is also the interval at which idle
+	// connections are pinged in the background.
+	PingAfter time.Duration
+	// PingTimeout limits a ping before a request.
 	PingTimeout time.Duration
-	// IdleClose is how long a connection that is not needed stays open.
+	// IdleClose is how long an unneeded connection stays open.
 	IdleClose time.Duration
-	// Clock tells the time since a fixed start; nil means real time. Deadlines
-	// of exchanges always pass in real time.
+	// Clock returns the time since a fixed start; nil means real time. Deadlines of exchanges
+	// always use real time.
 	Clock func() time.Duration
-	// Seed seeds the jitter of openings.
+	// Seed seeds the jitter of the backoff between openings.
 	Seed uint64
 }
 
 func (cf Config) withDefaults() Config {
 	cf.DialTimeout = orDefault(cf.DialTimeout, DefaultDialTimeout)
-	cf.ProveOnce = orDefault(cf.ProveOnce, DefaultProveOnce)
-	cf.ProveIdle = orDefault(cf.ProveIdle, DefaultProveIdle)
+	cf.PingAfterOnce = orDefault(cf.PingAfterOnce, DefaultPingAfterOnce)
+	cf.PingAfter = orDefault(cf.PingAfter, DefaultPingAfter)
 	cf.PingTimeout = orDefault(cf.PingTimeout, DefaultPingTimeout)
 	cf.IdleClose = orDefault(cf.IdleClose, DefaultIdleClose)
 	if cf.Clock == nil {
@@ -85,56 +86,54 @@
 	pool *pool
 }
 
-// New makes a server without connections; they are opened when needed, or by
-// Tick.
+// New returns a server without connections. They are opened when needed, or by Tick.
 func New(cfg Config) *Server {
 	cfg = cfg.withDefaults()
 	return &Server{cfg: cfg, pool: newPool(cfg)}
 }
 
-// Addr is the server's address.
+// Addr returns the server's address.
 func (sv *Server) Addr() string {
 	return sv.cfg.Addr
 }
 
-// Open is the number of open connections.
+// Open returns the number of open connections.
 func (sv *Server) Open() int {
-	return sv.pool.opened()
+	return sv.pool.openCount()
 }
 
-// Limit is the number of connections allowed.
+// Limit returns the limit of connections.
 func (sv *Server) Limit() int {
 	return sv.pool.limit()
 }
 
-// SetLimit replaces the number of connections allowed. Those over it are closed
-// when their exchange ends, idle ones at once.
+// SetLimit replaces the limit of connections. Connections over the limit are closed, idle ones
+// at once and others when their exchange ends.
 func (sv *Server) SetLimit(n int) {
 	sv.pool.setLimit(n)
 }
 
-// Search sends one sub-request. The context's deadline, less the time spent
-// waiting for a connection, is told to the server. The error, where there is
-// one, is an *Error.
+// Search sends one sub-request. The server is sent the time that is left until the context's
+// deadline after waiting for a connection. Any error is an *Error.
 func (sv *Server) Search(ctx context.Context, rq wire.ShardRequest) (wire.ShardReply, error) {
-	return sv.search(ctx, rq, sv.cfg.ProveIdle)
+	return sv.search(ctx, rq, sv.cfg.PingAfter)
 }
 
-// SearchOnce sends a sub-request that must not be repeated: only on a
-// connection that has just been answered on, or is proved by a ping first.
+// SearchOnce sends a sub-request that must not be executed twice. It uses only a connection with
+// a recent answer, or pings first; see Config.PingAfterOnce.
 func (sv *Server) SearchOnce(ctx context.Context, rq wire.ShardRequest) (wire.ShardReply, error) {
-	return sv.search(ctx, rq, min(sv.cfg.ProveOnce, sv.cfg.ProveIdle))
+	return sv.search(ctx, rq, min(sv.cfg.PingAfterOnce, sv.cfg.PingAfter))
 }
 
-func (sv *Server) search(ctx context.Context, rq wire.ShardRequest, prove time.Duration) (wire.ShardReply, error) {
+func (sv *Server) search(ctx context.Context, rq wire.ShardRequest, maxAge time.Duration) (wire.ShardReply, error) {
 	var rp wire.ShardReply
 	at := deadlineOf(ctx)
-	cn, err := sv.proven(ctx, at, prove)
+	cn, err := sv.takeAnswered(ctx, at, maxAge)
 	if err != nil {
 		return rp, err
 	}
 	left := time.Until(at)
-	if left < leastSend {
+	if left < minSendTime {
 		sv.pool.put(cn)
 		return rp, sv.unsent("upst.Search", KindExpired, context.DeadlineExceeded)
 	}
@@ -144,35 +143,35 @@
 		sv.pool.put(cn)
 		return rp, sv.unsent("upst.Search", KindDecode, err)
 	}
-	err = sv.run(cn, at, message{consts.MethodPost, wire.RouteShardSearch, body}, &rp)
-	sv.pool.cancels.forget(rq.ID)
+	err = sv.exchange(cn, at, message{consts.MethodPost, wire.RouteShardSearch, body}, &rp)
+	sv.pool.cancels.remove(rq.ID)
 	return rp, err
 }
 
-// Cancel asks the server to give up a sub-request. It never waits and never
-// opens a connection: the message goes out on an idle one, or on the first that
-// comes back; where none does in time, the sub-request's deadline ends it.
+// Cancel asks the server to cancel a sub-request. It neither blocks nor opens a connection: the
+// message is sent on an idle connection, or on the first one released. If none is released in
+// time, the sub-request ends at its deadline.
 func (sv *Server) Cancel(id string) {
 	sv.pool.cancel(id)
 }
 
-// Doubt has each connection proved before its next use that was not answered on
-// since. Connections of other servers that were found silent are a reason.
-func (sv *Server) Doubt() {
+// RequirePing makes each connection need an answer later than now, usually to a ping, before its
+// next use. It is called when connections to other servers were found silent.
+func (sv *Server) RequirePing() {
 	sv.pool.mu.Lock()
 	defer sv.pool.mu.Unlock()
-	sv.pool.doubt()
+	sv.pool.requirePing()
 }
 
-// Load asks for the server's own account of itself.
+// Load requests the server's own report of its state and load.
 func (sv *Server) Load(ctx context.Context) (wire.UpstreamStatus, error) {
 	var rp wire.UpstreamStatus
 	at := deadlineOf(ctx)
-	cn, err := sv.proven(ctx, at, sv.cfg.ProveIdle)
+	cn, err := sv.takeAnswered(ctx, at, sv.cfg.PingAfter)
 	if err != nil {
 		return rp, err
 	}
-	err = sv.run(cn, at, message{consts.MethodGet, wire.RouteUpLoad, nil}, &rp)
+	err = sv.exchange(cn, at, message{consts.MethodGet, wire.RouteUpLoad, nil}, &rp)
 	return rp, err
 }
 
@@ -181,32 +180,32 @@
 	sv.pool.close()
 }
 
-// run performs one exchange and gives the connection back.
-func (sv *Server) run(cn *conn, at time.Time, ms message, out any) error {
-	sv.pool.begin(cn, time.Until(at))
-	end, err := cn.exchange(at, ms, out)
-	sv.pool.end(cn, end)
+// exchange performs one exchange and gives the connection back.
+func (sv *Server) exchange(cn *conn, at time.Time, ms message, out any) error {
+	sv.pool.beginExchange(cn, time.Until(at))
+	cs, err := cn.exchange(at, ms, out)
+	sv.pool.endExchange(cn, cs)
 	return err
 }
 
-// proven takes a connection that was answered on less than prove ago, or is
-// answered on now.
-func (sv *Server) proven(ctx context.Context, at time.Time, prove time.Duration) (*conn, error) {
+// takeAnswered takes a connection whose last answer is less than maxAge old, or that answers a
+// ping now.
+func (sv *Server) takeAnswered(ctx context.Context, at time.Time, maxAge time.Duration) (*conn, error) {
 	for {
 		cn, err := sv.pool.take(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if sv.pool.proof(cn, prove) {
+		if sv.pool.answeredWithin(cn, maxAge) {
 			return cn, nil
 		}
-		left := min(sv.cfg.PingTimeout, time.Until(at)/proveShare)
+		left := min(sv.cfg.PingTimeout, time.Until(at)/pingTimeDivisor)
 		if sv.pool.ping(cn, left) {
 			return cn, nil
 		}
-		// What took the state of one idle connection has likely taken that
-		// of the others: have a new one rather than try each in turn.
-		sv.pool.dropIdle(cn.proved)
+		// If one idle connection is dead, the others without a later answer probably
+		// are too: close them and open a new one rather than ping each in turn.
+		sv.pool.closeIdleUpTo(cn.answeredAt)
 	}
 }
 
--- a/io/upst/stats.go
+++ b/io/upst/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// event is something that happened to connections, to be counted.
+// event is a kind of connection event that is counted.
 type event uint8
 
 const (
@@ -22,7 +22,7 @@
 	eventCount
 )
 
-// String is the reason under which an event is counted.
+// String returns the reason under which an event is counted.
 func (ev event) String() string {
 	names := [eventCount]string{
 		"opened", "dialFailed", "refused", "stale", "silent", "late",
@@ -40,8 +40,8 @@
 	st.counts[ev].Add(1)
 }
 
-// harvest reports and clears the counts.
-func (st *stats) harvest(count func(reason string, n int64)) {
+// report reports the counts above 0 and resets them.
+func (st *stats) report(count func(reason string, n int64)) {
 	for ev := range st.counts {
 		if n := st.counts[ev].Swap(0); n > 0 {
 			count(event(ev).String(), n)
--- a/io/upst/wait.go
+++ b/io/upst/wait.go
@@ -2,28 +2,28 @@
 
 import "context"
 
-// handout is what a waiter is given: a connection or the reason for none.
-type handout struct {
+// assignment is what a waiter receives: a connection, or an error.
+type assignment struct {
 	cn  *conn
 	err error
 }
 
 // waiter is a request that waits for a connection.
 type waiter struct {
-	ch   chan handout
-	gone bool
+	ch   chan assignment
+	left bool
 }
 
-// waitList is a queue of waiters, first come first served. Waiters that left
-// stay in it until their turn and are passed over.
+// waitList is a FIFO queue of waiters. Waiters that were removed stay in the queue until their
+// turn, and are then skipped. The zero value is an empty list.
 type waitList struct {
-	queue []*waiter
-	head  int
-	left  int
+	queue   []*waiter
+	head    int
+	waiting int
 }
 
-// compactFrom is the number of served places at the head of the queue from which
-// it is worth closing the gap: under steady overload it never runs empty.
+// compactFrom is the number of used entries at the head of the queue from which it is
+// compacted. Under steady overload the queue is never empty, so without this it would grow.
 const compactFrom = 64
 
 func (wl *waitList) add() *waiter {
@@ -32,19 +32,19 @@
 		clear(wl.queue[n:])
 		wl.queue, wl.head = wl.queue[:n], 0
 	}
-	wt := &waiter{ch: make(chan handout, 1)}
+	wt := &waiter{ch: make(chan assignment, 1)}
 	wl.queue = append(wl.queue, wt)
-	wl.left++
+	wl.waiting++
 	return wt
 }
 
-// leave takes a waiter out; false if it has been given something already.
-func (wl *waitList) leave(wt *waiter) bool {
+// remove removes a waiter. It returns false if the waiter already has an assignment.
+func (wl *waitList) remove(wt *waiter) bool {
 	if len(wt.ch) > 0 {
 		return false
 	}
-	wt.gone = true
-	wl.left--
+	wt.left = true
+	wl.waiting--
 	return true
 }
 
@@ -56,32 +56,32 @@
 		if wl.head == len(wl.queue) {
 			wl.queue, wl.head = wl.queue[:0], 0
 		}
-		if wt.gone {
+		if wt.left {
 			continue
 		}
-		wl.left--
+		wl.waiting--
 		return wt, true
 	}
 	return nil, false
 }
 
 func (wl *waitList) len() int {
-	return wl.left
+	return wl.waiting
 }
 
-// wait returns what the waiter is given, or the context's error.
+// wait returns the waiter's assignment, or an error if the context ends first.
 func (po *pool) wait(ctx context.Context, wt *waiter) (*conn, error) {
 	select {
-	case ho := <-wt.ch:
-		return ho.cn, ho.err
+	case as := <-wt.ch:
+		return as.cn, as.err
 	case <-ctx.Done():
 	}
 	po.mu.Lock()
-	left := po.waiters.leave(wt)
+	removed := po.waiters.remove(wt)
 	po.mu.Unlock()
-	if left {
+	if removed {
 		return nil, po.fail("upst.take", KindNoConn, ctx.Err())
 	}
-	ho := <-wt.ch
-	return ho.cn, ho.err
+	as := <-wt.ch
+	return as.cn, as.err
 }
--- a/io/upst/wait_test.go
+++ b/io/upst/wait_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// There is always somebody who waits, some leave, and the others are served in
-// the order in which they came. The queue does not grow with those served.
+// The queue is never empty, some waiters are removed, and the others are served in FIFO order.
+// The queue must not grow with the number of waiters served.
 func TestWaitListUnderSteadyLoad(t *testing.T) {
 	is := is.New(t)
 	var wl waitList
@@ -15,7 +15,7 @@
 	for i := range 100_000 {
 		wt := wl.add()
 		if i%7 == 3 {
-			is.True(wl.leave(wt))
+			is.True(wl.remove(wt))
 		} else {
 			expect = append(expect, wt)
 		}
@@ -31,15 +31,15 @@
 	is.True(cap(wl.queue) < 1000)
 }
 
-// A waiter that was handed a connection cannot leave any more: it has to take
-// it, or the connection would be lost.
-func TestWaiterCannotLeaveWithHandout(t *testing.T) {
+// A waiter that already has a connection cannot be removed: it must use the connection or give it
+// back, or the connection would leak.
+func TestWaiterCannotLeaveAfterAssignment(t *testing.T) {
 	is := is.New(t)
 	var wl waitList
 	wt := wl.add()
 	got, ok := wl.next()
 	is.True(ok)
-	got.ch <- handout{}
-	is.True(!wl.leave(wt))
+	got.ch <- assignment{}
+	is.True(!wl.remove(wt))
 	is.Equal(wl.len(), 0)
 }
