--- a/io/stubs/stubs.go
+++ b/io/stubs/stubs.go
@@ -1,5 +1,5 @@
-// Package stubs holds a client for each VM that is called, with connections of its
-// own, so that those to one VM can be given up without touching the others.
+// Package stubs holds an RPC client for each VM that is called. Each client has its own
+// connection pool, so that the connections to one VM can be closed without affecting others.
 //
 // # Usage
 //
@@ -17,73 +17,73 @@
 	"time"
 )
 
-// idleClose is how long an idle connection is kept.
-const idleClose = time.Minute
+// idleTimeout is how long an idle connection is kept.
+const idleTimeout = time.Minute
 
-// Config sets a pool of clients of the kind T.
+// Config configures a pool of clients of type T.
 type Config[T any] struct {
-	// Make makes the client of one VM from its base address.
+	// Make returns a client of the VM with a base URL such as "http://127.0.0.1:9000".
 	Make func(base string, hc *http.Client) T
-	// DialTime bounds the opening of a connection.
+	// DialTime limits the opening of a connection; 0 is no limit.
 	DialTime time.Duration
-	// Idle is how many connections are kept to each VM.
+	// Idle is the maximum number of idle connections kept to each VM.
 	Idle int
 }
 
-// Pool holds a client for each VM called lately.
+// Pool holds a client for each VM that was called, until Drop or Close.
 type Pool[T any] struct {
-	cfg Config[T]
-	mu  sync.Mutex
-	to  map[string]stub[T]
+	cfg    Config[T]
+	mu     sync.Mutex
+	byAddr map[string]vmClient[T]
 }
 
-type stub[T any] struct {
-	client T
-	tr     *http.Transport
+type vmClient[T any] struct {
+	client    T
+	transport *http.Transport
 }
 
-// New makes an empty pool.
+// New returns an empty pool.
 func New[T any](cfg Config[T]) *Pool[T] {
-	return &Pool[T]{cfg: cfg, to: make(map[string]stub[T])}
+	return &Pool[T]{cfg: cfg, byAddr: make(map[string]vmClient[T])}
 }
 
-// At is the client for a VM's inner address.
+// At returns the client of the VM with an inner address, and creates it if needed.
 func (po *Pool[T]) At(addr string) T {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	st, ok := po.to[addr]
+	st, ok := po.byAddr[addr]
 	if !ok {
 		tr := &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: po.cfg.DialTime}).DialContext,
 			MaxIdleConnsPerHost: po.cfg.Idle,
-			IdleConnTimeout:     idleClose,
-			// Messages are small or packed; offering compression only makes
-			// them longer.
+			IdleConnTimeout:     idleTimeout,
+			// Messages are small or already compressed; an Accept-Encoding header
+			// would only make them longer.
 			DisableCompression: true,
 		}
-		st = stub[T]{client: po.cfg.Make("http://"+addr, &http.Client{Transport: tr}), tr: tr}
-		po.to[addr] = st
+		st = vmClient[T]{client: po.cfg.Make("http://"+addr, &http.Client{Transport: tr}), transport: tr}
+		po.byAddr[addr] = st
 	}
 	return st.client
 }
 
-// Drop forgets a VM with its connections: one that did not answer may have gone
-// silent for good, while a new one works.
+// Drop removes a VM's client and closes its idle connections. After a call without an answer its
+// connection may be dead, while a new one may work.
 func (po *Pool[T]) Drop(addr string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	if st, ok := po.to[addr]; ok {
-		st.tr.CloseIdleConnections()
-		delete(po.to, addr)
+	if st, ok := po.byAddr[addr]; ok {
+		st.transport.CloseIdleConnections()
+		delete(po.byAddr, addr)
 	}
 }
 
-// Close closes all idle connections.
+// Close removes all clients and closes their idle connections.
 func (po *Pool[T]) Close() {
 	po.mu.Lock()
 	defer po.mu.Unlock()
-	for _, st := range po.to {
-		st.tr.CloseIdleConnections()
+	for _, st := range po.byAddr {
+		st.transport.CloseIdleConnections()
 	}
-	clear(po.to)
+	clear(po.byAddr)
 }
