--- a/io/guard/body.go
+++ b/io/guard/body.go
@@ -14,20 +14,20 @@
 
 const (
 	typeJSON = "application/json"
-	// typeForm is what curl -d sends unless it is told otherwise.
+	// typeForm is the default content type of curl -d.
 	typeForm = "application/x-www-form-urlencoded"
 )
 
-// Body gives a request's body if it can be JSON. The bytes are the library's and
-// must not outlive the handler.
+// Body returns a request's body, or an error if its headers or encoding rule out JSON. The bytes
+// belong to the library and must not be used after the handler returns.
 func Body(rc *app.RequestContext) ([]byte, *wire.ErrorReply) {
 	if msg := checkType(rc); msg != "" {
 		return nil, &wire.ErrorReply{Error: msg, Reason: ReasonMediaType}
 	}
 	body := rc.Request.Body()
 	if !utf8.Valid(body) {
-		// The decoder would put a replacement character for what is not
-		// UTF-8, and a plate with one in it finds nobody.
+		// The decoder would replace invalid UTF-8 by a replacement character, and a
+		// search for a plate with one would find no member.
 		return nil, &wire.ErrorReply{Error: "the body is not valid UTF-8", Reason: ReasonBadRequest}
 	}
 	return body, nil
@@ -53,24 +53,25 @@
 	return ""
 }
 
-// DecodeError tells what is wrong with a body that the JSON decoder refused.
+// DecodeError returns the error reply for a body that the JSON decoder rejected.
 func DecodeError(err error) *wire.ErrorReply {
 	var te *json.UnmarshalTypeError
 	switch {
 	case errors.As(err, &te) && te.Field != "":
-		return BadField(te.Field, "must be "+kindOf(te)+", not "+te.Value)
+		return BadField(te.Field, "must be "+jsonTypeName(te)+", not "+te.Value)
 	case te != nil:
 		return &wire.ErrorReply{Error: "the body must be a JSON object, not " + te.Value, Reason: ReasonBadRequest}
 	}
 	return &wire.ErrorReply{Error: "the body is not a JSON object: " + err.Error(), Reason: ReasonBadRequest}
 }
 
-// BadField is the refusal of one field.
+// BadField returns the error reply for an invalid field at a path.
 func BadField(path, msg string) *wire.ErrorReply {
 	return &wire.ErrorReply{Error: path + " " + msg, Reason: ReasonBadRequest, Path: path}
 }
 
-func kindOf(te *json.UnmarshalTypeError) string {
+// jsonTypeName returns the JSON type that a field must have, in words.
+func jsonTypeName(te *json.UnmarshalTypeError) string {
 	switch kind := te.Type.Kind().String(); {
 	case strings.HasPrefix(kind, "int"), strings.HasPrefix(kind, "uint"):
 		return "a whole number"
--- a/io/guard/conn.go
+++ b/io/guard/conn.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// listener hands out connections whose requests must arrive in time.
+// listener returns connections that limit the time in which requests must arrive.
 type listener struct {
 	net.Listener
 	cfg Config
@@ -19,116 +19,117 @@
 		return nil, err
 	}
 	cn := &conn{Conn: nc, cfg: ln.cfg}
-	cn.begin()
+	cn.startIdle()
 	return cn, nil
 }
 
-// state says what the server does with a connection. It is learnt from the
-// deadlines that the library sets: none at all while a handler runs, for it then
-// watches for the client's going away, and one ahead while it waits for a
-// request.
+// state is what the server is doing with a connection. It is inferred from the read deadlines that
+// the library sets: none while a handler runs, because the library then reads to detect a
+// disconnect, and a future one while it waits for a request.
 type state uint8
 
 const (
 	// waiting for the first byte of a request.
 	waiting state = iota
-	// reading a request that has begun.
+	// reading the rest of a request.
 	reading
 	// serving: a handler runs, or its answer is being written.
 	serving
-	// refused: the library's own error was replaced, and the end follows.
+	// refused: the library's own error was replaced, and the connection will be closed.
 	refused
 )
 
-// What a refused client may still send before its connection is cut.
+// Limits of what a refused client may still send before its connection is closed.
 const (
 	lingerTime  = time.Second
 	lingerBytes = 16 << 20
 )
 
-// conn bounds the time that a whole request takes to arrive, and puts the
-// errors that the library writes by itself into the form of all others.
+// conn limits the time in which a whole request must arrive, and replaces the errors that the
+// library writes itself by error replies in JSON.
 type conn struct {
 	net.Conn
 	cfg Config
 
 	mu    sync.Mutex
 	state state
-	// asked is the read deadline that the library set last.
-	asked time.Time
-	// until is when the request being read must be whole.
-	until time.Time
+	// libraryDeadline is the read deadline that the library set last.
+	libraryDeadline time.Time
+	// ownDeadline is when the next request must have begun, or the present one must be
+	// complete; zero means no limit.
+	ownDeadline time.Time
 }
 
-// NetConn is the connection under this one, to look whether bytes wait on it.
+// NetConn returns the underlying connection, for checks whether it has unread bytes.
 func (cn *conn) NetConn() net.Conn { return cn.Conn }
 
-// begin bounds the wait for the first request, which the library does not.
-func (cn *conn) begin() {
+// startIdle limits the wait for the first request, which the library does not.
+func (cn *conn) startIdle() {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.until = time.Now().Add(cn.cfg.Times().Idle)
-	// A connection that cannot take a deadline fails at its first read.
-	_ = cn.Conn.SetReadDeadline(cn.until)
+	cn.ownDeadline = time.Now().Add(cn.cfg.Times().Idle)
+	// If this fails, the first read fails too.
+	_ = cn.Conn.SetReadDeadline(cn.ownDeadline)
 }
 
-// Read notes when a request begins.
+// Read sets the deadline of a request when its first byte arrives.
 func (cn *conn) Read(p []byte) (int, error) {
 	n, err := cn.Conn.Read(p)
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
 	if n > 0 && cn.state == waiting {
 		cn.state = reading
-		cn.until = time.Now().Add(cn.cfg.Times().Request)
-		if derr := cn.apply(); err == nil {
-			err = derr
+		cn.ownDeadline = time.Now().Add(cn.cfg.Times().Request)
+		if deadlineErr := cn.applyDeadline(); err == nil {
+			err = deadlineErr
 		}
 	}
 	return n, err
 }
 
-// SetReadDeadline lets the library shorten the time of a request, not lengthen
-// it.
+// SetReadDeadline sets the library's read deadline. It can shorten the time of a request, but not
+// extend it.
 func (cn *conn) SetReadDeadline(at time.Time) error {
 	cn.mu.Lock()
 	defer cn.mu.Unlock()
-	cn.asked = at
+	cn.libraryDeadline = at
 	switch {
 	case at.IsZero():
 		cn.state = serving
-		cn.until = time.Time{}
+		cn.ownDeadline = time.Time{}
 	case cn.state == serving && time.Until(at) > 0:
 		cn.state = waiting
-		cn.until = time.Now().Add(cn.cfg.Times().Idle)
+		cn.ownDeadline = time.Now().Add(cn.cfg.Times().Idle)
 	}
-	return cn.apply()
+	return cn.applyDeadline()
 }
 
-func (cn *conn) apply() error {
-	at := cn.asked
-	if !cn.until.IsZero() && (at.IsZero() || cn.until.Before(at)) {
-		at = cn.until
+// applyDeadline applies the earlier of the two deadlines. The caller holds the lock.
+func (cn *conn) applyDeadline() error {
+	at := cn.libraryDeadline
+	if !cn.ownDeadline.IsZero() && (at.IsZero() || cn.ownDeadline.Before(at)) {
+		at = cn.ownDeadline
 	}
 	return cn.Conn.SetReadDeadline(at)
 }
 
-// Write bounds the time of each write, and replaces what is no handler's.
+// Write limits the time of each write, and replaces what was not written by a handler.
 func (cn *conn) Write(p []byte) (int, error) {
 	cn.mu.Lock()
 	was := cn.state
-	own := was != serving && !isContinue(p)
-	if own {
+	libraryError := was != serving && !isContinue(p)
+	if libraryError {
 		cn.state = refused
 	}
 	cn.mu.Unlock()
 	if err := cn.SetWriteDeadline(time.Now().Add(cn.cfg.WriteTime)); err != nil {
 		return 0, err
 	}
-	if !own {
+	if !libraryError {
 		return cn.Conn.Write(p)
 	}
 	if was != refused {
-		answer, reason := replacement(p)
+		answer, reason := replacementAnswer(p)
 		cn.cfg.Refused(reason)
 		if _, err := cn.Conn.Write(answer); err != nil {
 			return 0, err
@@ -137,9 +138,9 @@
 	return len(p), nil
 }
 
-// Close lets a refused client finish sending, within bounds. To close with
-// unread bytes makes TCP reset the connection, and a client that was still
-// sending its too large body would see that and never the reason.
+// Close lets a refused client finish sending, within limits. Closing a connection with unread
+// bytes resets it, and a client that is still sending a too large body would see the reset instead
+// of the error reply.
 func (cn *conn) Close() error {
 	cn.mu.Lock()
 	linger := cn.state == refused
@@ -147,7 +148,7 @@
 	cn.mu.Unlock()
 	if half, ok := cn.Conn.(interface{ CloseWrite() error }); ok && linger && half.CloseWrite() == nil {
 		if cn.Conn.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-			// Whatever ends the copy, the connection is closed next.
+			// The connection is closed next, so an error has no consequence.
 			_, _ = io.CopyN(io.Discard, cn.Conn, lingerBytes)
 		}
 	}
--- a/io/guard/doc.go
+++ b/io/guard/doc.go
@@ -1,6 +1,6 @@
-// Package guard makes the HTTP listeners that face callers and operators safe
-// to expose: whatever a client sends or fails to send, it gets one clear error
-// in JSON within a bounded time and nothing of it is held on to.
+// Package guard makes the HTTP listeners for callers and operators safe to expose: whatever a
+// client sends or fails to send, it gets one clear JSON error within a bounded time, and its
+// connection and memory are released.
 //
 // # Usage
 //
@@ -9,19 +9,18 @@
 //	hz.POST("/v1/search", handler)
 //	err := hz.Run()
 //
-// In a handler, guard.Body checks the content type and gives the body;
-// guard.DecodeError and guard.BadField put what is wrong with it into the form
-// of all errors, and guard.Refuse answers with one.
+// In a handler, guard.Body checks the content type and returns the body;
+// guard.DecodeError and guard.BadField describe what is wrong with it in the common error
+// format, and guard.Refuse answers with such an error.
 //
-// # What it bounds
+// # Limits
 //
-// A whole request, from its first byte to its last, has RequestTime; so has a
-// new connection that sends nothing. The library bounds each read alone, and
-// the first request of a connection not at all, so that a client which sends a
-// byte now and then would hold a connection for ever. An idle connection is
-// closed after RequestTime too. Each write of an answer has WriteTime. Bodies
-// are bounded by MaxBody, headers by MaxHeader.
+// RequestTime limits the time from the first to the last byte of a request, and the time that a
+// new or idle connection may send nothing. The library limits each read alone, and does not
+// limit the first request of a connection, so that a client which sends a byte now and then could
+// hold a connection indefinitely. WriteTime limits each write of an answer. MaxBody limits the
+// size of bodies, and MaxHeader that of headers.
 //
-// A client that closes its sending side is taken as gone, as by most HTTP
-// servers: its request's context ends.
+// A client that closes its sending side counts as disconnected, as with most HTTP servers: the
+// context of its request ends.
 package guard
--- a/io/guard/door.go
+++ b/io/guard/door.go
@@ -12,24 +12,24 @@
 	"laburnumvane/io/accept"
 )
 
-// exitBound only keeps the library's own bound, 5 s, from cutting off a request
-// with a longer deadline; what bounds a stop is Shutdown's context.
-const exitBound = time.Hour
+// exitWaitTime replaces the library's own limit of 5 s, which would abort requests with a longer
+// deadline. Shutdown's context limits a shutdown.
+const exitWaitTime = time.Hour
 
-// Door is a guarded listener that can stop without cutting off a request. Its
-// handlers call accept.Begin.
+// Door is a guarded HTTP server that can shut down without aborting requests. Its handlers must
+// call accept.Begin.
 type Door struct {
-	// Routes takes the handlers, before Serve.
+	// Routes is where handlers are registered, before Serve.
 	Routes *server.Hertz
 	ln     *accept.Listener
 	name   string
 }
 
-// Open makes a door on a listener; name is in its errors.
-func Open(name string, ln net.Listener, cfg Config, more ...config.Option) *Door {
+// Open returns a Door on a listener; the name appears in its errors.
+func Open(name string, ln net.Listener, cfg Config, extra ...config.Option) *Door {
 	do := &Door{ln: accept.New(Listen(ln, cfg)), name: name}
-	opts := []config.Option{server.WithOnAccept(accept.Context), server.WithExitWaitTime(exitBound)}
-	do.Routes = New(do.ln, cfg, append(opts, more...)...)
+	opts := []config.Option{server.WithOnAccept(accept.Context), server.WithExitWaitTime(exitWaitTime)}
+	do.Routes = New(do.ln, cfg, append(opts, extra...)...)
 	return do
 }
 
@@ -38,18 +38,18 @@
 	return fault.Wrap(do.Routes.Run(), do.name+".Serve")
 }
 
-// Shutdown closes idle connections, stops listening and waits for requests
-// under way.
+// Shutdown closes idle connections, stops listening and waits for the requests in progress, at
+// most until ctx ends.
 func (do *Door) Shutdown(ctx context.Context) error {
 	return fault.Wrap(do.ln.Shutdown(ctx, do.Routes), do.name+".Shutdown")
 }
 
-// Accepted tells whether anybody ever connected.
+// Accepted reports whether any client has ever connected.
 func (do *Door) Accepted() bool {
 	return do.ln.Accepted()
 }
 
-// Abort cuts off everything, as when the VM dies.
+// Abort closes the listener and all connections at once, as a crash of the VM does.
 func (do *Door) Abort() {
 	do.ln.Abort()
 }
--- a/io/guard/framing.go
+++ b/io/guard/framing.go
@@ -15,22 +15,22 @@
 // TextBadField is the error of a header line that cannot be read.
 const TextBadField = "a header line cannot be read"
 
-// Framing is what a request's headers say of where it ends. The library follows the
-// last of two lengths, and chunks where there is a length too; another program on
-// the way that follows the other one takes a part of the body for a second request,
-// or a second request for a part of the body. Such a request is refused, and its
-// connection ends: where the next one begins is not known.
+// Framing checks the headers that determine where a request ends. Of two lengths the library uses
+// the last, and it uses chunks even if there is also a length. An intermediary that chooses
+// differently takes a part of the body for a second request, or the reverse (request smuggling).
+// Such a request is refused and its connection closed, because the start of the next request is
+// ambiguous.
 type Framing struct {
 	// Host is the value of the last Host line.
 	Host string
 
-	hosts, lengths, codings int
-	coding                  string
-	badLength               bool
+	hosts, lengths, transferCodings int
+	coding                          string
+	badLength                       bool
 }
 
-// Fields visits the lines of a raw header. It tells whether all could be read, and
-// stops at the first that cannot.
+// Fields calls visit for each line of a raw header. It returns false at the first line that is not
+// a valid field.
 func Fields(raw []byte, visit func(name, value string)) bool {
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Note takes in one line.
+// Note records one header field; fields that do not concern framing are ignored.
 func (fr *Framing) Note(name, value string) {
 	switch {
 	case strings.EqualFold(name, consts.HeaderHost):
@@ -57,30 +57,30 @@
 		_, err := strconv.ParseUint(value, 10, 63)
 		fr.badLength = fr.badLength || err != nil
 	case strings.EqualFold(name, consts.HeaderTransferEncoding):
-		fr.codings++
+		fr.transferCodings++
 		fr.coding = value
 	}
 }
 
-// Framed tells whether the request has a body, be it an empty one.
-func (fr *Framing) Framed() bool { return fr.lengths > 0 || fr.codings > 0 }
+// Framed reports whether the request declares a body, which may be empty.
+func (fr *Framing) Framed() bool { return fr.lengths > 0 || fr.transferCodings > 0 }
 
-// Check tells what is wrong; it is empty if there is one way to read the request.
+// Check returns what is wrong with the framing, or "" if it is unambiguous.
 func (fr *Framing) Check(http11 bool) string {
 	switch {
 	case fr.hosts > 1 || http11 && fr.Host == "":
 		return "the request needs one host"
 	case fr.lengths > 1 || fr.badLength:
 		return "the request's length is not one number"
-	case fr.codings > 1 || fr.codings == 1 && !strings.EqualFold(fr.coding, "chunked"):
+	case fr.transferCodings > 1 || fr.transferCodings == 1 && !strings.EqualFold(fr.coding, "chunked"):
 		return "the request's transfer coding is not known"
-	case fr.codings == 1 && (fr.lengths > 0 || !http11):
+	case fr.transferCodings == 1 && (fr.lengths > 0 || !http11):
 		return "the request has two lengths"
 	}
 	return ""
 }
 
-// checkFraming stands before all handlers of a listener.
+// checkFraming is middleware that refuses requests with ambiguous framing.
 func checkFraming(ctx context.Context, rc *app.RequestContext) {
 	var fr Framing
 	text := TextBadField
--- a/io/guard/framing_test.go
+++ b/io/guard/framing_test.go
@@ -17,14 +17,14 @@
 	"laburnumvane/io/guard"
 )
 
-// patience ends a test that hangs; no verdict depends on it.
-const patience = 20 * time.Second
+// waitTimeout ends a test that hangs; no check depends on it.
+const waitTimeout = 20 * time.Second
 
 const smuggled = "GET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// A request can be read in two ways, and what one reader takes for its body is a
-// request to another one. A listener answers once, with 400, and closes: no handler
-// may ever see the second request.
+// A request with ambiguous framing has a body that another reader takes for a second request. The
+// listener must answer once, with 400, and close the connection; no handler may see the second
+// request.
 func TestAmbiguousRequests(t *testing.T) {
 	const head = "POST /x HTTP/1.1\r\nHost: h\r\n"
 	cases := []struct {
@@ -35,11 +35,11 @@
 		{"chunks and length", head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggled, 400},
 		{"two lengths", head + "Content-Length: 5\r\nContent-Length: 0\r\n\r\n" + smuggled, 400},
 		{"length with a sign", head + "Content-Length: +0\r\n\r\n" + smuggled, 400},
-		{"coding not known", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled, 400},
+		{"unknown coding", head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled, 400},
 		{"space before the colon", head + "Content-Length : 0\r\n\r\n" + smuggled, 400},
 		{"two hosts", head + "Host: other\r\nContent-Length: 0\r\n\r\n" + smuggled, 400},
-		{"sound", head + "Content-Length: 5\r\n\r\nabcde", 200},
-		{"sound in chunks", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n", 200},
+		{"valid with length", head + "Content-Length: 5\r\n\r\nabcde", 200},
+		{"valid with chunks", head + "Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n", 200},
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -65,7 +65,7 @@
 			nc, err := net.Dial("tcp", ln.Addr().String())
 			is.NoErr(err)
 			defer nc.Close()
-			is.NoErr(nc.SetDeadline(time.Now().Add(patience)))
+			is.NoErr(nc.SetDeadline(time.Now().Add(waitTimeout)))
 			_, err = io.WriteString(nc, tc.text)
 			is.NoErr(err)
 			br := bufio.NewReader(nc)
@@ -80,13 +80,13 @@
 			}
 			is.True(rs.Close)
 			_, err = br.ReadByte()
-			is.Equal(err, io.EOF) // a further answer
+			is.Equal(err, io.EOF) // no further answer
 		})
 	}
 }
 
-// FuzzFraming reads headers as every listener does, and as the standard library
-// does: what passes here must have one length, and the same there.
+// FuzzFraming reads headers with this package and with the standard library: headers that pass the
+// check must have a single length, and the standard library must agree.
 func FuzzFraming(f *testing.F) {
 	for _, seed := range []string{
 		"Host: h\r\nContent-Length: 5", "Host: h\r\nContent-Length: 5\r\nContent-Length: 5",
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -24,48 +24,47 @@
 	DefaultMaxHeader   = 16 << 10
 )
 
-// Config sets the bounds. All but MaxBody have defaults.
+// Config configures the limits. All fields but MaxBody have defaults.
 type Config struct {
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int
-	// MaxHeader bounds a request's headers, in bytes.
+	// MaxHeader is the maximum size of a request's headers, in bytes.
 	MaxHeader int
-	// RequestTime bounds how long a request takes to arrive, and how long a
-	// connection is kept without one.
+	// RequestTime limits how long a request takes to arrive, and how long an idle connection
+	// is kept.
 	RequestTime time.Duration
-	// Times, if set, goes before RequestTime and is asked anew for each
-	// request, for bounds that change while the listener is open.
+	// Times, if set, overrides RequestTime. It is called for each request, for limits that
+	// change while the listener is open.
 	Times func() Times
-	// WriteTime bounds each write of an answer.
+	// WriteTime limits each write of an answer.
 	WriteTime time.Duration
-	// OwnFraming is set where the handlers read all headers, and check Framing
-	// themselves.
+	// OwnFraming is set if the handlers read all headers and check Framing themselves.
 	OwnFraming bool
-	// Refused is told of each refusal, with its reason; it may be nil.
+	// Refused is called for each refusal, with its reason; it may be nil.
 	Refused func(reason string)
-	// Panicked is told of each panic of a handler; it may be nil.
+	// Panicked is called for each panic of a handler; it may be nil.
 	Panicked func(value any, stack []byte)
 }
 
-// Times bound what clients may take.
+// Times are the time limits for clients.
 type Times struct {
 	// Request is how long a request may take to arrive.
 	Request time.Duration
-	// Idle is how long a connection is kept without one.
+	// Idle is how long a connection is kept without a request.
 	Idle time.Duration
 }
 
-// longest stands in for the library's own bounds where Times sets them.
-const longest = time.Hour
+// maxLibraryTimeout replaces the library's own time limits if Times sets the limits.
+const maxLibraryTimeout = time.Hour
 
-// Listen puts the bounds on all connections of a listener.
+// Listen returns a listener that applies the limits to all its connections.
 func Listen(ln net.Listener, cfg Config) net.Listener {
 	return &listener{Listener: ln, cfg: cfg.withDefaults()}
 }
 
-// New makes the library's server on a listener that Listen made, or on one
-// around that. Routes are added by the caller.
-func New(ln net.Listener, cfg Config, more ...config.Option) *server.Hertz {
+// New returns the library's server on a listener from Listen, or on one that wraps it. The caller
+// adds the routes.
+func New(ln net.Listener, cfg Config, extra ...config.Option) *server.Hertz {
 	cfg = cfg.withDefaults()
 	opts := []config.Option{
 		server.WithListener(ln),
@@ -74,17 +73,17 @@
 		server.WithMaxHeaderBytes(cfg.MaxHeader),
 		server.WithReadTimeout(cfg.RequestTime),
 		server.WithIdleTimeout(cfg.RequestTime),
-		// Besides ending the context of a client that went away, this sets the
-		// deadlines by which conn tells a handler's answer from the library's.
+		// This ends the context of a request whose client has disconnected. It also sets
+		// the deadlines by which conn distinguishes a handler's answer from the library's.
 		server.WithSenseClientDisconnection(true),
-		// Forms would be written to a disk that VMs do not have.
+		// Parsed forms would be written to disk, and VMs have none.
 		server.WithDisablePreParseMultipartForm(true),
 		server.WithRedirectTrailingSlash(false),
 		server.WithHandleMethodNotAllowed(true),
 		server.WithDisablePrintRoute(true),
 	}
-	hz := server.New(append(opts, more...)...)
-	hz.Use(count(cfg.Refused), catch(cfg.Panicked), checkHost)
+	hz := server.New(append(opts, extra...)...)
+	hz.Use(countRefusals(cfg.Refused), recoverPanics(cfg.Panicked), checkHost)
 	if !cfg.OwnFraming {
 		hz.Use(checkFraming)
 	}
@@ -101,7 +100,7 @@
 		same := Times{Request: cfg.RequestTime, Idle: cfg.RequestTime}
 		cfg.Times = func() Times { return same }
 	} else {
-		cfg.RequestTime = longest
+		cfg.RequestTime = maxLibraryTimeout
 	}
 	if cfg.WriteTime <= 0 {
 		cfg.WriteTime = DefaultWriteTime
@@ -118,8 +117,8 @@
 	return cfg
 }
 
-// count tells of what Refuse answered with.
-func count(refused func(string)) app.HandlerFunc {
+// countRefusals is middleware that passes the reason of each refusal to refused.
+func countRefusals(refused func(string)) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
 		rc.Next(ctx)
 		if reason := rc.GetString(keyReason); reason != "" {
@@ -128,9 +127,9 @@
 	}
 }
 
-// catch keeps a fault that one request brings out from ending all others with
-// the process. What the request has done by then is not known.
-func catch(panicked func(any, []byte)) app.HandlerFunc {
+// recoverPanics is middleware that answers a request whose handler panicked, so that the panic
+// does not end the process with all other requests. What the request has done before is unknown.
+func recoverPanics(panicked func(any, []byte)) app.HandlerFunc {
 	return func(ctx context.Context, rc *app.RequestContext) {
 		defer func() {
 			if value := recover(); value != nil {
@@ -145,8 +144,8 @@
 	}
 }
 
-// checkHost stands before all handlers: the library sets the status of a request
-// without a host or path, runs them, and adds a plain text if none spoke.
+// checkHost is middleware that refuses requests without a host or path. For these the library sets
+// the status, runs the handlers, and adds a plain text if none of them answered.
 func checkHost(ctx context.Context, rc *app.RequestContext) {
 	if rc.Response.StatusCode() == consts.StatusBadRequest {
 		rc.SetConnectionClose()
@@ -162,7 +161,7 @@
 
 func noMethod(eng *route.Engine) app.HandlerFunc {
 	return func(_ context.Context, rc *app.RequestContext) {
-		allowed := allowedOn(eng.Routes(), string(rc.Path()))
+		allowed := allowedMethods(eng.Routes(), string(rc.Path()))
 		rc.Header("Allow", strings.Join(allowed, ", "))
 		Refuse(rc, consts.StatusMethodNotAllowed, wire.ErrorReply{
 			Error:  "the route takes " + strings.Join(allowed, " and ") + " only",
@@ -171,7 +170,7 @@
 	}
 }
 
-func allowedOn(routes route.RoutesInfo, path string) []string {
+func allowedMethods(routes route.RoutesInfo, path string) []string {
 	var methods []string
 	for _, ri := range routes {
 		if matches(ri.Path, path) {
@@ -181,14 +180,14 @@
 	return methods
 }
 
-// matches tells whether a path fits a route whose parameters begin with a colon.
+// matches reports whether a path matches a route whose parameters begin with a colon.
 func matches(pattern, path string) bool {
-	ps, ss := strings.Split(pattern, "/"), strings.Split(path, "/")
-	if len(ps) != len(ss) {
+	want, got := strings.Split(pattern, "/"), strings.Split(path, "/")
+	if len(want) != len(got) {
 		return false
 	}
-	for i, part := range ps {
-		if !strings.HasPrefix(part, ":") && part != ss[i] {
+	for i, part := range want {
+		if !strings.HasPrefix(part, ":") && part != got[i] {
 			return false
 		}
 	}
--- a/io/guard/refuse.go
+++ b/io/guard/refuse.go
@@ -13,7 +13,7 @@
 	"laburnumvane/io/wire"
 )
 
-// Reasons of refusals that no handler gave.
+// Reasons of refusals by this package.
 const (
 	ReasonBadRequest  = "badRequest"
 	ReasonTooLarge    = "tooLarge"
@@ -23,11 +23,11 @@
 	ReasonNoMethod    = "methodNotAllowed"
 	ReasonMediaType   = "mediaType"
 	ReasonExpectation = "expectation"
-	// ReasonInternal is the only one after which something may have run.
+	// ReasonInternal is the only reason with which the request may have had an effect.
 	ReasonInternal = "internal"
 )
 
-// keyReason is where Refuse leaves the reason for the middleware that counts.
+// keyReason is the context key under which Refuse stores the reason for countRefusals.
 const keyReason = "refused"
 
 // Refuse answers with an error and runs no further handler.
@@ -36,19 +36,19 @@
 	rc.AbortWithStatusJSON(status, er)
 }
 
-// isContinue tells the interim answer to "Expect: 100-continue".
+// isContinue reports whether p is the interim answer to "Expect: 100-continue".
 func isContinue(p []byte) bool {
 	return bytes.HasPrefix(p, []byte("HTTP/1.1 100 "))
 }
 
-// replacement is what is sent for the library's own error, which is plain text,
-// with its reason. The library closes the connection after it.
-func replacement(p []byte) (answer []byte, reason string) {
+// replacementAnswer returns the JSON answer that replaces the library's plain-text error p, and its
+// reason. The library closes the connection after it.
+func replacementAnswer(p []byte) (answer []byte, reason string) {
 	status := statusOf(p)
-	er := errorOf(status)
+	er := errorReplyOf(status)
 	body, err := json.Marshal(er)
 	if err != nil {
-		// A struct of strings always encodes.
+		// A struct of strings can always be encoded.
 		panic(err)
 	}
 	head := fmt.Sprintf("HTTP/1.1 %d %s\r\nContent-Type: application/json; charset=utf-8\r\nContent-Length: %d\r\nConnection: close\r\n\r\n",
@@ -56,7 +56,7 @@
 	return append([]byte(head), body...), er.Reason
 }
 
-// statusOf reads the status of an answer's first line.
+// statusOf parses the status in an answer's first line; 400 if there is no error status.
 func statusOf(p []byte) int {
 	const from, to = len("HTTP/1.1 "), len("HTTP/1.1 400")
 	if len(p) < to {
@@ -69,7 +69,7 @@
 	return status
 }
 
-func errorOf(status int) wire.ErrorReply {
+func errorReplyOf(status int) wire.ErrorReply {
 	switch status {
 	case consts.StatusRequestTimeout:
 		return wire.ErrorReply{Error: "the request did not arrive in time", Reason: ReasonSlow}
