--- a/io/front/bench_test.go
+++ b/io/front/bench_test.go
@@ -19,10 +19,10 @@
 	"laburnumvane/io/wire"
 )
 
-// quick answers at once with five hits, so that what is measured is the listener.
-type quick struct{}
+// instantSearcher answers at once with five hits, so that the benchmark measures the listener only.
+type instantSearcher struct{}
 
-func (quick) Search(_ context.Context, rq wire.SearchRequest) wire.SearchAnswer {
+func (instantSearcher) Search(_ context.Context, rq wire.SearchRequest) wire.SearchAnswer {
 	an := wire.SearchAnswer{
 		ID: rq.ID, Outcome: wire.OutcomeComplete, Snapshot: 7,
 		Coverage: wire.Coverage{Shards: 270, Answered: 270, Share: 1}, Hits: make([]wire.Hit, 5),
@@ -33,10 +33,10 @@
 	return an
 }
 
-func (quick) Tickets(string, int) []string { return nil }
+func (instantSearcher) Tickets(string, int) []string { return nil }
 
-// BenchmarkListener compares the listener with the bare library doing the least
-// that a search needs: decode, call, encode.
+// BenchmarkListener compares Front with the bare library doing the minimum that a search needs:
+// decode, call, encode.
 func BenchmarkListener(b *testing.B) {
 	b.Run("bare", func(b *testing.B) {
 		ln := listen(b)
@@ -47,15 +47,15 @@
 				rc.SetStatusCode(http.StatusBadRequest)
 				return
 			}
-			rc.JSON(http.StatusOK, quick{}.Search(ctx, rq))
+			rc.JSON(http.StatusOK, instantSearcher{}.Search(ctx, rq))
 		})
 		measure(b, ln.Addr().String(), srv.Run, srv.Shutdown)
 	})
 	b.Run("front", func(b *testing.B) {
 		ln := listen(b)
 		fr := front.New(front.Config{
-			Listener: ln, Search: quick{}, Leaving: func() bool { return false }, MaxBody: 1 << 20,
-			ReadTimeout: patience, MaxDeadline: time.Minute, NewID: func() string { return "own" },
+			Listener: ln, Search: instantSearcher{}, Leaving: func() bool { return false }, MaxBody: 1 << 20,
+			ReadTimeout: waitTimeout, MaxDeadline: time.Minute, NewID: func() string { return "own" },
 			Refused: func(string) {}, Log: func(wire.SearchRequest, wire.SearchAnswer) {},
 		})
 		measure(b, ln.Addr().String(), fr.Serve, fr.Shutdown)
@@ -75,7 +75,7 @@
 	b.Helper()
 	ended := make(chan error, 1)
 	go func() { ended <- serve() }()
-	raw := fmt.Sprintf("POST /v1/search HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(good), good)
+	raw := fmt.Sprintf("POST /v1/search HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(validSearch), validSearch)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		nc, err := net.Dial("tcp", addr)
@@ -93,7 +93,7 @@
 		}
 	})
 	b.StopTimer()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := shutdown(ctx); err != nil {
 		b.Error(err)
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -1,5 +1,5 @@
-// Package front is the callers' listener: it turns HTTP requests into searches
-// and answers into HTTP replies.
+// Package front is the HTTP API for callers: it decodes HTTP requests into searches and encodes
+// their answers as HTTP replies.
 //
 // # Usage
 //
@@ -23,75 +23,77 @@
 	"laburnumvane/io/wire"
 )
 
-// ReasonLeaving refuses what a VM whose planned stop has begun takes no more.
+// ReasonLeaving is the reason of refusals by a VM whose planned shutdown has begun.
 const ReasonLeaving = "leaving"
 
-// ticketRetryAfter is in seconds; the balancer will have another VM by then.
+// ticketRetryAfter is a Retry-After value in seconds. By then the load balancer should use another
+// VM.
 const ticketRetryAfter = "1"
 
-// Searcher is what the callers' listener asks of the VM.
+// Searcher is the VM's search service, as this package uses it.
 type Searcher interface {
 	Search(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer
-	// Tickets gives none where none can be issued.
+	// Tickets returns n tickets, or none if none can be issued.
 	Tickets(team string, n int) []string
 }
 
-// Config sets the listener.
+// Config configures a Front.
 type Config struct {
 	Listener net.Listener
 	Search   Searcher
-	// Leaving tells whether a planned stop has begun.
+	// Leaving reports whether a planned shutdown has begun.
 	Leaving func() bool
-	// MaxBody bounds a request's body, in bytes.
+	// MaxBody is the maximum size of a request's body, in bytes.
 	MaxBody int
-	// ReadTimeout bounds how long a client may take to send a whole request,
-	// and how long a connection is kept without one.
+	// ReadTimeout limits how long a client may take to send a whole request, and how long an
+	// idle connection is kept.
 	ReadTimeout time.Duration
-	// MaxDeadline bounds deadlineMs.
+	// MaxDeadline is the maximum of deadlineMs.
 	MaxDeadline time.Duration
-	// TicketTTL is told to those who ask for tickets.
+	// TicketTTL is the time to live of tickets, which is sent with them.
 	TicketTTL time.Duration
-	// NewID names requests whose caller did not.
+	// NewID returns an id for a request that has none.
 	NewID func() string
-	// Refused is told of each request that was no search, with the reason.
+	// Refused is called for each request that was refused before a search, with the reason.
 	Refused func(reason string)
-	// Panicked is told of each panic of a handler.
+	// Panicked is called for each panic of a handler.
 	Panicked func(value any, stack []byte)
-	// Log is given each answer.
+	// Log is called with each search and its answer.
 	Log func(rq wire.SearchRequest, an wire.SearchAnswer)
 }
 
-// Front is the callers' listener.
+// Front is the HTTP server for callers.
 type Front struct {
 	*guard.Door
 	cfg Config
 }
 
-// New makes the listener; Serve starts it.
+// New returns a Front that is not serving; Serve starts it.
 func New(cfg Config) *Front {
 	gc := guard.Config{MaxBody: cfg.MaxBody, RequestTime: cfg.ReadTimeout, Refused: cfg.Refused, Panicked: cfg.Panicked}
 	fr := &Front{Door: guard.Open("front", cfg.Listener, gc), cfg: cfg}
-	fr.Routes.Use(busy)
-	fr.Routes.POST(wire.RouteSearch, fr.search)
-	fr.Routes.POST(wire.RouteTickets, fr.tickets)
-	fr.Routes.GET(wire.RouteHealth, fr.health)
+	fr.Routes.Use(markActive)
+	fr.Routes.POST(wire.RouteSearch, fr.handleSearch)
+	fr.Routes.POST(wire.RouteTickets, fr.handleTickets)
+	fr.Routes.GET(wire.RouteHealth, fr.handleHealth)
 	return fr
 }
 
-// busy keeps a connection from being taken for idle while its request runs.
-func busy(ctx context.Context, rc *app.RequestContext) {
+// markActive is middleware that marks a connection as active while its request runs, so that a
+// shutdown does not close it as idle.
+func markActive(ctx context.Context, rc *app.RequestContext) {
 	defer accept.Begin(ctx)()
 	rc.Next(ctx)
 }
 
-func (fr *Front) search(ctx context.Context, rc *app.RequestContext) {
-	rq, refusal := fr.decode(rc)
+func (fr *Front) handleSearch(ctx context.Context, rc *app.RequestContext) {
+	rq, rf := fr.decode(rc)
 	if rq.ID != "" {
 		rc.Header(wire.HeaderRequestID, rq.ID)
 	}
-	if refusal != nil {
-		refusal.ID = rq.ID
-		fr.refuse(rc, refusal)
+	if rf != nil {
+		rf.ID = rq.ID
+		fr.refuse(rc, rf)
 		return
 	}
 	an := fr.run(ctx, rq)
@@ -102,8 +104,8 @@
 	fr.reply(rc, statusOf(an), an)
 }
 
-// run answers also for a search that panicked: it may have run, and a caller
-// that is told anything else could run it twice.
+// run runs a search. If it panics, the outcome is unknown: parts of the search may have run, and
+// with any other outcome the caller might run it again.
 func (fr *Front) run(ctx context.Context, rq wire.SearchRequest) (an wire.SearchAnswer) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -117,23 +119,23 @@
 	return fr.cfg.Search.Search(ctx, rq)
 }
 
-// retryAfterSeconds rounds up: the header has whole seconds, and coming back too
-// early earns another refusal.
+// retryAfterSeconds rounds up to the whole seconds of the header, because a retry that comes too
+// early is refused again.
 func retryAfterSeconds(ms int64) int64 {
 	return (ms + 999) / 1000
 }
 
-func (fr *Front) tickets(_ context.Context, rc *app.RequestContext) {
-	rq, refusal := decodeTickets(rc)
-	if refusal != nil {
-		fr.refuse(rc, refusal)
+func (fr *Front) handleTickets(_ context.Context, rc *app.RequestContext) {
+	rq, rf := decodeTickets(rc)
+	if rf != nil {
+		fr.refuse(rc, rf)
 		return
 	}
 	tickets := fr.cfg.Search.Tickets(rq.Team, rq.Count)
 	if len(tickets) == 0 {
-		// A ticket of a VM that is leaving would be void when it is used.
+		// A ticket issued by a VM that is leaving would be invalid when it is used.
 		rc.Header("Retry-After", ticketRetryAfter)
-		fr.refuse(rc, leaving("this VM is leaving and no other can issue tickets"))
+		fr.refuse(rc, leavingRefusal("this VM is leaving and no other can issue tickets"))
 		return
 	}
 	fr.reply(rc, consts.StatusOK, wire.TicketReply{
@@ -142,9 +144,9 @@
 	})
 }
 
-func (fr *Front) health(_ context.Context, rc *app.RequestContext) {
+func (fr *Front) handleHealth(_ context.Context, rc *app.RequestContext) {
 	if fr.cfg.Leaving() {
-		fr.refuse(rc, leaving("a planned stop has begun"))
+		fr.refuse(rc, leavingRefusal("a planned stop has begun"))
 		return
 	}
 	fr.reply(rc, consts.StatusOK, struct {
@@ -152,7 +154,7 @@
 	}{"serving"})
 }
 
-func leaving(message string) *refusal {
+func leavingRefusal(message string) *refusal {
 	return &refusal{status: consts.StatusServiceUnavailable, ErrorReply: wire.ErrorReply{Error: message, Reason: ReasonLeaving}}
 }
 
@@ -166,9 +168,9 @@
 	rc.JSON(status, body)
 }
 
-// closeIfLeaving ends the connection with the answer of a VM that is leaving:
-// the balancer may still send requests on it, and so the client moves to
-// another VM without a cut.
+// closeIfLeaving closes the connection after this answer if the VM is leaving: the load balancer
+// could otherwise send further requests on it. The client moves to another VM without a request
+// being aborted.
 func (fr *Front) closeIfLeaving(rc *app.RequestContext) {
 	if fr.cfg.Leaving() {
 		rc.SetConnectionClose()
--- a/io/front/fuzz_test.go
+++ b/io/front/fuzz_test.go
@@ -11,8 +11,8 @@
 	"laburnumvane/io/wire"
 )
 
-// FuzzDecode reads a caller's body. Whatever it is, it becomes a search whose
-// fields are within their bounds, or one refusal with a reason.
+// FuzzDecode decodes arbitrary bodies and ids. The result must be a search whose fields are within
+// their limits, or a refusal with a reason.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"team":"wash","search":"kiosk","query":{"plate":"KX53"}}`,
--- a/io/front/request.go
+++ b/io/front/request.go
@@ -15,15 +15,15 @@
 const (
 	maxIDLen   = 128
 	maxTickets = 1000
-	// maxNameLen bounds names of teams, searches and registers: a longer one
-	// cannot be configured, and would be repeated in the answer's message.
+	// maxNameLen limits the names of teams, searches and registers, in bytes. A longer name
+	// cannot be configured, and would be repeated in the error message.
 	maxNameLen = 256
-	// maxTicketLen is far above the length of any ticket that was issued.
+	// maxTicketLen, in bytes, is far above the length of any issued ticket.
 	maxTicketLen = 1024
 )
 
-// searchBody is a search as it arrives. The deadline is a pointer, for an
-// explicit 0 is a mistake where an absent one means the search's own.
+// searchBody is the JSON body of a search. The deadline is a pointer because an explicit 0 is an
+// error, while an absent one means the configured deadline of the search.
 type searchBody struct {
 	ID          string          `json:"id"`
 	Team        string          `json:"team"`
@@ -53,22 +53,22 @@
 	return rq
 }
 
-// refusal is an error that is no answer to a search, with its HTTP status.
+// refusal is an error reply to a request that was not run, with its HTTP status.
 type refusal struct {
 	wire.ErrorReply
 	status int
 }
 
-// decode reads a search. Everything that outlives the handler is copied by the
-// decoder: the library recycles the body's buffer. The request's id is set also
-// where it is refused, unless the id itself cannot be echoed.
+// decode decodes a search. The decoder copies all data that is used after the handler returns,
+// because the library reuses the body's buffer. The returned request has its id even if it is
+// refused, unless the id itself is invalid.
 func (fr *Front) decode(rc *app.RequestContext) (wire.SearchRequest, *refusal) {
 	id := string(rc.GetHeader(wire.HeaderRequestID))
 	if id == "" {
 		id = fr.cfg.NewID()
 	}
 	if er := checkID(id); er != nil {
-		return wire.SearchRequest{}, refusalOf(er)
+		return wire.SearchRequest{}, toRefusal(er)
 	}
 	var sb searchBody
 	if rf := decodeBody(rc, &sb); rf != nil {
@@ -79,10 +79,10 @@
 	}
 	rq := sb.request()
 	if er := checkID(rq.ID); er != nil {
-		return wire.SearchRequest{ID: id}, refusalOf(er)
+		return wire.SearchRequest{ID: id}, toRefusal(er)
 	}
 	if er := fr.check(sb); er != nil {
-		return rq, refusalOf(er)
+		return rq, toRefusal(er)
 	}
 	return rq, nil
 }
@@ -100,7 +100,7 @@
 		rq.Count = *tb.Count
 	}
 	if er := checkTickets(rq); er != nil {
-		return rq, refusalOf(er)
+		return rq, toRefusal(er)
 	}
 	return rq, nil
 }
@@ -109,15 +109,15 @@
 func decodeBody(rc *app.RequestContext, out any) *refusal {
 	body, er := guard.Body(rc)
 	if er != nil {
-		return refusalOf(er)
+		return toRefusal(er)
 	}
 	if err := json.Unmarshal(body, out); err != nil {
-		return refusalOf(guard.DecodeError(err))
+		return toRefusal(guard.DecodeError(err))
 	}
 	return nil
 }
 
-func refusalOf(er *wire.ErrorReply) *refusal {
+func toRefusal(er *wire.ErrorReply) *refusal {
 	status := consts.StatusBadRequest
 	if er.Reason == guard.ReasonMediaType {
 		status = consts.StatusUnsupportedMediaType
@@ -125,8 +125,8 @@
 	return &refusal{ErrorReply: *er, status: status}
 }
 
-// checkID lets only ids pass that can stand in a header and in one line of a
-// log: a line break in one would forge another header.
+// checkID accepts only ids that are safe in a header and on one line of a log: a line break in an
+// id would inject another header.
 func checkID(id string) *wire.ErrorReply {
 	if len(id) > maxIDLen {
 		return guard.BadField("id", fmt.Sprintf("is longer than %d bytes", maxIDLen))
@@ -142,8 +142,8 @@
 func (fr *Front) check(sb searchBody) *wire.ErrorReply {
 	for _, nm := range []struct {
 		path, value string
-		most        int
-		needed      bool
+		maxLen      int
+		required    bool
 	}{
 		{"team", sb.Team, maxNameLen, true},
 		{"search", sb.Search, maxNameLen, true},
@@ -151,10 +151,10 @@
 		{"ticket", sb.Ticket, maxTicketLen, false},
 	} {
 		switch {
-		case nm.needed && nm.value == "":
+		case nm.required && nm.value == "":
 			return guard.BadField(nm.path, "is absent")
-		case len(nm.value) > nm.most:
-			return guard.BadField(nm.path, fmt.Sprintf("is longer than %d bytes", nm.most))
+		case len(nm.value) > nm.maxLen:
+			return guard.BadField(nm.path, fmt.Sprintf("is longer than %d bytes", nm.maxLen))
 		}
 	}
 	if er := checkQuery(sb.Query); er != nil {
@@ -174,10 +174,10 @@
 }
 
 func (fr *Front) checkBounds(sb searchBody) *wire.ErrorReply {
-	most := fr.cfg.MaxDeadline.Milliseconds()
+	maxMillis := fr.cfg.MaxDeadline.Milliseconds()
 	switch {
-	case sb.DeadlineMs != nil && (*sb.DeadlineMs < 1 || *sb.DeadlineMs > most):
-		return guard.BadField("deadlineMs", fmt.Sprintf("must be between 1 and %d; leave it out for the search's own", most))
+	case sb.DeadlineMs != nil && (*sb.DeadlineMs < 1 || *sb.DeadlineMs > maxMillis):
+		return guard.BadField("deadlineMs", fmt.Sprintf("must be between 1 and %d; leave it out for the search's own", maxMillis))
 	case sb.MinCoverage != nil && (*sb.MinCoverage < 0 || *sb.MinCoverage > 1):
 		return guard.BadField("minCoverage", "must be between 0 and 1")
 	case sb.Repeat != "" && sb.Repeat != wire.RepeatSafe && sb.Repeat != wire.RepeatNever:
--- a/io/front/status.go
+++ b/io/front/status.go
@@ -7,7 +7,7 @@
 	"laburnumvane/io/wire"
 )
 
-// statusOf is the HTTP status of an answer.
+// statusOf returns the HTTP status of an answer.
 func statusOf(an wire.SearchAnswer) int {
 	switch an.Outcome {
 	case wire.OutcomeComplete, wire.OutcomePartial:
