--- a/io/node/change.go
+++ b/io/node/change.go
@@ -21,33 +21,35 @@
 )
 
 const (
-	// changePatience bounds a change from its arrival to its result. It leaves
-	// room for a read and a swap at a service that is slow by 10 s.
-	changePatience = 45 * time.Second
-	// firstTry bounds the first call of a change; each later one may take
-	// twice as long. A kept connection that went silent costs little so.
-	firstTry      = 3 * time.Second
-	changeIDBytes = 10
+	// changeTimeout bounds a change from its arrival to its result. It leaves time for a read
+	// and a swap at a key-value service that needs 10 s for each.
+	changeTimeout = 45 * time.Second
+	// firstCallTimeout bounds the first call of a change; each later call may take twice as
+	// long as the one before. A short first timeout limits the time lost on a kept-alive
+	// connection that no longer responds.
+	firstCallTimeout = 3 * time.Second
+	changeIDBytes    = 10
 )
 
-// Config is the team's configuration in force on this VM.
+// Config returns a team's configuration in force on this VM, or false if there is none.
 func (nd *Node) Config(name string) (wire.ConfigReply, bool) {
 	tm, ok := nd.view.Load().Team(name)
 	if !ok {
 		return wire.ConfigReply{}, false
 	}
-	return configReply(name, heldEntry(tm)), true
+	return configReply(name, entryInForce(tm)), true
 }
 
 func configReply(name string, et change.Entry) wire.ConfigReply {
 	return wire.ConfigReply{Team: name, Revision: et.Revision, ChangeID: et.ID, Document: et.Document}
 }
 
-func heldEntry(tm view.Team) change.Entry {
+func entryInForce(tm view.Team) change.Entry {
 	return change.Entry{ID: tm.ChangeID, Revision: tm.Revision, Document: tm.Raw}
 }
 
-// Change proposes an operator's change and settles what became of it.
+// Change proposes an operator's change and returns its result. The error reports an invalid
+// document or proposal; every other outcome is in the reply.
 func (nd *Node) Change(_ context.Context, pr oper.Proposal) (wire.ChangeReply, error) {
 	if _, err := team.Parse(pr.Team, pr.Document); err != nil {
 		return wire.ChangeReply{}, err
@@ -67,28 +69,28 @@
 	nd.meter.Count(meter.Change, string(oc.Result))
 	nd.logChange(pl, oc)
 	if oc.Result == change.ResultAccepted && len(oc.Entry.Document) > 0 {
-		nd.post(configEvent{ev: spread.Accepted{Update: updateOf(pl.Team, oc.Entry)}})
+		nd.post(configEvent{ev: spread.Accepted{Update: updateFromEntry(pl.Team, oc.Entry)}})
 	}
 	return changeReply(pl, oc), nil
 }
 
-// newChangeID is random: clocks and counters of two VMs may coincide, and the
-// same id for two changes would make one of them vanish.
+// newChangeID returns a random id. Ids made of clocks or counters may be the same on two VMs,
+// and then one of the two changes would be lost.
 func newChangeID() string {
 	id := make([]byte, changeIDBytes)
-	// Read never fails: the program would end.
+	// Read never returns an error; it ends the program instead.
 	_, _ = cryptorand.Read(id)
 	return hex.EncodeToString(id)
 }
 
-// propose runs a proposer to its end. It does not follow the operator's
-// connection: a change that was begun is better settled than broken off.
+// propose runs a proposer until it reports an outcome. It does not stop when the operator's
+// connection closes, because a change that has begun should reach a known outcome.
 func (nd *Node) propose(pl change.Proposal) change.Outcome {
 	held, _ := nd.view.Load().Team(pl.Team)
-	cl := changeCalls{nd: nd, deadline: time.Since(nd.started) + changePatience}
+	cl := changeCalls{nd: nd, deadline: time.Since(nd.started) + changeTimeout}
 	pr := change.NewProposer(change.Config{
 		Proposal: pl,
-		Held:     heldEntry(held),
+		Held:     entryInForce(held),
 		Deadline: cl.deadline,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
@@ -102,14 +104,15 @@
 	}
 }
 
-// changeCalls makes the calls of one change, one at a time.
+// changeCalls makes the calls of one change to the key-value service, one at a time.
 type changeCalls struct {
 	nd       *Node
 	deadline time.Duration
-	tries    int
+	calls    int
 }
 
-// now is the time of the VM; once it stops, no change has any time left.
+// now returns the time since the VM's start, or the deadline once the VM stops, so that changes
+// end then.
 func (cl *changeCalls) now() time.Duration {
 	if cl.nd.stopping.Err() != nil {
 		return cl.deadline
@@ -117,8 +120,8 @@
 	return time.Since(cl.nd.started)
 }
 
-// run does what the proposer asked for and returns what came of it; a nil event
-// comes with the outcome, at the end.
+// run performs the proposer's actions and returns the event that results. At the end the event
+// is nil and the outcome is valid.
 func (cl *changeCalls) run(acts []change.Action) (change.Outcome, change.Event) {
 	wake := cl.deadline
 	for _, ac := range acts {
@@ -133,30 +136,30 @@
 			wake = ac.At
 		}
 	}
-	pause(cl.nd.stopping, wake-cl.now())
+	sleep(cl.nd.stopping, wake-cl.now())
 	return change.Outcome{}, change.Tick{}
 }
 
 func (cl *changeCalls) get(ac change.Get) change.Event {
-	ctx, cancel := cl.bounded()
+	ctx, cancel := cl.callContext()
 	defer cancel()
 	cl.nd.meter.Count(meter.Platform, "get")
 	pair, _, err := cl.nd.kv.Get(ctx, ac.Key)
 	if err != nil {
-		cl.nd.platformFailed(cl.nd.stopping, "get", err)
+		cl.nd.notePlatformFailure(cl.nd.stopping, "get", err)
 		return change.GetFailed{Err: err}
 	}
 	return change.Got{Pair: change.Pair{Value: pair.Value, Revision: pair.Revision}}
 }
 
 func (cl *changeCalls) swap(ac change.Swap) change.Event {
-	ctx, cancel := cl.bounded()
+	ctx, cancel := cl.callContext()
 	defer cancel()
 	cl.nd.meter.Count(meter.Platform, "swap")
 	rp, err := cl.nd.kv.Swap(ctx, wire.KVSwapRequest{Key: ac.Key, Value: ac.Value, Expect: ac.Expect})
 	if err != nil {
-		cl.nd.platformFailed(cl.nd.stopping, "swap", err)
-		return change.SwapFailed{Doubtful: doubtful(err), Err: err}
+		cl.nd.notePlatformFailure(cl.nd.stopping, "swap", err)
+		return change.SwapFailed{Doubtful: mayHaveApplied(err), Err: err}
 	}
 	ev := change.Swapped{Done: rp.Swapped}
 	if rp.Current != nil {
@@ -165,16 +168,16 @@
 	return ev
 }
 
-// bounded gives a call its share of the time left.
-func (cl *changeCalls) bounded() (context.Context, context.CancelFunc) {
-	d := min(firstTry<<cl.tries, configPatience, cl.deadline-cl.now())
-	cl.tries++
+// callContext returns the context of the next call, with its timeout.
+func (cl *changeCalls) callContext() (context.Context, context.CancelFunc) {
+	d := min(firstCallTimeout<<cl.calls, kvTimeout, cl.deadline-cl.now())
+	cl.calls++
 	return context.WithTimeout(cl.nd.stopping, d)
 }
 
-// doubtful tells whether a failed swap may have taken effect; only a failure to
-// connect proves that it has not.
-func doubtful(err error) bool {
+// mayHaveApplied reports whether a failed swap may have taken effect. Only a failure to connect
+// proves that it has not.
+func mayHaveApplied(err error) bool {
 	var pe *plat.Error
 	return !errors.As(err, &pe) || pe.Doubtful
 }
@@ -201,7 +204,7 @@
 	return reply
 }
 
-// History lists a team's last changes from the key-value service.
+// History returns a team's last changes from the key-value service.
 func (nd *Node) History(ctx context.Context, name string) (wire.HistoryReply, error) {
 	reply := wire.HistoryReply{Team: name, Entries: []wire.HistoryEntry{}}
 	pair, found, err := nd.kv.Get(ctx, change.KeyOf(name))
@@ -224,6 +227,6 @@
 	return reply, nil
 }
 
-func (nd *Node) newID() string {
+func (nd *Node) newRequestID() string {
 	return strconv.FormatUint(nd.set.Incarnation, 36) + "-" + strconv.FormatUint(nd.requests.Add(1), 36)
 }
--- a/io/node/change_status.go
+++ b/io/node/change_status.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// surveyTimeout bounds a survey of one data centre, surveyEach a question
-	// to one VM. With surveyAtOnce questions at a time, 330 VMs of which a
-	// tenth are dead take about a second.
-	surveyTimeout = 4 * time.Second
-	surveyEach    = 500 * time.Millisecond
-	surveyAtOnce  = 16
-	// surveyors are how many VMs of a data centre are asked to sum it up,
-	// one after the other, before it counts as not reachable.
-	surveyors = 3
-	// maxLeft bounds the VMs asked from here because the list of the VM that
-	// summed up lags behind.
-	maxLeft = 32
+	// surveyTimeout bounds a survey of one data centre, surveyVMTimeout the call to one VM.
+	// With maxSurveyCalls calls at a time, 330 VMs of which a tenth are dead take about a
+	// second.
+	surveyTimeout   = 4 * time.Second
+	surveyVMTimeout = 500 * time.Millisecond
+	maxSurveyCalls  = 16
+	// maxSurveyorsAsked is the number of VMs of a data centre that are asked for its survey,
+	// one after the other, before the data centre counts as not reachable.
+	maxSurveyorsAsked = 3
+	// maxMissing bounds the VMs that this VM asks itself because they are missing from the
+	// survey, as when the surveying VM's list of VMs is out of date.
+	maxMissing = 32
 )
 
-// ChangeStatus tells where a change is in force. One VM of each data centre is
-// asked to sum up its own: at thousands of VMs, asking each from here would
-// take thousands of connections.
+// ChangeStatus reports where a change is in force. One VM of each data centre is asked to survey
+// that data centre: with thousands of VMs, asking each of them from here would take thousands of
+// connections.
 func (nd *Node) ChangeStatus(ctx context.Context, id string) wire.ChangeStatus {
 	var tb *rank.Table
-	nd.ask(func(ct *control) { tb = ct.conf.ma.Table() })
+	nd.onControl(func(ct *control) { tb = ct.configs.machine.Table() })
 	out := wire.ChangeStatus{ChangeID: id, DataCentres: []wire.ChangeStatusOfDataCentre{}, VMs: []wire.ChangeStatusOfVM{}}
 	if tb == nil {
 		return out
@@ -44,10 +44,10 @@
 		return out
 	}
 	out.Known, out.Team, out.Revision = true, rv.GetTeam(), rv.GetRevision()
-	rows := nd.surveyAll(ctx, tb, out.Team)
+	rows := nd.surveyDataCentres(ctx, tb, out.Team)
 	for _, dc := range tb.DataCentres() {
-		left := unnamed(tb.Members(dc), rows[dc])
-		if len(rows[dc]) > 0 && len(left) <= maxLeft {
+		left := missingFrom(tb.Members(dc), rows[dc])
+		if len(rows[dc]) > 0 && len(left) <= maxMissing {
 			rows[dc] = append(rows[dc], nd.surveyVMs(ctx, left, []string{out.Team})...)
 		}
 		sum, vms := summary(dc, tb.Members(dc), rows[dc], out.Revision)
@@ -57,11 +57,11 @@
 	return out
 }
 
-// findChange looks for a change by its id: on this VM, on a ranked VM of each
-// data centre, and at last in the key-value service, where a change stands that
-// took effect while its VM died.
+// findChange looks for a change by its id: on this VM, then on one of the ranked VMs of each
+// data centre, and last in the key-value service, which has a change whose VM died right after
+// writing it.
 func (nd *Node) findChange(ctx context.Context, tb *rank.Table, id string) (*inner.TeamRevision, bool) {
-	if rv := nd.changeNamed(id); rv != nil {
+	if rv := nd.changeByID(id); rv != nil {
 		return rv, true
 	}
 	for _, dc := range tb.DataCentres() {
@@ -72,7 +72,7 @@
 	}
 	rp, err := nd.kv.Range(ctx, change.Prefix)
 	if err != nil {
-		nd.platformFailed(ctx, "range", err)
+		nd.notePlatformFailure(ctx, "range", err)
 		return nil, false
 	}
 	for _, pair := range rp.Pairs {
@@ -82,16 +82,16 @@
 			continue
 		}
 		if et, ok := en.Find(id); ok {
-			return revisionOf(spread.Revision{Team: name, Revision: et.Revision, ChangeID: id}), true
+			return revisionToWire(spread.Revision{Team: name, Revision: et.Revision, ChangeID: id}), true
 		}
 	}
 	return nil, false
 }
 
-// askRanked asks the ranked VMs of a data centre in turn until one answers.
+// askRanked asks the first ranked VMs of a data centre one after the other until one answers.
 func (nd *Node) askRanked(ctx context.Context, tb *rank.Table, dc string, rq *inner.PullRequest) (*inner.PullReply, bool) {
 	ranked := tb.Ranked(dc)
-	for _, vm := range ranked[:min(len(ranked), surveyors)] {
+	for _, vm := range ranked[:min(len(ranked), maxSurveyorsAsked)] {
 		if rp, ok := nd.askPeer(ctx, vm, rq, surveyTimeout); ok {
 			return rp, true
 		}
@@ -99,8 +99,8 @@
 	return nil, false
 }
 
-func (nd *Node) askPeer(ctx context.Context, vm rank.VM, rq *inner.PullRequest, patience time.Duration) (*inner.PullReply, bool) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (nd *Node) askPeer(ctx context.Context, vm rank.VM, rq *inner.PullRequest, timeout time.Duration) (*inner.PullReply, bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	rp, err := nd.peers.To(vm.Addr).Pull(ctx, &inner.PullRequest{
 		Version:  inner.Version,
@@ -113,15 +113,15 @@
 	return rp, err == nil
 }
 
-// surveyAll sums up every data centre at once. One without an entry could not
-// be reached.
-func (nd *Node) surveyAll(ctx context.Context, tb *rank.Table, team string) map[string][]*inner.SurveyRow {
+// surveyDataCentres surveys all data centres concurrently. A data centre without an entry in the
+// result could not be reached.
+func (nd *Node) surveyDataCentres(ctx context.Context, tb *rank.Table, team string) map[string][]*inner.SurveyRow {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	rows := make(map[string][]*inner.SurveyRow)
 	for _, dc := range tb.DataCentres() {
 		wg.Go(func() {
-			got, ok := nd.surveyOf(ctx, tb, dc, team)
+			got, ok := nd.surveyDataCentre(ctx, tb, dc, team)
 			if !ok {
 				return
 			}
@@ -134,7 +134,7 @@
 	return rows
 }
 
-func (nd *Node) surveyOf(ctx context.Context, tb *rank.Table, dc, team string) ([]*inner.SurveyRow, bool) {
+func (nd *Node) surveyDataCentre(ctx context.Context, tb *rank.Table, dc, team string) ([]*inner.SurveyRow, bool) {
 	if dc == nd.set.DataCentre {
 		return nd.survey(ctx, []string{team}), true
 	}
@@ -142,21 +142,22 @@
 	return rp.GetSurvey(), ok
 }
 
-// survey asks every VM of this data centre for its revision of a team.
+// survey asks every VM of this data centre for its revision of a team. It returns nil unless
+// teams has exactly one name.
 func (nd *Node) survey(ctx context.Context, teams []string) []*inner.SurveyRow {
 	if len(teams) != 1 {
 		return nil
 	}
 	var tb *rank.Table
-	nd.ask(func(ct *control) { tb = ct.conf.ma.Table() })
+	nd.onControl(func(ct *control) { tb = ct.configs.machine.Table() })
 	if tb == nil {
 		return nil
 	}
 	return nd.surveyVMs(ctx, tb.Members(nd.set.DataCentre), teams)
 }
 
-// unnamed are the VMs that no row names.
-func unnamed(vms []rank.VM, rows []*inner.SurveyRow) []rank.VM {
+// missingFrom returns the VMs that have no row.
+func missingFrom(vms []rank.VM, rows []*inner.SurveyRow) []rank.VM {
 	named := make(map[string]bool, len(rows))
 	for _, row := range rows {
 		named[row.GetAddr()] = true
@@ -172,7 +173,7 @@
 
 func (nd *Node) surveyVMs(ctx context.Context, vms []rank.VM, teams []string) []*inner.SurveyRow {
 	rows := make([]*inner.SurveyRow, len(vms))
-	slots := make(chan struct{}, surveyAtOnce)
+	slots := make(chan struct{}, maxSurveyCalls)
 	var wg sync.WaitGroup
 	for i, vm := range vms {
 		slots <- struct{}{}
@@ -187,11 +188,11 @@
 
 func (nd *Node) surveyRow(ctx context.Context, vm rank.VM, teams []string) *inner.SurveyRow {
 	row := &inner.SurveyRow{Addr: vm.Addr, DataCentre: vm.DataCentre}
-	held := inForce(nd.view.Load(), teams)
+	held := revisionsInForce(nd.view.Load(), teams)
 	if vm.Addr == nd.addr {
 		row.Reachable = true
 	} else {
-		rp, ok := nd.askPeer(ctx, vm, &inner.PullRequest{Brief: true, Teams: teams}, surveyEach)
+		rp, ok := nd.askPeer(ctx, vm, &inner.PullRequest{Brief: true, Teams: teams}, surveyVMTimeout)
 		row.Reachable = ok
 		held = rp.GetHeld()
 	}
@@ -201,9 +202,8 @@
 	return row
 }
 
-// summary judges the rows of a data centre. A VM that this one knows of and
-// that no row names counts as not reachable: it must not be forgotten because
-// the other VM's list is shorter.
+// summary evaluates the rows of a data centre. A VM that is known here and has no row counts as
+// not reachable, so that it is not left out because the surveying VM's list is shorter.
 func summary(dc string, known []rank.VM, rows []*inner.SurveyRow, revision uint64) (wire.ChangeStatusOfDataCentre, []wire.ChangeStatusOfVM) {
 	byAddr := make(map[string]wire.ChangeStatusOfVM, len(known))
 	for _, vm := range known {
--- a/io/node/config.go
+++ b/io/node/config.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// configPatience bounds a call to the key-value service: one that is slow
-	// by 10 s still counts as up.
-	configPatience = 12 * time.Second
-	// compareEvery is the pace of comparisons beside the heartbeats, which
-	// carry the same digests every second.
-	compareEvery = 3 * time.Second
-	vmsEvery     = 2 * time.Second
-	vmsPause     = time.Second
+	// kvTimeout bounds a call to the key-value service. A service that needs 10 s for a call
+	// still counts as available.
+	kvTimeout = 12 * time.Second
+	// compareInterval is the interval of digest comparisons. They come in addition to the
+	// heartbeats, which carry the same digests every second.
+	compareInterval = 3 * time.Second
+	vmsInterval     = 2 * time.Second
+	vmsRetryDelay   = time.Second
 )
 
-// meterConfig counts what the distribution of configuration does.
+// meterConfig is the metric group of the configuration's distribution.
 const meterConfig = "config"
 
-// configs runs the distribution of configuration on the control goroutine; its
-// calls run on goroutines of their own and come back as events.
+// configs runs the state machine of the configuration's distribution on the control goroutine.
+// Its calls run on goroutines of their own and return their results as events.
 type configs struct {
-	ct      *control
-	ma      *spread.Machine
-	timer   *time.Timer
-	cancels map[spread.Call]context.CancelFunc
-	alarms  map[spread.AlarmKind]map[string]string
-	peers   []rank.VM
-	listed  bool
+	ct         *control
+	machine    *spread.Machine
+	timer      *time.Timer
+	cancels    map[spread.Call]context.CancelFunc
+	alarms     map[spread.AlarmKind]map[string]string
+	peers      []rank.VM
+	peersKnown bool
 }
 
-// peerLister tells the VMs that may be asked and relied on.
+// peerLister lists the VMs that are assumed to answer.
 type peerLister interface {
 	Peers() []rank.VM
 }
@@ -48,11 +48,11 @@
 	set := ct.nd.set
 	return &configs{
 		ct: ct,
-		ma: spread.New(spread.Config{
+		machine: spread.New(spread.Config{
 			Self:     rank.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre},
 			Rand:     rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr))),
-			Readable: readable,
-			Pace:     spread.Pace{CompareEvery: compareEvery},
+			Readable: checkReadable,
+			Pace:     spread.Pace{CompareEvery: compareInterval},
 		}),
 		timer:   time.NewTimer(0),
 		cancels: make(map[spread.Call]context.CancelFunc),
@@ -60,32 +60,32 @@
 	}
 }
 
-// readable tells whether this build can work by a document.
-func readable(up spread.Update) error {
+// checkReadable returns an error if this build cannot parse a document.
+func checkReadable(up spread.Update) error {
 	_, err := team.Parse(up.Team, up.Document)
 	return err
 }
 
-// configEvent hands an event to the distribution.
+// configEvent carries an event of the distribution's state machine.
 type configEvent struct {
 	ev spread.Event
 }
 
 func (ce configEvent) apply(ct *control) {
-	ct.conf.step(ce.ev)
+	ct.configs.step(ce.ev)
 }
 
 func (cs *configs) step(ev spread.Event) {
-	cs.settle(ev)
-	for _, ac := range cs.ma.Step(time.Since(cs.ct.nd.started), ev) {
+	cs.releaseEnded(ev)
+	for _, ac := range cs.machine.Step(time.Since(cs.ct.nd.started), ev) {
 		cs.do(ac)
 	}
-	cs.ct.nd.publishDigest(cs.ma.Digest())
-	cs.timer.Reset(max(0, cs.ma.Next()-time.Since(cs.ct.nd.started)))
+	cs.ct.nd.publishDigest(cs.machine.Digest())
+	cs.timer.Reset(max(0, cs.machine.Next()-time.Since(cs.ct.nd.started)))
 }
 
-// settle frees what belongs to a call that is over.
-func (cs *configs) settle(ev spread.Event) {
+// releaseEnded cancels the context of a call that the event ends.
+func (cs *configs) releaseEnded(ev spread.Event) {
 	switch ev := ev.(type) {
 	case spread.Ranged:
 		cs.release(ev.Call)
@@ -134,7 +134,8 @@
 	}
 }
 
-// call runs f until it answers or is abandoned.
+// call runs f on a goroutine of its own and posts its event. The context ends when the call is
+// abandoned.
 func (cs *configs) call(id spread.Call, f func(ctx context.Context) spread.Event) {
 	nd := cs.ct.nd
 	ctx, cancel := context.WithCancel(nd.stopping)
@@ -145,18 +146,18 @@
 	})
 }
 
-// apply puts an update in force; the machine has made sure that it can be read
-// and that the team's revision rises.
+// apply puts an update in force. The state machine has checked that the document can be parsed
+// and that the team's revision increases.
 func (cs *configs) apply(up spread.Update) {
 	ct := cs.ct
 	doc, err := team.Parse(up.Team, up.Document)
 	if err != nil {
-		ct.alarm("configuration of team " + up.Team + " cannot be read: " + err.Error())
+		ct.raiseAlarm("configuration of team " + up.Team + " cannot be read: " + err.Error())
 		return
 	}
 	ct.view = ct.view.WithTeam(view.Team{Revision: up.Revision, ChangeID: up.ChangeID, Document: doc, Raw: up.Document})
-	ct.shares.configured(doc)
-	ct.placeServers(doc)
+	ct.shares.setLimit(doc)
+	ct.updateServers(doc)
 	ct.publish()
 	ct.nd.meter.Count(meterConfig, "applied")
 	ct.nd.log.Info().Str("team", up.Team).Uint64("revision", up.Revision).Str("change", up.ChangeID).Msg("configuration in force")
@@ -166,7 +167,7 @@
 	nd := cs.ct.nd
 	if !al.Raised {
 		delete(cs.alarms[al.Kind], al.Team)
-		nd.log.Info().Str("kind", string(al.Kind)).Str("team", al.Team).Msg("alarm over")
+		nd.log.Info().Str("kind", string(al.Kind)).Str("team", al.Team).Msg("alarm cleared")
 		return
 	}
 	if cs.alarms[al.Kind] == nil {
@@ -177,7 +178,7 @@
 	nd.log.Error().Str("kind", string(al.Kind)).Str("team", al.Team).Str("alarm", al.Text).Msg("alarm")
 }
 
-// alarmTexts lists the alarms that stand, sorted.
+// alarmTexts returns the active alarms, sorted.
 func (cs *configs) alarmTexts() []string {
 	var out []string
 	for kind, teams := range cs.alarms {
@@ -189,37 +190,36 @@
 	return out
 }
 
-// peersChanged hands on the list of VMs if it is another one.
+// peersChanged passes the list of VMs to the state machine if it has changed.
 func (cs *configs) peersChanged(pl peerLister) {
 	peers := pl.Peers()
-	if cs.listed && slices.Equal(peers, cs.peers) {
+	if cs.peersKnown && slices.Equal(peers, cs.peers) {
 		return
 	}
-	cs.peers, cs.listed = peers, true
+	cs.peers, cs.peersKnown = peers, true
 	cs.step(spread.Members{VMs: peers})
 }
 
-// Peers lists the VMs that can be asked and relied on, as the membership has
-// them.
+// Peers lists the VMs that are assumed to answer, according to the membership.
 func (ct *control) Peers() []rank.VM {
 	return ct.members.peers()
 }
 
-// pollVMs follows the platform's VM list.
+// pollVMs polls the platform's VM list until ctx ends.
 func (nd *Node) pollVMs(ctx context.Context) {
 	for ctx.Err() == nil {
 		list, err := nd.vms.VMs(ctx)
 		if err != nil {
-			nd.platformFailed(ctx, "vms", err)
-			pause(ctx, vmsPause+rand.N(vmsPause))
+			nd.notePlatformFailure(ctx, "vms", err)
+			sleep(ctx, vmsRetryDelay+rand.N(vmsRetryDelay))
 			continue
 		}
-		nd.post(vmsSeen{vms: list.VMs})
-		pause(ctx, vmsEvery)
+		nd.post(vmListReceived{vms: list.VMs})
+		sleep(ctx, vmsInterval)
 	}
 }
 
-func (nd *Node) platformFailed(ctx context.Context, op string, err error) {
+func (nd *Node) notePlatformFailure(ctx context.Context, op string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
--- a/io/node/config_bench_test.go
+++ b/io/node/config_bench_test.go
@@ -15,8 +15,8 @@
 	"laburnumvane/io/peer"
 )
 
-// BenchmarkCompare is one comparison of digests between two VMs over TCP, the
-// work of both ends together.
+// BenchmarkCompare measures one comparison of digests between two VMs over TCP, with the work of
+// both ends.
 func BenchmarkCompare(b *testing.B) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +25,7 @@
 	nd := &Node{addr: ln.Addr().String(), meter: meter.New(), log: &log.Logger{Level: log.PanicLevel}}
 	nd.peers = peer.NewClient(peer.ClientConfig{Timeout: time.Second})
 	cl := &countingListener{Listener: ln}
-	sr := peer.NewServer(peer.ServerConfig{Listener: cl, Service: &service{nd: nd}})
+	sr := peer.NewServer(peer.ServerConfig{Listener: cl, Service: &peerService{nd: nd}})
 	go func() { _ = sr.Serve() }()
 	b.Cleanup(func() { _ = sr.Close() })
 	rq := &inner.PullRequest{Version: inner.Version, From: nd.self(), Compare: true}
@@ -38,7 +38,7 @@
 	b.ReportMetric(float64(cl.bytes.Load())/float64(b.N), "B/op-both-ways")
 }
 
-// countingListener counts the bytes of all its connections, both ways.
+// countingListener counts the bytes of all its connections, in both directions.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
--- a/io/node/config_calls.go
+++ b/io/node/config_calls.go
@@ -14,7 +14,7 @@
 	"laburnumvane/io/wire"
 )
 
-// pushTimeout bounds calls to peers should the machine's own timeout be late.
+// pushTimeout bounds calls to other VMs in case the state machine's own timeout comes late.
 const pushTimeout = 5 * time.Second
 
 func seedOf(addr string) uint64 {
@@ -26,28 +26,29 @@
 	nd.meter.Count(meter.Platform, "range")
 	rp, err := nd.kv.Range(ctx, change.Prefix)
 	if err != nil {
-		nd.platformFailed(ctx, "range", err)
+		nd.notePlatformFailure(ctx, "range", err)
 		return spread.Failed(ac)
 	}
-	ups, broken := updatesOf(rp.Pairs)
+	ups, broken := updatesFromPairs(rp.Pairs)
 	return spread.Ranged{Call: ac.Call, Revision: rp.Revision, Updates: ups, Broken: broken}
 }
 
-// watchConfig waits for changes.
+// watchConfig waits for changes of the teams' values in the key-value service.
 func (nd *Node) watchConfig(ctx context.Context, ac spread.Watch) spread.Event {
 	nd.meter.Count(meter.Platform, "watch")
 	rp, err := nd.kv.Watch(ctx, change.Prefix, ac.From, ac.Wait)
 	if err != nil {
-		nd.platformFailed(ctx, "watch", err)
+		nd.notePlatformFailure(ctx, "watch", err)
 		return spread.Failed{Call: ac.Call}
 	}
-	ups, broken := updatesOf(rp.Events)
+	ups, broken := updatesFromPairs(rp.Events)
 	return spread.Watched{Call: ac.Call, Revision: rp.Revision, Updates: ups, Broken: broken, Compacted: rp.Compacted}
 }
 
-// updatesOf reads the values of teams' keys; other keys are not ours, and a key
-// that is gone takes nothing back.
-func updatesOf(pairs []wire.KVPair) (ups []spread.Update, broken []spread.Broken) {
+// updatesFromPairs decodes the values of teams' keys and returns those that cannot be decoded as
+// broken. Other keys are ignored, and so are deleted ones: deleting a key does not revoke a
+// configuration.
+func updatesFromPairs(pairs []wire.KVPair) (ups []spread.Update, broken []spread.Broken) {
 	for _, pair := range pairs {
 		name, ok := change.TeamOf(pair.Key)
 		if !ok || pair.Deleted {
@@ -59,13 +60,13 @@
 			continue
 		}
 		if cur, ok := en.Current(); ok {
-			ups = append(ups, updateOf(name, cur))
+			ups = append(ups, updateFromEntry(name, cur))
 		}
 	}
 	return ups, broken
 }
 
-func updateOf(name string, et change.Entry) spread.Update {
+func updateFromEntry(name string, et change.Entry) spread.Update {
 	return spread.Update{Team: name, Revision: et.Revision, ChangeID: et.ID, Document: et.Document}
 }
 
@@ -76,7 +77,7 @@
 	_, err := nd.peers.To(ac.To.Addr).Push(ctx, &inner.PushRequest{
 		Version: inner.Version,
 		From:    nd.self(),
-		Teams:   []*inner.TeamConfig{messageOf(ac.Update)},
+		Teams:   []*inner.TeamConfig{updateToWire(ac.Update)},
 	})
 	if err != nil {
 		nd.meter.Count(meterConfig, "pushFailed")
@@ -109,22 +110,22 @@
 	rp, err := nd.peers.To(ac.To.Addr).Pull(ctx, &inner.PullRequest{
 		Version: inner.Version,
 		From:    nd.self(),
-		Held:    revisionsOf(ac.Held),
+		Held:    revisionsToWire(ac.Held),
 	})
 	if err != nil {
 		nd.meter.Count(meterConfig, "pullFailed")
 		return spread.Failed{Call: ac.Call}
 	}
-	return spread.Pulled{Call: ac.Call, Updates: nd.updatesIn(rp.GetTeams()), More: rp.GetMore()}
+	return spread.Pulled{Call: ac.Call, Updates: nd.updatesFromWire(rp.GetTeams()), More: rp.GetMore()}
 }
 
-// restoreConfig gives the service back a change that it has lost. The swap
-// expects what was read, so that a read from the past does no harm.
+// restoreConfig writes a change that the key-value service has lost back to it. The swap expects
+// the revision that was read, so that a stale read does no harm.
 func (nd *Node) restoreConfig(ctx context.Context, up spread.Update) {
 	key := change.KeyOf(up.Team)
 	pair, _, err := nd.kv.Get(ctx, key)
 	if err != nil {
-		nd.platformFailed(ctx, "get", err)
+		nd.notePlatformFailure(ctx, "get", err)
 		return
 	}
 	var en change.Envelope
@@ -146,25 +147,25 @@
 	rp, err := nd.kv.Swap(ctx, wire.KVSwapRequest{Key: key, Value: value, Expect: pair.Revision})
 	switch {
 	case err != nil:
-		nd.platformFailed(ctx, "swap", err)
+		nd.notePlatformFailure(ctx, "swap", err)
 	case rp.Swapped:
 		nd.meter.Count(meterConfig, "restored")
-		nd.log.Warn().Str("team", up.Team).Uint64("revision", up.Revision).Str("change", up.ChangeID).Msg("given back to the key-value service, which had lost it")
+		nd.log.Warn().Str("team", up.Team).Uint64("revision", up.Revision).Str("change", up.ChangeID).Msg("configuration restored to the key-value service, which had lost it")
 	}
 }
 
-func revisionsOf(rvs []spread.Revision) []*inner.TeamRevision {
+func revisionsToWire(rvs []spread.Revision) []*inner.TeamRevision {
 	out := make([]*inner.TeamRevision, 0, len(rvs))
 	for _, rv := range rvs {
-		out = append(out, revisionOf(rv))
+		out = append(out, revisionToWire(rv))
 	}
 	return out
 }
 
-func revisionOf(rv spread.Revision) *inner.TeamRevision {
+func revisionToWire(rv spread.Revision) *inner.TeamRevision {
 	return &inner.TeamRevision{Team: rv.Team, Revision: rv.Revision, ChangeId: rv.ChangeID}
 }
 
-func rankOf(vm *inner.VM) rank.VM {
+func rankVMFromWire(vm *inner.VM) rank.VM {
 	return rank.VM{Addr: vm.GetAddr(), DataCentre: vm.GetDataCentre()}
 }
--- a/io/node/config_digest.go
+++ b/io/node/config_digest.go
@@ -5,12 +5,13 @@
 	"laburnumvane/io/inner"
 )
 
-// publishDigest lets other goroutines read the digest of what this VM holds.
+// publishDigest makes the digest of this VM's configuration available to other goroutines.
 func (nd *Node) publishDigest(dg spread.Digest) {
 	nd.digest.Store(&dg)
 }
 
-// configDigest is what heartbeats carry as digest and highest.
+// configDigest returns the digest of this VM's configuration. Heartbeats carry it as digest and
+// highest.
 func (nd *Node) configDigest() spread.Digest {
 	if dg := nd.digest.Load(); dg != nil {
 		return *dg
@@ -18,12 +19,12 @@
 	return spread.Digest{}
 }
 
-// digestSeen takes a peer's digest, from a heartbeat or a comparison.
-func (nd *Node) digestSeen(from *inner.VM, hash, sum uint64) {
+// receiveDigest processes another VM's digest, from a heartbeat or a comparison.
+func (nd *Node) receiveDigest(from *inner.VM, hash, sum uint64) {
 	dg := spread.Digest{Hash: hash, Sum: sum}
 	if dg == nd.configDigest() {
-		// The usual case costs the control goroutine nothing.
+		// The usual case; it costs the control goroutine nothing.
 		return
 	}
-	nd.post(configEvent{ev: spread.Beat{From: rankOf(from), Digest: dg}})
+	nd.post(configEvent{ev: spread.Beat{From: rankVMFromWire(from), Digest: dg}})
 }
--- a/io/node/config_message.go
+++ b/io/node/config_message.go
@@ -7,9 +7,9 @@
 	"laburnumvane/io/inner"
 )
 
-// messageOf puts an update into a message, deflated: documents repeat
-// themselves, and what a VM may send for control is little.
-func messageOf(up spread.Update) *inner.TeamConfig {
+// updateToWire encodes an update for a message. The document is deflated if that makes it
+// smaller: documents are repetitive, and the bandwidth of control traffic is limited.
+func updateToWire(up spread.Update) *inner.TeamConfig {
 	tc := &inner.TeamConfig{Team: up.Team, Revision: up.Revision, ChangeId: up.ChangeID}
 	deflated := press.Deflate(up.Document, press.Fast)
 	if len(deflated) >= len(up.Document) {
@@ -20,9 +20,9 @@
 	return tc
 }
 
-// updatesIn reads the updates of a message; one that cannot be inflated is left
-// out and counted, and comes again with the next pull.
-func (nd *Node) updatesIn(tcs []*inner.TeamConfig) []spread.Update {
+// updatesFromWire decodes the updates of a message. An update that cannot be inflated is left
+// out and counted; the next pull brings it again.
+func (nd *Node) updatesFromWire(tcs []*inner.TeamConfig) []spread.Update {
 	ups := make([]spread.Update, 0, len(tcs))
 	for _, tc := range tcs {
 		up := spread.Update{Team: tc.GetTeam(), Revision: tc.GetRevision(), ChangeID: tc.GetChangeId(), Document: tc.GetDocument()}
--- a/io/node/config_message_test.go
+++ b/io/node/config_message_test.go
@@ -17,7 +17,7 @@
 	"laburnumvane/io/meter"
 )
 
-func sample(servers int) []byte {
+func sampleDocument(servers int) []byte {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	sc := team.Service{SlotsPerServer: 3, ConnectionsPerServer: 30}
 	for i := range servers {
@@ -35,28 +35,28 @@
 const wash = "wash"
 
 func TestMessage(t *testing.T) {
-	// What goes into a message comes out of it byte for byte; one that would
-	// grow beyond any document is left out, as is one that is no deflate.
+	// A document in a message must be decoded byte for byte. Data that would inflate beyond the
+	// maximum size of a document, or that is not deflated, must be left out.
 	nd := &Node{meter: meter.New()}
 	bomb := press.Deflate(bytes.Repeat([]byte(" "), change.MaxDocument+1), press.Fast)
-	for _, raw := range [][]byte{nil, []byte("{}"), sample(130)} {
+	for _, raw := range [][]byte{nil, []byte("{}"), sampleDocument(130)} {
 		is := is.New(t)
-		ups := nd.updatesIn([]*inner.TeamConfig{messageOf(spread.Update{Team: wash, Revision: 3, ChangeID: "c", Document: raw})})
+		ups := nd.updatesFromWire([]*inner.TeamConfig{updateToWire(spread.Update{Team: wash, Revision: 3, ChangeID: "c", Document: raw})})
 		is.Equal(len(ups), 1)
 		is.Equal(string(ups[0].Document), string(raw))
 	}
 	for _, bad := range [][]byte{bomb, []byte("xx")} {
 		is := is.New(t)
-		is.Equal(len(nd.updatesIn([]*inner.TeamConfig{{Team: wash, Revision: 3, Deflated: bad}})), 0)
+		is.Equal(len(nd.updatesFromWire([]*inner.TeamConfig{{Team: wash, Revision: 3, Deflated: bad}})), 0)
 	}
 	is.New(t).Equal(nd.meter.Value(meterConfig, "messageUnreadable"), int64(2))
 }
 
 func BenchmarkMessage(b *testing.B) {
-	raw := sample(130)
+	raw := sampleDocument(130)
 	size := 0
 	for b.Loop() {
-		size = len(messageOf(spread.Update{Team: wash, Document: raw}).GetDeflated())
+		size = len(updateToWire(spread.Update{Team: wash, Document: raw}).GetDeflated())
 	}
 	b.ReportMetric(float64(len(raw)), "B-document")
 	b.ReportMetric(float64(size), "B-deflated")
--- a/io/node/config_test.go
+++ b/io/node/config_test.go
@@ -38,18 +38,18 @@
 	})
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
-	// The list of VMs lags: those that started first know only themselves.
+	// The VM list lags: the VMs that started first only know themselves.
 	for _, nd := range st.Nodes() {
 		eventually(t, "every VM is listed", func() bool { return len(nd.Status().VMs) == vms })
 	}
 	return st
 }
 
-// document is the site's document with another limit.
-func document(t *testing.T, st *site.Site, concurrent int) []byte {
+// documentWith returns the site's document with another limit of concurrent searches.
+func documentWith(t *testing.T, st *site.Site, concurrent int) []byte {
 	t.Helper()
 	doc := st.Document()
 	doc.Limits.Concurrent = concurrent
@@ -70,7 +70,7 @@
 	return cr.Revision
 }
 
-func inForceOn(t *testing.T, nds []*node.Node, rev uint64) {
+func waitForRevision(t *testing.T, nds []*node.Node, rev uint64) {
 	t.Helper()
 	for i, nd := range nds {
 		eventually(t, fmt.Sprintf("revision %d on VM %d", rev, i), func() bool { return revision(nd) >= rev })
@@ -78,17 +78,17 @@
 }
 
 func TestChangeThroughEachVM(t *testing.T) {
-	// An operator changes the team through one VM after the other. Each change
-	// is accepted, comes into force on all, and its status shows both data
-	// centres; the documents come back as they were written.
+	// An operator changes the team through one VM after the other. Each change must be accepted
+	// and come into force on all VMs, its status must show both data centres, and the document
+	// must be returned byte for byte.
 	is := is.New(t)
 	st := startWash(t, 4)
 	for i, nd := range st.Nodes() {
-		raw := document(t, st, 100+i)
+		raw := documentWith(t, st, 100+i)
 		reply := propose(t, nd, raw, uint64(i+1))
 		is.Equal(reply.Result, wire.ChangeAccepted)
 		is.Equal(reply.Revision, uint64(i+2))
-		inForceOn(t, st.Nodes(), reply.Revision)
+		waitForRevision(t, st.Nodes(), reply.Revision)
 		cr, _ := st.Nodes()[0].Config(wash)
 		is.Equal(string(cr.Document), string(raw))
 
@@ -106,8 +106,8 @@
 }
 
 func TestStatusOfAStoppedDataCentre(t *testing.T) {
-	// The VMs of one data centre die without a word. The status of a change
-	// says so of that data centre, and that all others have it.
+	// The VMs of one data centre are killed. The status of a change must show that data centre
+	// as unreachable and the change in force on all other VMs.
 	is := is.New(t)
 	st := startWash(t, 4)
 	for _, nd := range slices.Clone(st.Nodes()) {
@@ -115,9 +115,9 @@
 			st.Kill(nd)
 		}
 	}
-	reply := propose(t, st.Nodes()[0], document(t, st, 7), 1)
+	reply := propose(t, st.Nodes()[0], documentWith(t, st, 7), 1)
 	is.Equal(reply.Result, wire.ChangeAccepted)
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 	cs := st.Nodes()[0].ChangeStatus(context.Background(), reply.ChangeID)
 	is.Equal(cs.DataCentres, []wire.ChangeStatusOfDataCentre{
 		{DataCentre: "east", Reachable: true, VMs: 2, InForce: 2},
@@ -126,14 +126,14 @@
 }
 
 func TestRaceOfOperators(t *testing.T) {
-	// Operators of one team change the same revision at once through all VMs.
-	// One is accepted; each other one gets a conflict that shows it.
+	// Operators of one team change the same revision concurrently through all VMs. One change
+	// must be accepted; a conflict must show the accepted change.
 	is := is.New(t)
 	st := startWash(t, 4)
 	replies := make([]wire.ChangeReply, 8)
 	var wg sync.WaitGroup
 	for i := range replies {
-		raw := document(t, st, 200+i)
+		raw := documentWith(t, st, 200+i)
 		wg.Go(func() { replies[i] = propose(t, st.Nodes()[i%4], raw, 1) })
 	}
 	wg.Wait()
@@ -150,13 +150,12 @@
 			is.Equal(reply.Current.ChangeID, accepted)
 		}
 	}
-	is.Equal(held(t, st).Revision(), uint64(2))
+	is.Equal(storedEnvelope(t, st).Revision(), uint64(2))
 }
 
 func TestChangeUnderFaults(t *testing.T) {
-	// The service fails around a change in each way it can. The operator's
-	// result agrees with what the service holds once the fault is over, and no
-	// VM ever works by less than before.
+	// The key-value service has a fault during a change. The operator's result must agree with
+	// what the service holds once the fault is over.
 	cases := []struct {
 		name   string
 		faults emul.KVFaults
@@ -173,23 +172,23 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			before := revision(st.Nodes()[0])
-			inForceOn(t, st.Nodes(), before)
+			waitForRevision(t, st.Nodes(), before)
 			st.KV().SetFaults(tc.faults)
-			reply := propose(t, st.Nodes()[i%2], document(t, st, 300+i), before)
+			reply := propose(t, st.Nodes()[i%2], documentWith(t, st, 300+i), before)
 			is.Equal(reply.Result, tc.want)
-			inForceOn(t, st.Nodes(), reply.Revision)
+			waitForRevision(t, st.Nodes(), reply.Revision)
 			st.KV().SetFaults(emul.KVFaults{})
 			st.KV().Remember()
-			is.Equal(held(t, st).Revision(), reply.Revision)
+			is.Equal(storedEnvelope(t, st).Revision(), reply.Revision)
 		})
 	}
 }
 
-// held is what the service itself holds.
-func held(t *testing.T, st *site.Site) change.Envelope {
+// storedEnvelope returns the value that the key-value service holds.
+func storedEnvelope(t *testing.T, st *site.Site) change.Envelope {
 	t.Helper()
 	is := is.New(t)
-	cl := plat.New(plat.Config{Addrs: []string{st.KV().Addr()}, Timeout: bound})
+	cl := plat.New(plat.Config{Addrs: []string{st.KV().Addr()}, Timeout: testTimeout})
 	defer cl.Close()
 	pair, ok, err := cl.Get(context.Background(), change.KeyOf(wash))
 	is.NoErr(err)
@@ -200,15 +199,14 @@
 }
 
 func TestBootWithServiceDown(t *testing.T) {
-	// The service is down. A VM that boots gets the newest configuration from
-	// its peers and serves; so does one that the service would have told of an
-	// older one.
+	// A VM boots while the key-value service is down, and another while the service returns an
+	// older configuration. Both must get the newest configuration from the other VMs first.
 	is := is.New(t)
 	st := startWash(t, 3)
 	st.KV().Remember()
-	reply := propose(t, st.Nodes()[0], document(t, st, 9), 1)
+	reply := propose(t, st.Nodes()[0], documentWith(t, st, 9), 1)
 	is.Equal(reply.Result, wire.ChangeAccepted)
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 	for _, kf := range []emul.KVFaults{{Refuse: true}, {Past: true}} {
 		st.KV().SetFaults(kf)
 		nd, err := st.Boot("west")
@@ -216,14 +214,14 @@
 		first := uint64(0)
 		eventually(t, "a configuration after boot", func() bool { first = revision(nd); return first > 0 })
 		is.Equal(first, uint64(2))
-		inForceOn(t, st.Nodes(), 2)
+		waitForRevision(t, st.Nodes(), 2)
 	}
 }
 
 func TestNoConfig(t *testing.T) {
-	// Every VM is replaced while the service is down: the new one knows nothing
-	// and finds nobody to ask. It refuses searches with noConfig, nothing runs,
-	// and it works once the service is back.
+	// Every VM is replaced while the service is down, so that the new VM has no configuration
+	// and no other VM to ask. It must refuse searches with noConfig, without running anything,
+	// and must get the configuration once the service is available again.
 	is := is.New(t)
 	st := startWash(t, 2)
 	st.KV().SetFaults(emul.KVFaults{Refuse: true})
@@ -232,7 +230,7 @@
 	}
 	nd, err := st.Boot("east")
 	is.NoErr(err)
-	cl, err := client.NewCaller(client.Config{URL: "http://" + nd.Addrs().Caller, Timeout: bound})
+	cl, err := client.NewCaller(client.Config{URL: "http://" + nd.Addrs().Caller, Timeout: testTimeout})
 	is.NoErr(err)
 	rq := wire.SearchRequest{Team: wash, Search: "kiosk", Query: json.RawMessage(`{"plate":"AAA-000"}`), DeadlineMs: 1000}
 	an, err := cl.Search(context.Background(), rq)
@@ -244,17 +242,18 @@
 }
 
 func TestBackup(t *testing.T) {
-	// An old value is written over the team's key, as from a backup. No VM goes
-	// back, an alarm is raised, and the service gets the fleet's change again.
+	// An old value is written over the team's key, as by restoring a backup. No VM may return to
+	// the old revision, an alarm must be raised, and the VMs must write the newer change back to
+	// the service.
 	is := is.New(t)
 	st := startWash(t, 3)
-	old := held(t, st)
-	reply := propose(t, st.Nodes()[0], document(t, st, 8), 1)
+	old := storedEnvelope(t, st)
+	reply := propose(t, st.Nodes()[0], documentWith(t, st, 8), 1)
 	is.Equal(reply.Result, wire.ChangeAccepted)
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 	overwrite(t, st, old)
-	eventually(t, "the service has the fleet's change", func() bool { return held(t, st).Revision() == 2 })
-	cur, _ := held(t, st).Current()
+	eventually(t, "the service has the fleet's change", func() bool { return storedEnvelope(t, st).Revision() == 2 })
+	cur, _ := storedEnvelope(t, st).Current()
 	is.Equal(cur.ID, reply.ChangeID)
 	alarms := 0.0
 	for _, nd := range st.Nodes() {
@@ -264,11 +263,11 @@
 	is.True(alarms >= 1)
 }
 
-// overwrite puts a value into the service, whatever it holds.
+// overwrite writes a value to the key-value service over the one it holds.
 func overwrite(t *testing.T, st *site.Site, en change.Envelope) {
 	t.Helper()
 	is := is.New(t)
-	cl := plat.New(plat.Config{Addrs: []string{st.KV().Addr()}, Timeout: bound})
+	cl := plat.New(plat.Config{Addrs: []string{st.KV().Addr()}, Timeout: testTimeout})
 	defer cl.Close()
 	pair, _, err := cl.Get(context.Background(), change.KeyOf(wash))
 	is.NoErr(err)
@@ -280,25 +279,25 @@
 }
 
 func TestQuietChange(t *testing.T) {
-	// A VM dies right after its swap took effect, so that it tells nobody; and
-	// the service has forgotten its events. The VMs that watch read everything
-	// anew and hand it on, and the change can be asked about by its id.
+	// A VM dies right after its swap took effect, so that it pushes the change to no other VM,
+	// and the service has compacted its events. The VMs that watch the service must read all
+	// values again and push the change, and its status must be found by its id.
 	is := is.New(t)
 	st := startWash(t, 3)
-	overwrite(t, st, held(t, st).WithChange(change.Entry{ID: "quiet", Document: document(t, st, 8)}, 0))
+	overwrite(t, st, storedEnvelope(t, st).WithChange(change.Entry{ID: "quiet", Document: documentWith(t, st, 8)}, 0))
 	st.KV().Compact()
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 	cs := st.Nodes()[2].ChangeStatus(context.Background(), "quiet")
 	is.True(cs.Known)
 	is.Equal(cs.Revision, uint64(2))
 }
 
 func TestSameIDThroughTwoVMs(t *testing.T) {
-	// An operator's answer was lost, and the change is repeated with its id
-	// through another VM: it is accepted as before, and nothing is written.
+	// The reply to an operator was lost, and the operator repeats the change with the same id
+	// through another VM. It must be accepted with the same reply, and nothing may be written.
 	is := is.New(t)
 	st := startWash(t, 2)
-	raw, expect := document(t, st, 8), uint64(1)
+	raw, expect := documentWith(t, st, 8), uint64(1)
 	pr := oper.Proposal{ID: "mine", Team: wash, Document: raw, Expect: &expect}
 	first, err := st.Nodes()[0].Change(context.Background(), pr)
 	is.NoErr(err)
@@ -306,7 +305,7 @@
 	is.NoErr(err)
 	is.Equal(first, again)
 	is.Equal(first.Result, wire.ChangeAccepted)
-	is.Equal(held(t, st).Revision(), uint64(2))
+	is.Equal(storedEnvelope(t, st).Revision(), uint64(2))
 	pr.ID = "not an id"
 	_, err = st.Nodes()[0].Change(context.Background(), pr)
 	is.True(err != nil)
--- a/io/node/connections.go
+++ b/io/node/connections.go
@@ -7,11 +7,11 @@
 	"laburnumvane/io/upst"
 )
 
-// keepConnections looks after the connections to all servers and counts what
-// happens to them.
+// keepConnections maintains the connections to all servers and counts their events until ctx
+// ends.
 func (nd *Node) keepConnections(ctx context.Context) {
 	upst.Keep(ctx, upst.KeepConfig{
-		Servers: func() []*upst.Server { return *nd.servers.Load() },
+		Servers: func() []*upst.Server { return *nd.pools.Load() },
 		Count:   func(reason string, n int64) { nd.meter.Add(meter.Connection, reason, n) },
 	})
 }
--- a/io/node/control.go
+++ b/io/node/control.go
@@ -9,33 +9,34 @@
 	"laburnumvane/io/wire"
 )
 
-// event is something the control goroutine has to take in.
+// event is processed by the control goroutine.
 type event interface {
 	apply(ct *control)
 }
 
-// control owns all state that is not a search's. Only its goroutine touches it.
+// control owns all state that does not belong to a single search. Only the control goroutine
+// accesses it.
 type control struct {
-	nd      *Node
-	view    view.View
-	alarms  []string
-	conf    *configs
-	members *members
-	signs   *signs
-	ups     *upstreams
-	shares  *shares
+	nd        *Node
+	view      view.View
+	alarms    []string
+	configs   *configs
+	members   *members
+	signs     *signs
+	upstreams *upstreams
+	shares    *shares
 }
 
 func newControl(nd *Node) *control {
 	ct := &control{nd: nd}
-	ct.ups = newUpstreams(ct)
-	ct.conf = newConfigs(ct)
+	ct.upstreams = newUpstreams(ct)
+	ct.configs = newConfigs(ct)
 	ct.members = newMembers(ct)
-	ct.signs = newSigns(ct.members, ct.ups.heard)
-	ct.members.board(digests{nd: nd})
-	ct.members.board(ct.signs)
+	ct.signs = newSigns(ct.members, ct.upstreams.receiveSign)
+	ct.members.addPiggybacker(digests{nd: nd})
+	ct.members.addPiggybacker(ct.signs)
 	ct.shares = newShares(ct)
-	ct.members.board(ct.shares)
+	ct.members.addPiggybacker(ct.shares)
 	return ct
 }
 
@@ -45,10 +46,10 @@
 		select {
 		case ev := <-ct.nd.events:
 			ev.apply(ct)
-		case <-ct.conf.timer.C:
-			ct.conf.step(spread.Tick{})
-		case <-ct.ups.timer.C:
-			ct.ups.tick()
+		case <-ct.configs.timer.C:
+			ct.configs.step(spread.Tick{})
+		case <-ct.upstreams.timer.C:
+			ct.upstreams.tick()
 		case <-ct.members.timer.C:
 			ct.members.tick()
 		case <-ct.shares.timer.C:
@@ -56,7 +57,7 @@
 		case <-ctx.Done():
 			return
 		}
-		ct.ups.flush()
+		ct.upstreams.flush()
 	}
 }
 
@@ -65,7 +66,7 @@
 	ct.nd.view.Store(&vw)
 }
 
-// post hands an event to the control goroutine, unless the VM has stopped.
+// post queues an event for the control goroutine. After the VM has stopped the event is dropped.
 func (nd *Node) post(ev event) {
 	select {
 	case nd.events <- ev:
@@ -73,41 +74,41 @@
 	}
 }
 
-// ask runs f on the control goroutine and waits for it; it does not run if the
-// VM stops first. A VM that stops while f runs is not reason enough to return: f
-// would go on filling in what its caller already reads. The control goroutine
-// ends soon after the stop, and after its end f runs no more.
-func (nd *Node) ask(f func(ct *control)) {
+// onControl runs f on the control goroutine and waits for it. If the VM stops first, f is not
+// run. If the VM stops while f runs, onControl still waits, since f may write to variables that
+// its caller reads next. The control goroutine ends soon after the stop, and f does not run
+// after that.
+func (nd *Node) onControl(f func(ct *control)) {
 	done := make(chan struct{})
-	nd.post(asked{f: f, done: done})
+	nd.post(controlCall{f: f, done: done})
 	select {
 	case <-done:
 	case <-nd.controlEnded:
 	}
 }
 
-type asked struct {
+type controlCall struct {
 	f    func(ct *control)
 	done chan struct{}
 }
 
-func (ev asked) apply(ct *control) {
+func (ev controlCall) apply(ct *control) {
 	ev.f(ct)
 	close(ev.done)
 }
 
-func (ct *control) alarm(text string) {
+func (ct *control) raiseAlarm(text string) {
 	ct.alarms = append(ct.alarms, text)
 	ct.nd.log.Error().Str("alarm", text).Msg("alarm")
 }
 
-// vmsSeen brings the VM list.
-type vmsSeen struct {
+// vmListReceived carries the platform's VM list.
+type vmListReceived struct {
 	vms []wire.VM
 }
 
-func (ev vmsSeen) apply(ct *control) {
-	ct.shares.vmsListed(ev.vms)
+func (ev vmListReceived) apply(ct *control) {
+	ct.shares.setVMList(ev.vms)
 	ct.members.listed(ev.vms)
 }
 
--- a/io/node/control_test.go
+++ b/io/node/control_test.go
@@ -11,12 +11,11 @@
 	"laburnumvane/io/setup"
 )
 
-// What the operator sees: a status that is half written, or a crash of the VM that
-// writes it. The VM is killed while its control goroutine fills in the status, and
-// whoever asked goes on with it at once.
-// Why: that the VM stops does not end what its control goroutine is at, so asking
-// has to last until that goroutine has ended.
-func TestAskLastsAsLongAsItsFunction(t *testing.T) {
+// The VM is killed while its control goroutine fills in a status. If onControl returned at once, its
+// caller would read the status while it is written: the operator would get an incomplete status, or
+// the VM would crash. A stop does not end a running function, so onControl has to wait until the
+// control goroutine has ended.
+func TestOnControlWaitsForItsFunction(t *testing.T) {
 	is := is.New(t)
 	set := setup.Defaults()
 	set.CallerAddr, set.OperatorAddr, set.InnerAddr = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
@@ -25,11 +24,11 @@
 	is.NoErr(err)
 	defer nd.Kill()
 	ran := false
-	nd.ask(func(*control) {
+	nd.onControl(func(*control) {
 		nd.stop()
-		time.Sleep(100 * time.Millisecond) // a verdict that is right does not hang on it
+		time.Sleep(100 * time.Millisecond) // correct code passes whatever the duration
 		ran = true
 	})
 	is.True(ran)
-	nd.ask(func(*control) { t.Error("ran after the VM had stopped") })
+	nd.onControl(func(*control) { t.Error("ran after the VM had stopped") })
 }
--- a/io/node/demand_bytes_test.go
+++ b/io/node/demand_bytes_test.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// demandEvery is the time between two demands of a VM.
-	demandEvery = 2 * time.Second
-	// tierFields are what a demand of a tier has beside: the cut and the least
-	// sum announced, each with its tag; and a sum the name of its group.
+	// demandInterval is the time between two demands of a VM.
+	demandInterval = 2 * time.Second
+	// tierFields is the size of the additional fields of a tier's demand, in bytes: the cut and
+	// the lowest announced sum, each with its tag. sumFields is that of a sum: its group's name.
 	tierFields = 2 + 9
 	sumFields  = 10
 )
 
-// demandBytes is the size of a demand as it rides on a beat.
+// demandBytes returns the size of a demand that is piggybacked on a heartbeat.
 func demandBytes(vms int) int {
 	de := &inner.Demand{
 		Team: "wash", Rate: 123.4, Share: 0.0123, Held: true, Sequence: 123_456,
@@ -31,12 +31,12 @@
 	return proto.Size(de) + tagAndLength
 }
 
-// BenchmarkDemandBytes gives what the demands of one team cost each VM in bytes a
-// second, sent and received alike: `once` if each reached it by one message, the
-// least there can be; `spread` as the queue of the beats repeats them, and as much
-// as the beats' room lets through. flat: all hear all. centres: demands within the
-// data centre, sums between them. cells: the same within groups of the square root
-// of the fleet, for which bytes are fewest. It computes; the time says nothing.
+// BenchmarkDemandBytes computes what the demands of one team cost each VM, in bytes a second,
+// sent and received alike. once: each demand reaches a VM in one message, which is the minimum.
+// spread: demands are repeated as the heartbeats' queue does, as far as the heartbeats' space
+// allows. flat: every VM receives all demands. centres: demands stay within the data centre, and
+// sums are exchanged between data centres. cells: the same with groups of the square root of the
+// fleet's size, which needs the fewest bytes. The measured time has no meaning.
 func BenchmarkDemandBytes(b *testing.B) {
 	for _, fl := range []struct{ vms, centres int }{{9, 3}, {100, 3}, {1000, 13}, {4300, 13}} {
 		cells := int(math.Round(math.Sqrt(float64(fl.vms))))
@@ -47,7 +47,7 @@
 			b.Run(fmt.Sprintf("vms=%d/%s", fl.vms, way.name), func(b *testing.B) {
 				once, spread := 0.0, 0.0
 				for b.Loop() {
-					once, spread = bytesASecond(fl.vms, way.groups)
+					once, spread = bytesPerSecond(fl.vms, way.groups)
 				}
 				b.ReportMetric(once, "once_B/s")
 				b.ReportMetric(spread, "spread_B/s")
@@ -56,9 +56,9 @@
 	}
 }
 
-func bytesASecond(vms, groups int) (once, spread float64) {
+func bytesPerSecond(vms, groups int) (once, spread float64) {
 	size := demandBytes(vms)
-	perSecond := 1 / demandEvery.Seconds()
+	perSecond := 1 / demandInterval.Seconds()
 	if groups == 1 {
 		once = float64((vms-1)*size) * perSecond
 		return once, once * float64(member.Retransmits(vms))
--- a/io/node/doc.go
+++ b/io/node/doc.go
@@ -1,5 +1,6 @@
-// Package node is one entry VM: it joins listeners, driver, platform and peers,
-// and runs the control goroutine that owns all state which is not a search's.
+// Package node runs one entry VM. It connects the listeners, the search driver, the platform
+// clients and the other VMs, and runs the control goroutine, which owns all state that does not
+// belong to a single search.
 //
 // # Usage
 //
@@ -7,6 +8,6 @@
 //	...
 //	err = nd.Stop(ctx)
 //
-// The control goroutine takes events one at a time and publishes a new
-// view.View after each that changes something. Traffic only reads the view.
+// The control goroutine processes events one at a time and publishes a new view.View after each
+// event that changes something. Searches only read the view.
 package node
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -20,8 +20,8 @@
 	"laburnumvane/io/wire"
 )
 
-// bound ends a test that hangs; no verdict depends on it.
-const bound = 60 * time.Second
+// testTimeout ends a test that hangs. No passing test depends on its value.
+const testTimeout = 60 * time.Second
 
 func startSite(t *testing.T, vms int, lag time.Duration, with ...func(*site.Config)) *site.Site {
 	t.Helper()
@@ -53,24 +53,24 @@
 	st, err := site.Start(cfg)
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
 	return st
 }
 
-// eventually waits for what must come to hold.
+// eventually waits until a condition holds, and fails the test if it does not within testTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > bound {
-			t.Fatalf("never came to hold: %s", what)
+		if time.Since(begun) > testTimeout {
+			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
 }
 
-// states counts the VMs by the state that one VM gives them.
-func states(nd *node.Node) map[string]int {
+// countStates counts the VMs by the state that they have in one VM's status.
+func countStates(nd *node.Node) map[string]int {
 	out := map[string]int{}
 	for _, vm := range nd.Status().VMs {
 		out[vm.State]++
@@ -78,47 +78,47 @@
 	return out
 }
 
-// allSee waits until every VM counts the others so.
-func allSee(t *testing.T, st *site.Site, want map[string]int) {
+// waitForStates waits until every VM's status has the wanted numbers of VMs by state.
+func waitForStates(t *testing.T, st *site.Site, want map[string]int) {
 	t.Helper()
 	var seen []map[string]int
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("seen last: %v", seen)
+			t.Logf("last states: %v", seen)
 		}
 	})
 	eventually(t, fmt.Sprint("all see ", want), func() bool {
 		seen = nil
 		for _, nd := range st.Nodes() {
-			seen = append(seen, states(nd))
+			seen = append(seen, countStates(nd))
 		}
 		return !slices.ContainsFunc(seen, func(one map[string]int) bool { return !maps.Equal(one, want) })
 	})
 }
 
-// A VM is killed; its address stays on the VM list. The others of its data
-// centre find out by themselves, and those of the others by their relays.
+// A VM is killed, and its address stays on the VM list. The other VMs of its data centre must detect
+// it by missing heartbeats, and those of other data centres must learn of it through their relays.
 func TestVMsKnowEachOther(t *testing.T) {
 	st := startSite(t, 9, 0)
-	allSee(t, st, map[string]int{"live": 9})
+	waitForStates(t, st, map[string]int{"live": 9})
 	st.Kill(st.Nodes()[4])
-	allSee(t, st, map[string]int{"live": 8, "gone": 1})
+	waitForStates(t, st, map[string]int{"live": 8, "gone": 1})
 }
 
-// A VM hears in a reply that an upstream server is leaving. All others must have
-// heard of it by the sign that rides on beats, before they send it anything.
+// A reply shows one VM that an upstream server is draining. All other VMs must learn of it by the
+// sign piggybacked on heartbeats, without sending the server anything.
 func TestDrainSignReachesAll(t *testing.T) {
 	st := startSite(t, 9, 0)
-	allSee(t, st, map[string]int{"live": 9})
+	waitForStates(t, st, map[string]int{"live": 9})
 	first := st.Nodes()[0]
 	first.Replied(0, wire.UpstreamLoad{State: wire.UpstreamDraining, Incarnation: 1 << 60}, "")
 	var heard []float64
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("signs heard last: %v", heard)
+			t.Logf("signs received by each VM: %v", heard)
 		}
 	})
-	eventually(t, "the sign was heard by eight", func() bool {
+	eventually(t, "the sign reached eight VMs", func() bool {
 		heard = nil
 		for _, nd := range st.Nodes()[1:] {
 			heard = append(heard, nd.Metrics()["member.signHeard"])
--- a/io/node/kv_test.go
+++ b/io/node/kv_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestSwapContract(t *testing.T) {
-	// What a change relies on: an error that is not doubtful means that the
-	// swap has not taken effect and never will; any other may go either way.
+	// A change relies on two properties. An error that is not doubtful means that the swap has
+	// not taken effect and never will; after any other error it may or may not take effect.
 	// Two swaps that expect the same revision never both succeed.
 	cases := []struct {
 		name     string
@@ -63,9 +63,9 @@
 	}
 }
 
-func TestSwapNobodyListens(t *testing.T) {
-	// Nothing listens at the service's address: the one failure that proves
-	// that nothing was written.
+func TestSwapConnectionRefused(t *testing.T) {
+	// Nothing listens at the service's address. This is the only failure that proves that
+	// nothing was written.
 	is := is.New(t)
 	kv := emul.NewKV(emul.KVConfig{})
 	is.NoErr(kv.Start())
@@ -80,14 +80,14 @@
 }
 
 func TestChangeOutlastsAnOutage(t *testing.T) {
-	// An operator changes the team while the service is down. The VM goes on
-	// trying, and the change is accepted once the service is back.
+	// An operator changes the team while the key-value service is down. The VM keeps retrying,
+	// and the change is accepted once the service is available again.
 	is := is.New(t)
 	st := startWash(t, 2)
 	st.KV().SetFaults(emul.KVFaults{Refuse: true})
 	nd := st.Nodes()[0]
 	expect := uint64(1)
-	raw := document(t, st, 5)
+	raw := documentWith(t, st, 5)
 	done := make(chan wire.ChangeReply, 1)
 	go func() {
 		reply, err := nd.Change(context.Background(), oper.Proposal{Team: wash, Document: raw, Expect: &expect})
@@ -100,5 +100,5 @@
 	st.KV().SetFaults(emul.KVFaults{})
 	reply := <-done
 	is.Equal(reply.Result, wire.ChangeAccepted)
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 }
--- a/io/node/limits.go
+++ b/io/node/limits.go
@@ -7,8 +7,8 @@
 	"laburnumvane/io/wire"
 )
 
-// limits is what the driver lets start; the teams' parts are the control
-// goroutine's.
+// limits returns the driver's limits. The teams' shares are left empty; only the control
+// goroutine may read them.
 func (nd *Node) limits() *wire.LimitsOfVM {
 	return &wire.LimitsOfVM{
 		Teams:     []wire.TeamLimit{},
@@ -20,7 +20,7 @@
 
 func (nd *Node) teamLimits(ct *control, vw *view.View) []wire.TeamLimit {
 	out := []wire.TeamLimit{}
-	for _, ts := range teamsOf(vw) {
+	for _, ts := range teamStatuses(vw) {
 		out = append(out, nd.teamLimit(ct, vw, ts.Team))
 	}
 	return out
@@ -43,8 +43,8 @@
 	return tl
 }
 
-// serverLimit is a server's adaptive limit in whole sub-requests: a limit below
-// one lets one through now and then, and is no 0.
+// serverLimit returns a server's adaptive limit in whole sub-requests, rounded up: a limit
+// below 1 still admits a sub-request now and then, so it must not show as 0.
 func (nd *Node) serverLimit(id view.ServerID) int {
 	return int(math.Ceil(nd.driver.ServerLimit(id)))
 }
--- a/io/node/limits_test.go
+++ b/io/node/limits_test.go
@@ -13,10 +13,10 @@
 	"laburnumvane/io/wire"
 )
 
-// What the operator sees: why searches start or not, on one VM. A team with
-// limits searches once through a VM of two: half of the limits are its part,
-// which it holds while it is new; the register has a queue with nobody in it;
-// nothing was spent on extra work; servers that were asked have a limit.
+// An operator uses the status to see why searches start or not on a VM. A team with limits runs one
+// search through one VM of two. The status must show half of the limits as the VM's share, held
+// while the VM is new, an empty queue of the register, no extra work, and a limit for each server
+// that was used.
 func TestStatusShowsLimits(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 2, 0, func(cfg *site.Config) {
--- a/io/node/measure_test.go
+++ b/io/node/measure_test.go
@@ -14,21 +14,21 @@
 
 var measure = flag.Bool("measure", false, "print the figures of docs/measures/fleet.md")
 
-func processorTime(t *testing.T) time.Duration {
+func cpuTime(t *testing.T) time.Duration {
 	t.Helper()
 	var ru syscall.Rusage
 	is.New(t).NoErr(syscall.Getrusage(syscall.RUSAGE_SELF, &ru))
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// TestMeasureBeatBytes lets nine VMs at rest talk and counts the bytes on their
-// inner listeners, HTTP headers included.
+// TestMeasureBeatBytes counts the bytes on the inner listeners of nine idle VMs, HTTP headers
+// included.
 func TestMeasureBeatBytes(t *testing.T) {
 	if !*measure {
 		t.Skip("a measurement, run with -measure")
 	}
 	st := startSite(t, 9, 0)
-	allSee(t, st, map[string]int{"live": 9})
+	waitForStates(t, st, map[string]int{"live": 9})
 	time.Sleep(5 * time.Second)
 	const d = 20 * time.Second
 	type count struct{ in, out, beats float64 }
@@ -40,9 +40,9 @@
 	for _, nd := range st.Nodes() {
 		before[nd] = at(nd)
 	}
-	busy := processorTime(t)
+	busy := cpuTime(t)
 	time.Sleep(d)
-	busy = processorTime(t) - busy
+	busy = cpuTime(t) - busy
 	var in, out, beats float64
 	for _, nd := range st.Nodes() {
 		now, was := at(nd), before[nd]
@@ -53,9 +53,9 @@
 	vms := float64(len(st.Nodes()))
 	fmt.Printf("beats served per VM and second: %.1f\n", beats/vms/d.Seconds())
 	fmt.Printf("bytes of a beat: %.0f, of its answer: %.0f\n", in/beats, out/beats)
-	fmt.Printf("processor time per VM and second, all that an idle VM and its share of the stand-ins do: %.2f%% of a core\n",
+	fmt.Printf("CPU time per VM and second, of an idle VM and its share of the emulated services: %.2f%% of a core\n",
 		100*busy.Seconds()/vms/d.Seconds())
-	// What a VM sends as a client others receive as servers: over the fleet
-	// both are the same.
+	// What one VM sends as a client others receive as servers, so that the fleet's totals
+	// are the same.
 	fmt.Printf("sent per VM and second: %.0f bytes, and received as many\n", (in+out)/vms/d.Seconds())
 }
--- a/io/node/members.go
+++ b/io/node/members.go
@@ -13,21 +13,23 @@
 	"laburnumvane/io/wire"
 )
 
-// beatPatience bounds a beat's call. It is beyond the time at which the machine
-// counts the beat as lost: a late answer still tells what the other VM knows.
-const beatPatience = time.Second
+// beatTimeout bounds the call of a heartbeat. It is longer than the time after which the state
+// machine counts the heartbeat as lost, because a late reply still carries the other VM's
+// knowledge.
+const beatTimeout = time.Second
 
 // members runs the membership on the control goroutine.
 type members struct {
-	ct     *control
-	ma     *member.Machine
-	timer  *time.Timer
-	riders []rider
-	// asked are requests of other VMs that wait for the machine's answer.
-	asked map[uint64]func(member.Action)
-	tags  uint64
-	// stepped is when the machine was stepped last, with the wall clock.
-	stepped time.Time
+	ct           *control
+	machine      *member.Machine
+	timer        *time.Timer
+	piggybackers []piggybacker
+	// pending holds the callbacks of other VMs' requests that the state machine has not
+	// answered yet, by tag.
+	pending map[uint64]func(member.Action)
+	lastTag uint64
+	// lastStep is the time of the state machine's last step, with its wall-clock reading.
+	lastStep time.Time
 }
 
 func newMembers(ct *control) *members {
@@ -42,19 +44,19 @@
 		Random: rand.New(rand.NewPCG(set.Incarnation, seedOf("member "+ct.nd.addr))),
 	})
 	if err != nil {
-		// The settings were checked at the start.
+		// The settings were checked at startup.
 		panic(err)
 	}
 	return &members{
-		ct:      ct,
-		ma:      ma,
-		timer:   time.NewTimer(0),
-		asked:   make(map[uint64]func(member.Action)),
-		stepped: time.Now(),
+		ct:       ct,
+		machine:  ma,
+		timer:    time.NewTimer(0),
+		pending:  make(map[uint64]func(member.Action)),
+		lastStep: time.Now(),
 	}
 }
 
-// memberEvent hands an event to the membership.
+// memberEvent carries an event of the membership's state machine.
 type memberEvent struct {
 	ev member.Event
 }
@@ -63,48 +65,48 @@
 	ct.members.step(me.ev)
 }
 
-// tick is due when the timer fires.
+// tick is called when the timer fires.
 func (ms *members) tick() {
-	ms.step(member.Tick{Slept: ms.slept()})
+	ms.step(member.Tick{Slept: ms.suspendedFor()})
 }
 
-// slept is how far the wall clock went beyond the monotonic one, which stands
-// still on a VM that is suspended.
-func (ms *members) slept() time.Duration {
+// suspendedFor returns how far the wall clock has advanced beyond the monotonic clock since the
+// last step. The monotonic clock does not run while the VM is suspended.
+func (ms *members) suspendedFor() time.Duration {
 	now := time.Now()
-	wall := now.Round(0).Sub(ms.stepped.Round(0))
-	return max(0, wall-now.Sub(ms.stepped))
+	wall := now.Round(0).Sub(ms.lastStep.Round(0))
+	return max(0, wall-now.Sub(ms.lastStep))
 }
 
 func (ms *members) step(ev member.Event) {
 	changed := false
-	for _, ac := range ms.ma.Step(time.Since(ms.ct.nd.started), ev) {
+	for _, ac := range ms.machine.Step(time.Since(ms.ct.nd.started), ev) {
 		changed = ms.do(ac) || changed
 	}
-	ms.stepped = time.Now()
-	ms.ct.nd.recovering.Store(ms.ma.Recovering())
+	ms.lastStep = time.Now()
+	ms.ct.nd.recovering.Store(ms.machine.Recovering())
 	if _, ok := ev.(member.Listed); ok || changed {
-		ms.ct.conf.peersChanged(ms.ct)
-		ms.ct.ups.membersChanged(ms.holders())
+		ms.ct.configs.peersChanged(ms.ct)
+		ms.ct.upstreams.membersChanged(ms.holders())
 	}
-	ms.timer.Reset(max(0, ms.ma.Wake()-time.Since(ms.ct.nd.started)))
+	ms.timer.Reset(max(0, ms.machine.Wake()-time.Since(ms.ct.nd.started)))
 }
 
-// do performs an action and tells whether the fleet has changed.
+// do performs an action and reports whether a member's state has changed.
 func (ms *members) do(ac member.Action) (changed bool) {
 	switch ac := ac.(type) {
 	case member.Send:
 		ms.send(ac)
 	case member.Ask:
-		ms.help(ac)
+		ms.requestProbe(ac)
 	case member.Reply:
 		ms.answer(ac.Tag, ac)
 	case member.Helped:
 		ms.answer(ac.Tag, ac)
 	case member.Woke:
-		ms.woke(ac)
+		ms.resumed(ac)
 	case member.Changed:
-		ms.changed(ac)
+		ms.countChange(ac)
 		return true
 	}
 	return false
@@ -112,11 +114,11 @@
 
 func (ms *members) send(ac member.Send) {
 	nd := ms.ct.nd
-	rq := requestOf(ac.Message)
-	ms.load(ac.To.Addr, ac.To.DataCentre, rq)
+	rq := beatRequest(ac.Message)
+	ms.attach(ac.To.Addr, ac.To.DataCentre, rq)
 	nd.run("beat", func() error {
-		// The last beats of a VM go out while it stops.
-		ctx, cancel := context.WithTimeout(context.Background(), beatPatience)
+		// Not nd.stopping: a VM sends its last heartbeats while it stops.
+		ctx, cancel := context.WithTimeout(context.Background(), beatTimeout)
 		defer cancel()
 		rp, err := nd.peers.To(ac.To.Addr).Beat(ctx, rq)
 		if err != nil {
@@ -129,7 +131,7 @@
 	})
 }
 
-// beatAnswered brings the answer to a beat with what rode on both.
+// beatAnswered carries a heartbeat and its reply, with the data piggybacked on both.
 type beatAnswered struct {
 	exchange uint64
 	request  *inner.BeatRequest
@@ -137,61 +139,61 @@
 }
 
 func (ev beatAnswered) apply(ct *control) {
-	ct.signs.delivered(ev.request.GetSigns())
-	ct.members.unload(ev.reply.GetFrom(), cargoOf(ev.reply))
-	ct.members.step(member.Answered{Exchange: ev.exchange, Message: beatMessage(ev.reply)})
+	ct.signs.markDelivered(ev.request.GetSigns())
+	ct.members.deliver(ev.reply.GetFrom(), piggybackOf(ev.reply))
+	ct.members.step(member.Answered{Exchange: ev.exchange, Message: messageFromWire(ev.reply)})
 }
 
-func (ms *members) help(ac member.Ask) {
+func (ms *members) requestProbe(ac member.Ask) {
 	nd := ms.ct.nd
 	nd.meter.Count(meter.Member, "helpAsked")
-	rq := &inner.ProbeRequest{Version: inner.Version, From: nd.self(), Target: vmOf(ac.Target.VM), Member: memberOut(ac.Target)}
+	rq := &inner.ProbeRequest{Version: inner.Version, From: nd.self(), Target: vmToWire(ac.Target.VM), Member: memberToWire(ac.Target)}
 	nd.run("probe", func() error {
-		ctx, cancel := context.WithTimeout(nd.stopping, beatPatience)
+		ctx, cancel := context.WithTimeout(nd.stopping, beatTimeout)
 		defer cancel()
 		rp, err := nd.peers.To(ac.Helper.Addr).Probe(ctx, rq)
 		if err != nil {
 			nd.post(memberEvent{ev: member.Failed{Exchange: ac.Exchange}})
 			return nil
 		}
-		nd.post(memberEvent{ev: member.HelpDone{Exchange: ac.Exchange, Reached: rp.GetReached(), Target: memberIn(rp.GetMember())}})
+		nd.post(memberEvent{ev: member.HelpDone{Exchange: ac.Exchange, Reached: rp.GetReached(), Target: memberFromWire(rp.GetMember())}})
 		return nil
 	})
 }
 
-// request steps the machine with a request of another VM; answer is called with
-// the action that answers it, perhaps only in a later step.
+// request steps the state machine with a request of another VM. The callback answer receives
+// the action that answers the request, possibly in a later step.
 func (ms *members) request(ev func(tag uint64) member.Event, answer func(member.Action)) (tag uint64) {
-	ms.tags++
-	tag = ms.tags
-	ms.asked[tag] = answer
+	ms.lastTag++
+	tag = ms.lastTag
+	ms.pending[tag] = answer
 	ms.step(ev(tag))
 	return tag
 }
 
 func (ms *members) answer(tag uint64, ac member.Action) {
-	if answer, ok := ms.asked[tag]; ok {
-		delete(ms.asked, tag)
+	if answer, ok := ms.pending[tag]; ok {
+		delete(ms.pending, tag)
 		answer(ac)
 	}
 }
 
-func (ms *members) woke(ac member.Woke) {
+func (ms *members) resumed(ac member.Woke) {
 	nd := ms.ct.nd
 	nd.meter.Count(meter.Member, "woke")
 	nd.log.Warn().Int64("pauseMs", ac.Pause.Milliseconds()).Uint64("incarnation", ac.Incarnation).
-		Msg("this VM stood still and rejoins as a new incarnation")
+		Msg("this VM was paused and rejoins as a new incarnation")
 }
 
-func (ms *members) changed(ac member.Changed) {
+func (ms *members) countChange(ac member.Changed) {
 	nd := ms.ct.nd
 	nd.meter.Count(meter.Member, ac.Member.State().String())
 	nd.log.Info().Str("vm", ac.Member.Addr).Str("dataCentre", ac.Member.DataCentre).
 		Str("state", ac.Member.State().String()).Str("before", ac.Before.String()).
-		Uint64("incarnation", ac.Member.Incarnation).Msg("VM")
+		Uint64("incarnation", ac.Member.Incarnation).Msg("VM state changed")
 }
 
-// listed takes the platform's list.
+// listed processes the platform's VM list.
 func (ms *members) listed(vms []wire.VM) {
 	list := make([]member.VM, 0, len(vms))
 	for _, vm := range vms {
@@ -200,11 +202,11 @@
 	ms.step(member.Listed{VMs: list})
 }
 
-// peers are the VMs that can be asked and relied on. While this VM does not know
-// the fleet yet, those on the list are the best guess.
+// peers returns the VMs that are assumed to answer. While this VM is still joining, these
+// include VMs that are only known from the platform's list.
 func (ms *members) peers() []rank.VM {
 	var out []rank.VM
-	for _, mb := range ms.ma.Members() {
+	for _, mb := range ms.machine.Members() {
 		if ms.reliable(mb) {
 			out = append(out, rank.VM{Addr: mb.Addr, DataCentre: mb.DataCentre})
 		}
@@ -217,18 +219,18 @@
 	case member.StateLive, member.StateSuspect:
 		return true
 	case member.StateCandidate:
-		return ms.ma.Joining()
+		return ms.machine.Joining()
 	default:
 		return false
 	}
 }
 
-// holders are the VMs that may hold connections to an upstream server. A VM that
-// leaves or cannot be heard still holds its own, and one that is only on the
-// list may hold some: to count too few would break the server's limit.
+// holders returns the VMs that may hold connections to an upstream server. VMs that are leaving
+// or unreachable still hold theirs, and VMs that are only on the list may hold some. Counting
+// too few VMs would exceed the server's connection limit.
 func (ms *members) holders() []conns.VM {
 	var out []conns.VM
-	for _, mb := range ms.ma.Members() {
+	for _, mb := range ms.machine.Members() {
 		if mb.State() != member.StateGone {
 			out = append(out, conns.VM{Addr: mb.Addr, DataCentre: mb.DataCentre})
 		}
@@ -236,12 +238,13 @@
 	return out
 }
 
-// status lists the VMs as operators see them.
+// status returns the VMs for the status page. VMs of an unreachable data centre are shown as
+// unreachable unless they are gone.
 func (ms *members) status() []wire.VMStatus {
 	out := []wire.VMStatus{}
-	for _, mb := range ms.ma.Members() {
+	for _, mb := range ms.machine.Members() {
 		state := mb.State().String()
-		if !ms.ma.Reachable(mb.DataCentre) && mb.State() != member.StateGone {
+		if !ms.machine.Reachable(mb.DataCentre) && mb.State() != member.StateGone {
 			state = "unreachable"
 		}
 		out = append(out, wire.VMStatus{Addr: mb.Addr, DataCentre: mb.DataCentre, State: state, Incarnation: mb.Incarnation})
@@ -249,12 +252,12 @@
 	return out
 }
 
-// leave tells the others that this VM is leaving.
-func (nd *Node) leave() {
-	nd.ask(func(ct *control) { ct.members.step(member.Leave{}) })
+// announceLeave informs the other VMs that this VM is leaving.
+func (nd *Node) announceLeave() {
+	nd.onControl(func(ct *control) { ct.members.step(member.Leave{}) })
 }
 
-// quit tells the others that this process ends.
-func (nd *Node) quit() {
-	nd.ask(func(ct *control) { ct.members.step(member.Quit{}) })
+// announceQuit informs the other VMs that this process ends.
+func (nd *Node) announceQuit() {
+	nd.onControl(func(ct *control) { ct.members.step(member.Quit{}) })
 }
--- a/io/node/members_riders.go
+++ b/io/node/members_riders.go
@@ -11,76 +11,77 @@
 	"laburnumvane/io/meter"
 )
 
-// riderBytes bounds what rides on one message beside the membership. A VM sends
-// about eight messages a second, so this is 1.5 kB/s of its 8.
+// riderBytes bounds the data piggybacked on one heartbeat or reply, besides the membership.
+// A VM sends about eight of these messages a second, so this is 1.5 kB/s of the 8 kB/s that a VM
+// may spend on control traffic.
 const riderBytes = 192
 
-// cargo is what rides on a beat or its answer.
-type cargo struct {
+// piggyback is the data piggybacked on a heartbeat or its reply.
+type piggyback struct {
 	signs           []*inner.Sign
 	demands         []*inner.Demand
 	hints           []*inner.Hint
 	digest, highest uint64
 }
 
-// recipient is whom a beat goes to.
+// recipient is the VM that a heartbeat or reply is sent to.
 type recipient struct {
 	addr, dataCentre string
-	// vms is the number of VMs known, by which the number of repetitions of
-	// what shall reach all is measured.
+	// vms is the number of known VMs. It determines how often an item is repeated so that
+	// it reaches all of them.
 	vms int
 }
 
-// rider is something that rides on beats. It is called on the control goroutine
-// only. To have what it carries sent at once instead of with the next beat it
-// calls members.kick.
-type rider interface {
-	// outgoing adds to cg what a VM shall be told, at most room bytes, and
-	// returns the bytes that it used.
-	outgoing(to recipient, room int, cg *cargo) int
-	// incoming takes in what another VM told.
-	incoming(from *inner.VM, cg cargo)
+// piggybacker adds data to heartbeats and processes the data of other VMs. It is called on the
+// control goroutine only. To have data sent at once instead of with the next heartbeat, it calls
+// members.sendNow.
+type piggybacker interface {
+	// outgoing adds data for a VM to pb, at most room bytes, and returns the number of
+	// bytes used.
+	outgoing(to recipient, room int, pb *piggyback) int
+	// incoming processes the data received from another VM.
+	incoming(from *inner.VM, pb piggyback)
 }
 
-// board adds a rider; those added first are served first.
-func (ms *members) board(rd rider) {
-	ms.riders = append(ms.riders, rd)
+// addPiggybacker adds a piggybacker. Those added first are offered the space first.
+func (ms *members) addPiggybacker(pg piggybacker) {
+	ms.piggybackers = append(ms.piggybackers, pg)
 }
 
-// kick asks for beats at once, within a bound of a few each second.
-func (ms *members) kick() {
+// sendNow has heartbeats sent at once. The state machine limits this to a few each second.
+func (ms *members) sendNow() {
 	ms.step(member.Kick{})
 }
 
-// collect asks the riders what a VM shall be told.
-func (ms *members) collect(addr, dataCentre string) cargo {
-	var cg cargo
+// collect returns the data of all piggybackers for a VM.
+func (ms *members) collect(addr, dataCentre string) piggyback {
+	var pb piggyback
 	to := recipient{addr: addr, dataCentre: dataCentre, vms: len(ms.holders())}
 	room := riderBytes
-	for _, rd := range ms.riders {
-		room -= rd.outgoing(to, room, &cg)
+	for _, pg := range ms.piggybackers {
+		room -= pg.outgoing(to, room, &pb)
 	}
-	return cg
+	return pb
 }
 
-func (ms *members) load(addr, dataCentre string, rq *inner.BeatRequest) {
-	cg := ms.collect(addr, dataCentre)
-	rq.Signs, rq.Demands, rq.Hints, rq.Digest, rq.Highest = cg.signs, cg.demands, cg.hints, cg.digest, cg.highest
+func (ms *members) attach(addr, dataCentre string, rq *inner.BeatRequest) {
+	pb := ms.collect(addr, dataCentre)
+	rq.Signs, rq.Demands, rq.Hints, rq.Digest, rq.Highest = pb.signs, pb.demands, pb.hints, pb.digest, pb.highest
 }
 
-func (ms *members) loadReply(to *inner.VM, rp *inner.BeatReply) {
-	cg := ms.collect(to.GetAddr(), to.GetDataCentre())
-	rp.Signs, rp.Demands, rp.Hints, rp.Digest, rp.Highest = cg.signs, cg.demands, cg.hints, cg.digest, cg.highest
+func (ms *members) attachReply(to *inner.VM, rp *inner.BeatReply) {
+	pb := ms.collect(to.GetAddr(), to.GetDataCentre())
+	rp.Signs, rp.Demands, rp.Hints, rp.Digest, rp.Highest = pb.signs, pb.demands, pb.hints, pb.digest, pb.highest
 }
 
-func (ms *members) unload(from *inner.VM, cg cargo) {
-	for _, rd := range ms.riders {
-		rd.incoming(from, cg)
+func (ms *members) deliver(from *inner.VM, pb piggyback) {
+	for _, pg := range ms.piggybackers {
+		pg.incoming(from, pb)
 	}
 }
 
-// carrier is what BeatRequest and BeatReply have in common for riders.
-type carrier interface {
+// piggybackCarrier has the piggybacked fields that BeatRequest and BeatReply share.
+type piggybackCarrier interface {
 	GetSigns() []*inner.Sign
 	GetDemands() []*inner.Demand
 	GetHints() []*inner.Hint
@@ -88,71 +89,70 @@
 	GetHighest() uint64
 }
 
-func cargoOf(cr carrier) cargo {
-	return cargo{
-		signs:   cr.GetSigns(),
-		demands: cr.GetDemands(),
-		hints:   cr.GetHints(),
-		digest:  cr.GetDigest(),
-		highest: cr.GetHighest(),
+func piggybackOf(pc piggybackCarrier) piggyback {
+	return piggyback{
+		signs:   pc.GetSigns(),
+		demands: pc.GetDemands(),
+		hints:   pc.GetHints(),
+		digest:  pc.GetDigest(),
+		highest: pc.GetHighest(),
 	}
 }
 
-// digests carries the digest of the configuration, by which a lost push is
-// noticed.
+// digests piggybacks the digest of the configuration, by which VMs notice a lost push.
 type digests struct {
 	nd *Node
 }
 
 const digestBytes = 22
 
-func (dg digests) outgoing(_ recipient, _ int, cg *cargo) int {
+func (dg digests) outgoing(_ recipient, _ int, pb *piggyback) int {
 	own := dg.nd.configDigest()
-	cg.digest, cg.highest = own.Hash, own.Sum
+	pb.digest, pb.highest = own.Hash, own.Sum
 	return digestBytes
 }
 
-func (dg digests) incoming(from *inner.VM, cg cargo) {
-	own := spread.Digest{Hash: cg.digest, Sum: cg.highest}
+func (dg digests) incoming(from *inner.VM, pb piggyback) {
+	own := spread.Digest{Hash: pb.digest, Sum: pb.highest}
 	if own != (spread.Digest{}) {
-		dg.nd.digestSeen(from, cg.digest, cg.highest)
+		dg.nd.receiveDigest(from, pb.digest, pb.highest)
 	}
 }
 
-// signRoom bounds the signs that wait to be spread.
-const signRoom = 1024
+// maxQueuedSigns bounds the signs that are queued for the other VMs.
+const maxQueuedSigns = 1024
 
-// signs carries what VMs find out about upstream servers. A sign is passed on by
-// each VM that it is new to.
+// signs disseminates signs: observations of VMs about upstream servers. Each VM passes on a sign
+// that is new to it.
 type signs struct {
 	ms    *members
 	queue *member.Queue[string, *inner.Sign]
-	// known holds the newest sign of each server, so that it is told and
-	// passed on once.
+	// known holds the newest sign of each server, so that each sign is processed and passed
+	// on only once.
 	known map[string]*inner.Sign
-	// heard is called with each sign of another VM that is new here.
-	heard func(*inner.Sign)
+	// received is called with each new sign of another VM.
+	received func(*inner.Sign)
 }
 
 func newSigns(ms *members, heard func(*inner.Sign)) *signs {
 	return &signs{
-		ms:    ms,
-		queue: member.NewQueue[string, *inner.Sign](signRoom),
-		known: make(map[string]*inner.Sign),
-		heard: heard,
+		ms:       ms,
+		queue:    member.NewQueue[string, *inner.Sign](maxQueuedSigns),
+		known:    make(map[string]*inner.Sign),
+		received: heard,
 	}
 }
 
-// tell spreads a sign that this VM saw itself.
-func (sg *signs) tell(sn *inner.Sign) {
-	if sg.note(sn) {
-		sg.ms.kick()
+// announce disseminates a sign that this VM observed itself.
+func (sg *signs) announce(sn *inner.Sign) {
+	if sg.record(sn) {
+		sg.ms.sendNow()
 	}
 }
 
-// note keeps a sign and queues it; false if it says nothing new.
-func (sg *signs) note(sn *inner.Sign) bool {
-	if old, ok := sg.known[sn.GetServer()]; ok && !stronger(sn, old) {
+// record stores and queues a sign. It returns false if the sign is not new.
+func (sg *signs) record(sn *inner.Sign) bool {
+	if old, ok := sg.known[sn.GetServer()]; ok && !supersedes(sn, old) {
 		return false
 	}
 	sg.known[sn.GetServer()] = sn
@@ -162,18 +162,17 @@
 	return true
 }
 
-// stronger tells whether a sign outdoes the one known of the same server: by its
-// incarnation, or by a kind of a lower number, leaving being the lowest. Without
-// an order two kinds of one incarnation would replace each other at every VM in
-// turn, for ever.
-func stronger(sn, old *inner.Sign) bool {
+// supersedes reports whether a sign replaces the known one of the same server: it has a higher
+// incarnation, or the same incarnation and a kind with a lower number (leaving is the lowest).
+// Without this order two kinds of one incarnation would replace each other on every VM for ever.
+func supersedes(sn, old *inner.Sign) bool {
 	if sn.GetIncarnation() != old.GetIncarnation() {
 		return sn.GetIncarnation() > old.GetIncarnation()
 	}
 	return sn.GetKind() < old.GetKind()
 }
 
-func (sg *signs) outgoing(_ recipient, room int, cg *cargo) int {
+func (sg *signs) outgoing(_ recipient, room int, pb *piggyback) int {
 	used := 0
 	sg.queue.Peek(func(sn *inner.Sign) {
 		size := proto.Size(sn) + fieldBytes
@@ -181,28 +180,29 @@
 			return
 		}
 		used += size
-		cg.signs = append(cg.signs, sn)
+		pb.signs = append(pb.signs, sn)
 	})
 	return used
 }
 
-// delivered counts the signs on a beat that was answered. Only those count: where
-// beats time out, as on VMs short of processor time, signs counted when sent were
-// spent on messages that nobody read, and some VMs never heard them. Answers to
-// beats carry signs too but nothing confirms those, so they are not counted.
-func (sg *signs) delivered(sent []*inner.Sign) {
+// markDelivered counts the signs on a heartbeat that was answered as sent once. Signs must not
+// be counted when they are sent: where heartbeats time out, as on VMs short of processor time,
+// the repetitions were used up by messages that were never processed, and some VMs never
+// received the signs. Replies to heartbeats carry signs too, but are not acknowledged, so their
+// signs are not counted.
+func (sg *signs) markDelivered(sent []*inner.Sign) {
 	vms := len(sg.ms.holders())
 	sg.queue.Sent(member.Retransmits(vms), func(sn *inner.Sign) bool { return slices.Contains(sent, sn) })
 }
 
-// fieldBytes is what the tag and length of a short embedded message take.
+// fieldBytes is the encoded size of the tag and length of a short embedded message.
 const fieldBytes = 2
 
-func (sg *signs) incoming(_ *inner.VM, cg cargo) {
-	for _, sn := range cg.signs {
-		if sg.note(sn) {
-			sg.heard(sn)
-			sg.ms.kick()
+func (sg *signs) incoming(_ *inner.VM, pb piggyback) {
+	for _, sn := range pb.signs {
+		if sg.record(sn) {
+			sg.received(sn)
+			sg.ms.sendNow()
 		}
 	}
 }
--- a/io/node/members_service.go
+++ b/io/node/members_service.go
@@ -6,41 +6,42 @@
 	"laburnumvane/io/meter"
 )
 
-// beatSeen brings another VM's beat.
-type beatSeen struct {
+// beatReceived carries a heartbeat of another VM.
+type beatReceived struct {
 	request  *inner.BeatRequest
 	answered chan<- *inner.BeatReply
 }
 
-func (ev beatSeen) apply(ct *control) {
+func (ev beatReceived) apply(ct *control) {
 	ms := ct.members
 	ct.nd.meter.Count(meter.Member, "beatServed")
-	ms.unload(ev.request.GetFrom(), cargoOf(ev.request))
+	ms.deliver(ev.request.GetFrom(), piggybackOf(ev.request))
 	tag := ms.request(
-		func(tag uint64) member.Event { return member.Received{Tag: tag, Message: beatMessage(ev.request)} },
+		func(tag uint64) member.Event { return member.Received{Tag: tag, Message: messageFromWire(ev.request)} },
 		func(ac member.Action) {
-			rp := replyOf(ac.(member.Reply).Message)
-			ms.loadReply(ev.request.GetFrom(), rp)
+			rp := beatReply(ac.(member.Reply).Message)
+			ms.attachReply(ev.request.GetFrom(), rp)
 			ev.answered <- rp
 		},
 	)
-	if _, left := ms.asked[tag]; left {
-		// A beat is answered in its own step, or names no sender.
-		delete(ms.asked, tag)
+	if _, left := ms.pending[tag]; left {
+		// The state machine answers a heartbeat in the same step, unless the heartbeat names no
+		// sender.
+		delete(ms.pending, tag)
 		ev.answered <- &inner.BeatReply{Version: inner.Version, From: ct.nd.self()}
 	}
 }
 
-// probeSeen brings another VM's wish for help.
-type probeSeen struct {
+// probeRequested carries another VM's request to probe a third VM.
+type probeRequested struct {
 	request  *inner.ProbeRequest
 	answered chan<- *inner.ProbeReply
 }
 
-func (ev probeSeen) apply(ct *control) {
-	target := memberIn(ev.request.GetMember())
+func (ev probeRequested) apply(ct *control) {
+	target := memberFromWire(ev.request.GetMember())
 	if target.Addr == "" {
-		target.VM = vmIn(ev.request.GetTarget())
+		target.VM = vmFromWire(ev.request.GetTarget())
 	}
 	ct.members.request(
 		func(tag uint64) member.Event { return member.HelpAsked{Tag: tag, Target: target} },
@@ -49,7 +50,7 @@
 			rp := &inner.ProbeReply{Version: inner.Version, Reached: he.Reached}
 			if he.Reached {
 				rp.Incarnation = he.Target.Incarnation
-				rp.Member = memberOut(he.Target)
+				rp.Member = memberToWire(he.Target)
 			}
 			ev.answered <- rp
 		},
--- a/io/node/members_wire.go
+++ b/io/node/members_wire.go
@@ -7,21 +7,21 @@
 	"laburnumvane/io/inner"
 )
 
-// Bits of inner.Member's state.
+// Bits of the field State of inner.Member.
 const (
 	stateLeaving = 1
 	stateGone    = 2
 )
 
-func vmOf(vm member.VM) *inner.VM {
+func vmToWire(vm member.VM) *inner.VM {
 	return &inner.VM{Addr: vm.Addr, DataCentre: vm.DataCentre, Region: vm.Region, Incarnation: vm.Incarnation}
 }
 
-func vmIn(vm *inner.VM) member.VM {
+func vmFromWire(vm *inner.VM) member.VM {
 	return member.VM{Addr: vm.GetAddr(), DataCentre: vm.GetDataCentre(), Region: vm.GetRegion(), Incarnation: vm.GetIncarnation()}
 }
 
-func memberOut(mb member.Member) *inner.Member {
+func memberToWire(mb member.Member) *inner.Member {
 	state := uint32(0)
 	if mb.Leaving {
 		state |= stateLeaving
@@ -29,46 +29,46 @@
 	if mb.Gone {
 		state |= stateGone
 	}
-	return &inner.Member{Vm: vmOf(mb.VM), State: state, Heartbeat: uint64(mb.Count)}
+	return &inner.Member{Vm: vmToWire(mb.VM), State: state, Heartbeat: uint64(mb.Count)}
 }
 
-func memberIn(mb *inner.Member) member.Member {
+func memberFromWire(mb *inner.Member) member.Member {
 	return member.Member{
-		VM:      vmIn(mb.GetVm()),
+		VM:      vmFromWire(mb.GetVm()),
 		Count:   uint32(mb.GetHeartbeat()),
 		Leaving: mb.GetState()&stateLeaving != 0,
 		Gone:    mb.GetState()&stateGone != 0,
 	}
 }
 
-func membersOut(mbs []member.Member) []*inner.Member {
+func membersToWire(mbs []member.Member) []*inner.Member {
 	out := make([]*inner.Member, 0, len(mbs))
 	for _, mb := range mbs {
-		out = append(out, memberOut(mb))
+		out = append(out, memberToWire(mb))
 	}
 	return out
 }
 
-func membersIn(mbs []*inner.Member) []member.Member {
+func membersFromWire(mbs []*inner.Member) []member.Member {
 	out := make([]member.Member, 0, len(mbs))
 	for _, mb := range mbs {
-		out = append(out, memberIn(mb))
+		out = append(out, memberFromWire(mb))
 	}
 	return out
 }
 
-func placeOut(pl member.Place) *inner.Place {
+func placeToWire(pl member.Place) *inner.Place {
 	if pl.DataCentre == "" {
 		return nil
 	}
 	return &inner.Place{DataCentre: pl.DataCentre, After: pl.After}
 }
 
-func placeIn(pl *inner.Place) member.Place {
+func placeFromWire(pl *inner.Place) member.Place {
 	return member.Place{DataCentre: pl.GetDataCentre(), After: pl.GetAfter()}
 }
 
-func linkOut(li member.Link) *inner.Link {
+func linkToWire(li member.Link) *inner.Link {
 	if li.DataCentre == "" {
 		return nil
 	}
@@ -79,7 +79,7 @@
 	return out
 }
 
-func linkIn(li *inner.Link) member.Link {
+func linkFromWire(li *inner.Link) member.Link {
 	return member.Link{
 		DataCentre: li.GetDataCentre(),
 		Digest:     li.GetDigest(),
@@ -87,38 +87,38 @@
 	}
 }
 
-func requestOf(mg member.Message) *inner.BeatRequest {
+func beatRequest(mg member.Message) *inner.BeatRequest {
 	return &inner.BeatRequest{
 		Version: inner.Version,
-		From:    vmOf(mg.From.VM),
+		From:    vmToWire(mg.From.VM),
 		Leaving: mg.From.Leaving,
 		Count:   uint64(mg.From.Count),
 		Joining: mg.Joining,
-		Members: membersOut(mg.Members),
-		Want:    placeOut(mg.Want),
-		Next:    placeOut(mg.Next),
+		Members: membersToWire(mg.Members),
+		Want:    placeToWire(mg.Want),
+		Next:    placeToWire(mg.Next),
 		Fleet:   mg.Digest,
-		Other:   linkOut(mg.Other),
+		Other:   linkToWire(mg.Other),
 	}
 }
 
-func replyOf(mg member.Message) *inner.BeatReply {
+func beatReply(mg member.Message) *inner.BeatReply {
 	return &inner.BeatReply{
 		Version: inner.Version,
-		From:    vmOf(mg.From.VM),
+		From:    vmToWire(mg.From.VM),
 		Leaving: mg.From.Leaving,
 		Count:   uint64(mg.From.Count),
 		Joining: mg.Joining,
-		Members: membersOut(mg.Members),
-		Want:    placeOut(mg.Want),
-		Next:    placeOut(mg.Next),
+		Members: membersToWire(mg.Members),
+		Want:    placeToWire(mg.Want),
+		Next:    placeToWire(mg.Next),
 		Fleet:   mg.Digest,
-		Other:   linkOut(mg.Other),
+		Other:   linkToWire(mg.Other),
 	}
 }
 
-// beat is what BeatRequest and BeatReply have in common.
-type beat interface {
+// beatFields has the membership fields that BeatRequest and BeatReply share.
+type beatFields interface {
 	GetFrom() *inner.VM
 	GetLeaving() bool
 	GetCount() uint64
@@ -130,14 +130,14 @@
 	GetOther() *inner.Link
 }
 
-func beatMessage(be beat) member.Message {
+func messageFromWire(be beatFields) member.Message {
 	return member.Message{
-		From:    member.Member{VM: vmIn(be.GetFrom()), Count: uint32(be.GetCount()), Leaving: be.GetLeaving()},
+		From:    member.Member{VM: vmFromWire(be.GetFrom()), Count: uint32(be.GetCount()), Leaving: be.GetLeaving()},
 		Joining: be.GetJoining(),
-		Members: membersIn(be.GetMembers()),
-		Want:    placeIn(be.GetWant()),
-		Next:    placeIn(be.GetNext()),
+		Members: membersFromWire(be.GetMembers()),
+		Want:    placeFromWire(be.GetWant()),
+		Next:    placeFromWire(be.GetNext()),
 		Digest:  be.GetFleet(),
-		Other:   linkIn(be.GetOther()),
+		Other:   linkFromWire(be.GetOther()),
 	}
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -30,60 +30,60 @@
 )
 
 const (
-	platformTimeout = 5 * time.Second
-	peerTimeout     = time.Second
-	readTimeout     = 10 * time.Second
-	operatorMaxBody = 1 << 20
-	eventRoom       = 1024
-	secretLen       = 32
+	platformTimeout      = 5 * time.Second
+	peerTimeout          = time.Second
+	readTimeout          = 10 * time.Second
+	operatorMaxBodyBytes = 1 << 20
+	eventQueueLen        = 1024
+	secretBytes          = 32
 )
 
-// Config sets a VM.
+// Config configures a VM.
 type Config struct {
 	Settings setup.Settings
 	Log      *log.Logger
 	// Version is shown in the status.
 	Version string
-	// Unlimited turns the limits on searches off, for measurements.
+	// Unlimited turns off the limits on searches. It is for measurements only.
 	Unlimited bool
 }
 
 // Node is a running VM.
 type Node struct {
-	cfg     Config
-	set     setup.Settings
-	addr    string
-	log     *log.Logger
-	lines   *lines.Queue
-	meter   *meter.Meter
-	view    atomic.Pointer[view.View]
-	servers atomic.Pointer[[]*upst.Server]
-	ups     atomic.Pointer[[]*upstream]
-	table   *pick.Table
-	workers *ants.Pool
-	driver  *drive.Driver
-	buckets sync.Map // team's name to *share.Bucket
-	kv      *plat.Client
-	vms     *plat.Client
-	peers   *peer.Client
-	inner   *peer.Server
-	front   *front.Front
-	oper    *oper.Oper
-	events  chan event
+	cfg       Config
+	set       setup.Settings
+	addr      string
+	log       *log.Logger
+	lines     *lines.Queue
+	meter     *meter.Meter
+	view      atomic.Pointer[view.View]
+	pools     atomic.Pointer[[]*upst.Server]
+	upstreams atomic.Pointer[[]*upstream]
+	table     *pick.Table
+	workers   *ants.Pool
+	driver    *drive.Driver
+	buckets   sync.Map // *share.Bucket by team name
+	kv        *plat.Client
+	vms       *plat.Client
+	peers     *peer.Client
+	inner     *peer.Server
+	front     *front.Front
+	oper      *oper.Oper
+	events    chan event
 	// controlEnded is closed when the control goroutine has ended.
 	controlEnded chan struct{}
 	leaving      atomic.Bool
 	stopping     context.Context
 	stop         context.CancelFunc
 	running      sync.WaitGroup
-	lns          listeners
+	listeners    listeners
 	started      time.Time
 	requests     atomic.Uint64
-	// complete counts complete searches, of which a sample is logged.
-	complete atomic.Uint64
-	digest   atomic.Pointer[spread.Digest]
-	desk     *desk
-	// recovering is set while this VM, after a pause, has not caught up.
+	// complete counts complete searches. Only a sample of them is logged.
+	complete      atomic.Uint64
+	digest        atomic.Pointer[spread.Digest]
+	callerService *callerService
+	// recovering is set after the process was paused, until it has rejoined the other VMs.
 	recovering atomic.Bool
 	stopOnce   sync.Once
 	stopErr    error
@@ -93,12 +93,12 @@
 	caller, operator, inner net.Listener
 }
 
-// Addrs are the addresses that the VM listens on.
+// Addrs holds the addresses that a VM listens on, as host:port.
 type Addrs struct {
 	Caller, Operator, Inner string
 }
 
-// Start starts a VM; it serves as soon as it returns.
+// Start starts a VM, which serves as soon as Start returns.
 func Start(cfg Config) (*Node, error) {
 	if err := wire.Warm(); err != nil {
 		return nil, errors.Wrap(err, "node.Start")
@@ -112,19 +112,19 @@
 		set:          cfg.Settings,
 		meter:        meter.New(),
 		table:        pick.New(pick.Config{DataCentre: cfg.Settings.DataCentre}),
-		events:       make(chan event, eventRoom),
+		events:       make(chan event, eventQueueLen),
 		controlEnded: make(chan struct{}),
-		lns:          lns,
+		listeners:    lns,
 		started:      time.Now(),
 	}
-	nd.queueLog(cfg.Log)
+	nd.initLog(cfg.Log)
 	nd.addr = cfg.Settings.AdvertiseAddr
 	if nd.addr == "" {
 		nd.addr = lns.inner.Addr().String()
 	}
 	nd.view.Store(&view.View{})
-	nd.servers.Store(&[]*upst.Server{})
-	nd.ups.Store(&[]*upstream{})
+	nd.pools.Store(&[]*upst.Server{})
+	nd.upstreams.Store(&[]*upstream{})
 	nd.stopping, nd.stop = context.WithCancel(context.Background())
 	if err := nd.build(); err != nil {
 		nd.stop()
@@ -158,7 +158,7 @@
 func (lns listeners) close() {
 	for _, ln := range []net.Listener{lns.caller, lns.operator, lns.inner} {
 		if ln != nil {
-			// Nothing was accepted yet; an error changes nothing.
+			// No connection was accepted yet, so an error does no harm.
 			_ = ln.Close()
 		}
 	}
@@ -174,7 +174,7 @@
 		return errors.Wrap(err, "node.Start")
 	}
 	nd.workers = workers
-	nd.kv = plat.New(plat.Config{Addrs: nd.set.KV, Timeout: configPatience})
+	nd.kv = plat.New(plat.Config{Addrs: nd.set.KV, Timeout: kvTimeout})
 	nd.vms = plat.New(plat.Config{Addrs: []string{nd.set.VMList}, Timeout: platformTimeout})
 	nd.peers = peer.NewClient(peer.ClientConfig{Self: nd.self(), Timeout: peerTimeout})
 	nd.driver = drive.New(drive.Config{
@@ -199,27 +199,27 @@
 		Unlimited:   nd.cfg.Unlimited,
 		Seed:        nd.set.Incarnation,
 	})
-	nd.desk = &desk{nd: nd, driver: nd.driver}
-	nd.inner = peer.NewServer(peer.ServerConfig{Listener: nd.lns.inner, Service: &service{nd: nd}})
+	nd.callerService = &callerService{nd: nd, driver: nd.driver}
+	nd.inner = peer.NewServer(peer.ServerConfig{Listener: nd.listeners.inner, Service: &peerService{nd: nd}})
 	nd.front = front.New(front.Config{
-		Listener:    nd.lns.caller,
-		Search:      nd.desk,
-		Leaving:     nd.unfit,
+		Listener:    nd.listeners.caller,
+		Search:      nd.callerService,
+		Leaving:     nd.failsHealth,
 		MaxBody:     nd.set.MaxBodyBytes,
 		ReadTimeout: readTimeout,
 		MaxDeadline: nd.set.MaxDeadline,
 		TicketTTL:   nd.set.TicketTTL,
-		NewID:       nd.newID,
+		NewID:       nd.newRequestID,
 		Refused:     func(reason string) { nd.meter.Count(meter.Refusal, reason) },
 		Panicked:    nd.logPanic,
 		Log:         nd.logSearch,
 	})
 	nd.oper = oper.New(oper.Config{
-		Listener:    nd.lns.operator,
+		Listener:    nd.listeners.operator,
 		Operator:    nd,
 		Token:       nd.set.OperatorToken,
 		TeamTokens:  nd.set.TeamTokens,
-		MaxBody:     operatorMaxBody,
+		MaxBody:     operatorMaxBodyBytes,
 		ReadTimeout: readTimeout,
 		Refused:     func(reason string) { nd.meter.Count(meter.Operator, reason) },
 		Panicked:    nd.logPanic,
@@ -242,7 +242,7 @@
 	go func() {
 		defer nd.running.Done()
 		if err := f(); err != nil {
-			nd.log.Error().Str("part", name).Err(err).Msg("part of the VM ended")
+			nd.log.Error().Str("part", name).Err(err).Msg("VM component stopped with an error")
 		}
 	}()
 }
@@ -256,32 +256,33 @@
 	}
 }
 
-// Addrs are the addresses that the VM listens on.
+// Addrs returns the addresses that the VM listens on.
 func (nd *Node) Addrs() Addrs {
 	return Addrs{
-		Caller:   nd.lns.caller.Addr().String(),
-		Operator: nd.lns.operator.Addr().String(),
-		Inner:    nd.lns.inner.Addr().String(),
+		Caller:   nd.listeners.caller.Addr().String(),
+		Operator: nd.listeners.operator.Addr().String(),
+		Inner:    nd.listeners.inner.Addr().String(),
 	}
 }
 
-// unfit tells whether the balancer shall send nothing: this VM is leaving, or it
-// stood still and may hold an old configuration.
-func (nd *Node) unfit() bool {
+// failsHealth reports whether the health check fails, so that the balancer sends no requests:
+// this VM is leaving, or its process was paused and may have an old configuration.
+func (nd *Node) failsHealth() bool {
 	return nd.Leaving() || nd.recovering.Load()
 }
 
-// Leaving tells whether a planned stop has begun.
+// Leaving reports whether a planned stop has begun.
 func (nd *Node) Leaving() bool {
 	return nd.leaving.Load()
 }
 
-// ticketSecret is the key shared by all VMs, or one that dies with the process.
+// ticketSecret returns the key shared by all VMs or, if none is set, a random one that is lost
+// when the process ends.
 func ticketSecret(key string) ([]byte, error) {
 	if key != "" {
 		return []byte(key), nil
 	}
-	secret := make([]byte, secretLen)
+	secret := make([]byte, secretBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return nil, err
 	}
--- a/io/node/quiet_test.go
+++ b/io/node/quiet_test.go
@@ -1,4 +1,4 @@
 package node_test
 
-// Servers die on purpose here.
+// The tests of this package kill servers deliberately.
 import _ "laburnumvane/internal/quiet"
--- a/io/node/rolling_test.go
+++ b/io/node/rolling_test.go
@@ -21,20 +21,19 @@
 	"laburnumvane/io/wire"
 )
 
-// balancerLag is what the VMs are told of the balancer. It has to cover the time
-// from a searcher's choice of a VM to its request's arrival there, which on a
-// machine busy with other tests was over 200 ms: the VM had closed its idle
-// connections by then, as it may, and the search got EOF.
+// balancerLag is the VMs' setting of the balancer's lag. It has to cover the time from a caller's
+// choice of a VM to the request's arrival there. On a machine busy with other tests this was over
+// 200 ms: by then the VM had closed its idle connections, as it may, and the search got EOF.
 const balancerLag = 2 * time.Second
 
-// balancer sends requests to VMs whose health is good, in turn, as the platform's
-// does. It learns of a change of health with a lag.
+// balancer sends requests to healthy VMs in turn, as the platform's balancer does. It notices a
+// change of health with a lag.
 type balancer struct {
-	client *http.Client
-	mu     sync.Mutex
-	addrs  []string
-	fit    []string
-	next   int
+	client  *http.Client
+	mu      sync.Mutex
+	addrs   []string
+	healthy []string
+	next    int
 }
 
 func newBalancer() *balancer {
@@ -50,7 +49,7 @@
 	}
 }
 
-// check asks every VM for its health.
+// check updates the healthy VMs by every VM's health check.
 func (ba *balancer) check() {
 	ba.mu.Lock()
 	addrs := append([]string(nil), ba.addrs...)
@@ -68,23 +67,22 @@
 	}
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	ba.fit = fit
+	ba.healthy = fit
 }
 
 func (ba *balancer) pick() string {
 	ba.mu.Lock()
 	defer ba.mu.Unlock()
-	if len(ba.fit) == 0 {
+	if len(ba.healthy) == 0 {
 		return ""
 	}
 	ba.next++
-	return ba.fit[ba.next%len(ba.fit)]
+	return ba.healthy[ba.next%len(ba.healthy)]
 }
 
-var errNoVM = errors.New("no VM is fit")
+var errNoVM = errors.New("no VM is healthy")
 
-// post sends a request, to another VM if the connection was refused: no byte of
-// it has been sent then.
+// post sends a request. If the connection is refused, it tries the next VM, since nothing was sent.
 func (ba *balancer) post(path string, in, out any) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -109,34 +107,34 @@
 	return errNoVM
 }
 
-// traffic is callers that search, and others that must not search twice.
+// traffic runs callers whose searches may be repeated and callers whose searches must not be.
 type traffic struct {
-	ba      *balancer
-	stop    chan struct{}
-	done    sync.WaitGroup
-	good    atomic.Int64
-	tickets atomic.Int64
-	mu      sync.Mutex
-	faults  []string
-	queries []string
+	ba       *balancer
+	stop     chan struct{}
+	done     sync.WaitGroup
+	complete atomic.Int64
+	renewals atomic.Int64
+	mu       sync.Mutex
+	faults   []string
+	queries  []string
 }
 
 func startTraffic(ba *balancer, searchers, renewers int) *traffic {
 	tr := &traffic{ba: ba, stop: make(chan struct{})}
 	for i := range searchers {
-		tr.each(func(n int) { tr.search(i, n) })
+		tr.loop(func(n int) { tr.search(i, n) })
 	}
 	for i := range renewers {
-		tr.each(func(n int) { tr.renew(i, n) })
+		tr.loop(func(n int) { tr.renew(i, n) })
 	}
-	tr.each(func(int) {
+	tr.loop(func(int) {
 		ba.check()
 		time.Sleep(10 * time.Millisecond)
 	})
 	return tr
 }
 
-func (tr *traffic) each(f func(n int)) {
+func (tr *traffic) loop(f func(n int)) {
 	tr.done.Add(1)
 	go func() {
 		defer tr.done.Done()
@@ -152,7 +150,7 @@
 	}()
 }
 
-func (tr *traffic) end() {
+func (tr *traffic) finish() {
 	close(tr.stop)
 	tr.done.Wait()
 	tr.ba.client.CloseIdleConnections()
@@ -173,16 +171,16 @@
 	case an.Outcome != wire.OutcomeComplete:
 		tr.fault("search: %s %s", an.Outcome, an.Reason)
 	default:
-		tr.good.Add(1)
+		tr.complete.Add(1)
 	}
 }
 
-// query gives each search a text of its own, by which its runs are counted.
+// query returns a unique query for each search, by which its runs are counted.
 func query(i, n int) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"plate":"T%d-%d"}`, i, n))
 }
 
-// renew sends one search with a ticket twice, through whatever VMs come.
+// renew sends one search with a ticket twice, through the VMs that the balancer picks.
 func (tr *traffic) renew(i, n int) {
 	var tk wire.TicketReply
 	if err := tr.ba.post(wire.RouteTickets, wire.TicketRequest{Team: "wash"}, &tk); err != nil || len(tk.Tickets) != 1 {
@@ -204,11 +202,11 @@
 	tr.mu.Lock()
 	tr.queries = append(tr.queries, string(qu))
 	tr.mu.Unlock()
-	tr.tickets.Add(1)
+	tr.renewals.Add(1)
 }
 
-// twice lists queries of which a shard ran more than once.
-func (tr *traffic) twice(st *site.Site) []string {
+// repeatedRuns lists the queries that ran more than once on a shard.
+func (tr *traffic) repeatedRuns(st *site.Site) []string {
 	var out []string
 	for _, qu := range tr.queries {
 		for shard, n := range st.Fleet().RunsOf(qu) {
@@ -220,7 +218,7 @@
 	return out
 }
 
-// revisions counts the VMs by the revision of the team's configuration.
+// revisions counts the VMs by their revision of the team's configuration.
 func revisions(st *site.Site) map[uint64]int {
 	out := map[uint64]int{}
 	for _, nd := range st.Nodes() {
@@ -231,11 +229,10 @@
 	return out
 }
 
-// All nine VMs are replaced one after the other, as for a new version, while
-// callers search and renew. Each stop lets the balancer's lag pass, answers what
-// is in flight and answers for its tickets; the configuration's second revision
-// is in no VM's memory but those that are there at the time. The callers must
-// not see any of it.
+// All nine VMs are replaced, one of each data centre at a time, as for a new version, while callers
+// search and renew. Each stopping VM waits for the balancer's lag, answers the requests in flight and
+// runs until its tickets have expired. The configuration's second revision must pass from the old VMs
+// to the new ones. The callers must not see any error.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	before := goleak.IgnoreCurrent()
@@ -249,25 +246,25 @@
 	ba.check()
 	tr := startTraffic(ba, 6, 2)
 	for round := range 3 {
-		replaceThree(t, st, ba, old[3*round:3*round+3])
+		replaceVMs(t, st, ba, old[3*round:3*round+3])
 	}
-	tr.end()
+	tr.finish()
 
 	is.Equal(tr.faults, nil)
-	is.True(tr.good.Load() > 0)
-	is.True(tr.tickets.Load() > 0)
-	is.Equal(tr.twice(st), nil)
+	is.True(tr.complete.Load() > 0)
+	is.True(tr.renewals.Load() > 0)
+	is.Equal(tr.repeatedRuns(st), nil)
 	is.Equal(len(st.Nodes()), 9)
 	is.Equal(revisions(st), map[uint64]int{2: 9})
-	t.Logf("%d searches, %d renewals of two attempts", tr.good.Load(), tr.tickets.Load())
+	t.Logf("%d searches, %d renewals of two attempts", tr.complete.Load(), tr.renewals.Load())
 	st.Close()
 	goleak.VerifyNone(t, before,
-		// hertz starts one clock for the whole process and never ends it.
+		// hertz starts one goroutine for the whole process and never ends it.
 		goleak.IgnoreAnyFunction("github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"),
 	)
 }
 
-// putConfig puts a second revision of the configuration in force.
+// putConfig writes the second revision of the configuration and waits until it is in force.
 func putConfig(t *testing.T, st *site.Site, nd *node.Node) {
 	t.Helper()
 	is := is.New(t)
@@ -284,11 +281,11 @@
 	eventually(t, "all VMs have the second revision", func() bool { return revisions(st)[2] == len(st.Nodes()) })
 }
 
-// replaceThree boots one new VM in each data centre and then stops the old ones.
-func replaceThree(t *testing.T, st *site.Site, ba *balancer, old []*node.Node) {
+// replaceVMs boots one new VM in each data centre and then stops the old VMs.
+func replaceVMs(t *testing.T, st *site.Site, ba *balancer, old []*node.Node) {
 	t.Helper()
 	is := is.New(t)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, dataCentre := range []string{"east", "north", "west"} {
 		_, err := st.Boot(dataCentre)
--- a/io/node/searchlog.go
+++ b/io/node/searchlog.go
@@ -10,16 +10,16 @@
 	"laburnumvane/io/wire"
 )
 
-// Names under which lines of searches are counted.
+// Metric names of the log lines of searches.
 const (
 	loggedSearch = "searches"
 	loggedLost   = "lost"
 	sampledOut   = "sampledOut"
 )
 
-// queueLog gives this VM a logger of its own, whose level can be changed without
-// that of others in the process, and whose lines are queued.
-func (nd *Node) queueLog(lo *log.Logger) {
+// initLog sets up this VM's own logger. Its lines are queued, and its level can be changed
+// without affecting other VMs in the process.
+func (nd *Node) initLog(lo *log.Logger) {
 	nd.lines = lines.New(lines.Config{
 		Writer: lo.Writer,
 		Lost:   func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
@@ -33,8 +33,8 @@
 	}
 }
 
-// logSearch writes each search that was not plainly complete, at level warn, and
-// one in so many of the others, at level info.
+// logSearch logs each search that is not complete, at level warn, and a sample of the complete
+// ones, at level info.
 func (nd *Node) logSearch(rq wire.SearchRequest, an wire.SearchAnswer) {
 	entry := nd.searchEntry(an)
 	if entry == nil {
@@ -49,12 +49,12 @@
 		Msg("search")
 }
 
-// logPanic writes a fault of this program that one request brought out.
+// logPanic logs a panic in the handler of a request.
 func (nd *Node) logPanic(value any, stack []byte) {
 	nd.log.Error().Str("panic", fmt.Sprint(value)).Bytes("stack", stack).Msg("handler panicked")
 }
 
-// searchEntry begins the line of an answer; nil means that there is none.
+// searchEntry starts the log entry of an answer. It returns nil if the answer is not logged.
 func (nd *Node) searchEntry(an wire.SearchAnswer) *log.Entry {
 	if an.Outcome != wire.OutcomeComplete {
 		nd.meter.Count(meter.Incomplete, an.Reason)
--- a/io/node/searchlog_test.go
+++ b/io/node/searchlog_test.go
@@ -13,21 +13,21 @@
 	"laburnumvane/io/wire"
 )
 
-// kept is an output that holds its lines.
-type kept struct {
+// entryRecorder is a log writer that records the entries.
+type entryRecorder struct {
 	lines []map[string]any
 }
 
-func (ke *kept) WriteEntry(en *log.Entry) (int, error) {
+func (ke *entryRecorder) WriteEntry(en *log.Entry) (int, error) {
 	var line map[string]any
 	err := json.Unmarshal(en.Value(), &line)
 	ke.lines = append(ke.lines, line)
 	return 0, err
 }
 
-// An operator reads the log to learn which searches went wrong. Each of them
-// must have its line with the caller's id; of the complete ones, which are the
-// mass, a sample says enough. The level can be raised while the VM runs.
+// Operators look up failed searches in the log. Each search that is not complete must have a line
+// with the caller's id; of the complete searches, which are most of them, only a sample is logged.
+// The level can be raised while the VM runs.
 func TestSearchLog(t *testing.T) {
 	complete := wire.SearchAnswer{ID: "c", Outcome: wire.OutcomeComplete}
 	partial := wire.SearchAnswer{
@@ -53,9 +53,9 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			ke := &kept{}
+			ke := &entryRecorder{}
 			nd := &Node{set: setup.Settings{LogSample: tc.sample}, meter: meter.New()}
-			nd.queueLog(&log.Logger{Level: log.InfoLevel, TimeFormat: time.RFC3339Nano, Writer: ke})
+			nd.initLog(&log.Logger{Level: log.InfoLevel, TimeFormat: time.RFC3339Nano, Writer: ke})
 			is.NoErr(nd.SetLogLevel(tc.level))
 			for _, an := range tc.answers {
 				nd.logSearch(wire.SearchRequest{Team: "wash", Search: "kiosk"}, an)
@@ -72,9 +72,9 @@
 		})
 	}
 	is := is.New(t)
-	ke := &kept{}
+	ke := &entryRecorder{}
 	nd := &Node{meter: meter.New()}
-	nd.queueLog(&log.Logger{Writer: ke})
+	nd.initLog(&log.Logger{Writer: ke})
 	nd.logSearch(wire.SearchRequest{Team: "wash", Search: "history"}, partial)
 	nd.lines.Close()
 	line := ke.lines[0]
@@ -90,12 +90,12 @@
 func TestSetLogLevel(t *testing.T) {
 	is := is.New(t)
 	nd := &Node{meter: meter.New()}
-	given := &log.Logger{Level: log.InfoLevel, Writer: &kept{}}
-	nd.queueLog(given)
+	given := &log.Logger{Level: log.InfoLevel, Writer: &entryRecorder{}}
+	nd.initLog(given)
 	defer nd.lines.Close()
 	is.NoErr(nd.SetLogLevel("debug"))
 	is.Equal(nd.log.Level, log.DebugLevel)
-	is.Equal(given.Level, log.InfoLevel) // another VM of the process keeps its own
+	is.Equal(given.Level, log.InfoLevel) // other VMs in the process keep their level
 	is.True(nd.SetLogLevel("loud") != nil)
 	is.True(nd.SetLogLevel("") != nil)
 }
--- a/io/node/service.go
+++ b/io/node/service.go
@@ -10,12 +10,12 @@
 	"laburnumvane/io/wire"
 )
 
-// service answers other VMs.
-type service struct {
+// peerService answers the requests of other VMs.
+type peerService struct {
 	nd *Node
 }
 
-func (se *service) checkVersion(version uint32) error {
+func (ps *peerService) checkVersion(version uint32) error {
 	if version == 0 || version > inner.Version {
 		return twirp.InvalidArgumentError("version", "is not one that this VM reads")
 	}
@@ -23,26 +23,27 @@
 }
 
 // Beat answers a heartbeat.
-func (se *service) Beat(ctx context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+func (ps *peerService) Beat(ctx context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
 	answered := make(chan *inner.BeatReply, 1)
-	se.nd.post(beatSeen{request: rq, answered: answered})
-	return wait(ctx, se.nd, answered)
+	ps.nd.post(beatReceived{request: rq, answered: answered})
+	return wait(ctx, ps.nd, answered)
 }
 
-// Probe tries another VM on the caller's behalf.
-func (se *service) Probe(ctx context.Context, rq *inner.ProbeRequest) (*inner.ProbeReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+// Probe sends a heartbeat to a third VM on behalf of the VM that asks.
+func (ps *peerService) Probe(ctx context.Context, rq *inner.ProbeRequest) (*inner.ProbeReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
 	answered := make(chan *inner.ProbeReply, 1)
-	se.nd.post(probeSeen{request: rq, answered: answered})
-	return wait(ctx, se.nd, answered)
+	ps.nd.post(probeRequested{request: rq, answered: answered})
+	return wait(ctx, ps.nd, answered)
 }
 
-// wait returns what the control goroutine answers.
+// wait returns the answer of the control goroutine, or an error if the request is cancelled or
+// this VM stops first.
 func wait[R any](ctx context.Context, nd *Node, answered <-chan R) (R, error) {
 	var none R
 	select {
@@ -55,16 +56,16 @@
 	}
 }
 
-// Run executes a search whose ticket this VM issued.
-func (se *service) Run(ctx context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+// Run runs a search whose ticket this VM issued.
+func (ps *peerService) Run(ctx context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
 	var sr wire.SearchRequest
 	if err := json.Unmarshal(rq.GetRequest(), &sr); err != nil {
 		return nil, twirp.InvalidArgumentError("request", err.Error())
 	}
-	an, void := se.nd.driver.RunForwarded(ctx, sr)
+	an, void := ps.nd.driver.RunForwarded(ctx, sr)
 	body, err := json.Marshal(an)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
--- a/io/node/service_config.go
+++ b/io/node/service_config.go
@@ -8,54 +8,56 @@
 	"laburnumvane/io/inner"
 )
 
-// Push takes configuration from another VM.
-func (se *service) Push(_ context.Context, rq *inner.PushRequest) (*inner.PushReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+// Push receives configuration from another VM.
+func (ps *peerService) Push(_ context.Context, rq *inner.PushRequest) (*inner.PushReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
-	se.nd.post(configEvent{ev: spread.Pushed{From: rankOf(rq.GetFrom()), Updates: se.nd.updatesIn(rq.GetTeams())}})
+	ps.nd.post(configEvent{ev: spread.Pushed{From: rankVMFromWire(rq.GetFrom()), Updates: ps.nd.updatesFromWire(rq.GetTeams())}})
 	return &inner.PushReply{Version: inner.Version}, nil
 }
 
-// Pull tells what this VM holds: its digest only, its revisions in force, a
-// survey of its data centre, or the documents that the caller lacks.
-func (se *service) Pull(ctx context.Context, rq *inner.PullRequest) (*inner.PullReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+// Pull returns what this VM holds. Depending on the request that is only its digest, its
+// revisions in force, a survey of its data centre, or the documents that the caller lacks.
+func (ps *peerService) Pull(ctx context.Context, rq *inner.PullRequest) (*inner.PullReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
-	nd := se.nd
+	nd := ps.nd
 	dg := nd.configDigest()
 	rp := &inner.PullReply{Version: inner.Version, From: nd.self(), Digest: dg.Hash, Highest: dg.Sum}
 	switch {
 	case rq.GetCompare():
-		nd.digestSeen(rq.GetFrom(), rq.GetDigest(), rq.GetHighest())
+		nd.receiveDigest(rq.GetFrom(), rq.GetDigest(), rq.GetHighest())
 	case rq.GetSurvey():
 		rp.Survey = nd.survey(ctx, rq.GetTeams())
 	case rq.GetBrief():
-		rp.Held = inForce(nd.view.Load(), rq.GetTeams())
-		rp.Change = nd.changeNamed(rq.GetChangeId())
+		rp.Held = revisionsInForce(nd.view.Load(), rq.GetTeams())
+		rp.Change = nd.changeByID(rq.GetChangeId())
 	default:
-		se.answer(rq, rp)
+		ps.answer(rq, rp)
 	}
 	return rp, nil
 }
 
-// answer adds what the caller lacks. A VM passes on also what it cannot read
-// itself, which its view does not have; so the machine answers.
-func (se *service) answer(rq *inner.PullRequest, rp *inner.PullReply) {
+// answer adds the documents that the caller lacks. They come from the state machine and not
+// from the view, since a VM also passes on documents that it cannot parse itself, and those are
+// not in its view.
+func (ps *peerService) answer(rq *inner.PullRequest, rp *inner.PullReply) {
 	held := make([]spread.Revision, 0, len(rq.GetHeld()))
 	for _, tr := range rq.GetHeld() {
 		held = append(held, spread.Revision{Team: tr.GetTeam(), Revision: tr.GetRevision(), ChangeID: tr.GetChangeId()})
 	}
 	var ups []spread.Update
-	se.nd.ask(func(ct *control) { ups, rp.More = ct.conf.ma.Answer(held) })
+	ps.nd.onControl(func(ct *control) { ups, rp.More = ct.configs.machine.Answer(held) })
 	for _, up := range ups {
-		rp.Teams = append(rp.Teams, messageOf(up))
+		rp.Teams = append(rp.Teams, updateToWire(up))
 	}
 }
 
-// inForce lists the revisions that this VM works by, of some teams or of all.
-func inForce(vw *view.View, names []string) []*inner.TeamRevision {
+// revisionsInForce lists the revisions in force on this VM of the named teams, or of all teams
+// if no names are given.
+func revisionsInForce(vw *view.View, names []string) []*inner.TeamRevision {
 	var out []*inner.TeamRevision
 	if len(names) > 0 {
 		for _, name := range names {
@@ -71,16 +73,16 @@
 	return out
 }
 
-// changeNamed finds a change by its id; nil if this VM does not know it.
-func (nd *Node) changeNamed(id string) *inner.TeamRevision {
+// changeByID returns the change with an id, or nil if this VM does not know it.
+func (nd *Node) changeByID(id string) *inner.TeamRevision {
 	if id == "" {
 		return nil
 	}
 	var rv spread.Revision
 	var ok bool
-	nd.ask(func(ct *control) { rv, ok = ct.conf.ma.Find(id) })
+	nd.onControl(func(ct *control) { rv, ok = ct.configs.machine.Find(id) })
 	if !ok {
 		return nil
 	}
-	return revisionOf(rv)
+	return revisionToWire(rv)
 }
--- a/io/node/shares.go
+++ b/io/node/shares.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// shareEvery is the time between two demands told, and between two times
-	// that the parts are worked out.
-	shareEvery = 2 * time.Second
-	// shareWay is what a demand takes to reach all VMs: a beat to a relay, one
-	// of a relay to another data centre, and one there.
-	shareWay = 4 * time.Second
-	// shareWindow adds seven seconds, so that two demands in a row may be lost.
-	shareWindow = shareWay + 7*time.Second
-	// shareForget is when the part of a silent VM is divided.
-	shareForget = 30 * time.Second
-	// listFresh is how old the VM list may be to tell that a VM no longer is.
-	listFresh = 30 * time.Second
-	// demandRoom bounds the demands that wait to be passed on.
-	demandRoom = 4096
+	// shareInterval is the interval at which a VM announces its demand and recomputes its
+	// shares.
+	shareInterval = 2 * time.Second
+	// maxDemandDelay is the time that a demand needs to reach all VMs: a heartbeat to a relay, one
+	// from the relay to another data centre, and one within that data centre.
+	maxDemandDelay = 4 * time.Second
+	// shareWindow adds 7 s, so that two consecutive demands may be lost.
+	shareWindow = maxDemandDelay + 7*time.Second
+	// shareForgetAfter is the time after which the share of a silent VM is divided among the
+	// others.
+	shareForgetAfter = 30 * time.Second
+	// maxListAge is the maximum age of the VM list at which a VM's absence from it counts.
+	maxListAge = 30 * time.Second
+	// maxQueuedDemands bounds the demands that are queued for the other VMs.
+	maxQueuedDemands = 4096
 )
 
-// shares holds the teams to their limits over all VMs, on the control goroutine.
+// shares divides the teams' limits among all VMs. It runs on the control goroutine.
 type shares struct {
-	ct      *control
-	machine *share.Machine
-	queue   *member.Queue[demandKey, *inner.Demand]
-	newest  map[demandKey]uint64
-	timer   *time.Timer
-	// listed is the platform's last list, and when it came.
+	ct             *control
+	machine        *share.Machine
+	queue          *member.Queue[demandKey, *inner.Demand]
+	newestSequence map[demandKey]uint64
+	timer          *time.Timer
+	// listed has the addresses on the platform's last VM list, received at listedAt.
 	listed   map[string]bool
 	listedAt time.Duration
 }
@@ -50,11 +51,11 @@
 func newShares(ct *control) *shares {
 	self := share.VM{Addr: ct.nd.addr, Incarnation: ct.nd.set.Incarnation}
 	return &shares{
-		ct:      ct,
-		machine: share.New(share.Config{Self: self, Window: shareWindow, Way: shareWay, Forget: shareForget}),
-		queue:   member.NewQueue[demandKey, *inner.Demand](demandRoom),
-		newest:  make(map[demandKey]uint64),
-		timer:   time.NewTimer(shareEvery),
+		ct:             ct,
+		machine:        share.New(share.Config{Self: self, Window: shareWindow, Way: maxDemandDelay, Forget: shareForgetAfter}),
+		queue:          member.NewQueue[demandKey, *inner.Demand](maxQueuedDemands),
+		newestSequence: make(map[demandKey]uint64),
+		timer:          time.NewTimer(shareInterval),
 	}
 }
 
@@ -62,8 +63,8 @@
 	return time.Since(sh.ct.nd.started)
 }
 
-// configured puts a team's limits in force.
-func (sh *shares) configured(doc team.Document) {
+// setLimit puts a team's limits in force.
+func (sh *shares) setLimit(doc team.Document) {
 	bucket := sh.machine.Limit(sh.now(), doc.Team, share.Limit{
 		Rate:       doc.Limits.SearchesPerSecond,
 		Concurrent: doc.Limits.Concurrent,
@@ -71,7 +72,7 @@
 	sh.ct.nd.buckets.Store(doc.Team, bucket)
 }
 
-// bucket is what holds a team to this VM's part of its limits.
+// bucket returns the bucket that enforces this VM's share of a team's limits, or nil.
 func (nd *Node) bucket(name string) *share.Bucket {
 	bucket, ok := nd.buckets.Load(name)
 	if !ok {
@@ -80,18 +81,18 @@
 	return bucket.(*share.Bucket)
 }
 
-// TeamShare is this VM's part of a team's limits, 0 to 1, and whether it holds
-// it, so that it does not follow a rising demand.
+// TeamShare returns this VM's share of a team's limits, 0 to 1, and whether the share is held,
+// so that it does not follow rising demand.
 func (nd *Node) TeamShare(name string) (part float64, held bool) {
-	nd.ask(func(ct *control) {
+	nd.onControl(func(ct *control) {
 		part = ct.shares.machine.Share(name)
 		held = ct.shares.machine.Held(name)
 	})
 	return part, held
 }
 
-// vmsListed takes the platform's list.
-func (sh *shares) vmsListed(vms []wire.VM) {
+// setVMList stores the platform's VM list.
+func (sh *shares) setVMList(vms []wire.VM) {
 	sh.listed = make(map[string]bool, len(vms))
 	for _, vm := range vms {
 		sh.listed[vm.Addr] = true
@@ -99,41 +100,41 @@
 	sh.listedAt = sh.now()
 }
 
-// tick works out the parts and tells this VM's demand.
+// tick recomputes the shares and announces this VM's demand.
 func (sh *shares) tick() {
 	now := sh.now()
-	others := sh.others()
+	others := sh.otherVMs()
 	sh.machine.Members(now, others)
-	sh.forget(others)
+	sh.forgetGone(others)
 	for _, de := range sh.machine.Outgoing(now) {
-		sh.pass(demandOf(de))
+		sh.queueDemand(demandToWire(de))
 	}
 	sh.machine.Step(now)
-	sh.timer.Reset(shareEvery)
+	sh.timer.Reset(shareInterval)
 }
 
-// forget drops what was heard of VMs that are no more.
-func (sh *shares) forget(others []share.VM) {
+// forgetGone drops the demands of VMs that no longer exist.
+func (sh *shares) forgetGone(others []share.VM) {
 	known := map[share.VM]bool{{Addr: sh.ct.nd.addr, Incarnation: sh.ct.nd.set.Incarnation}: true}
 	for _, vm := range others {
 		known[vm] = true
 	}
-	for key := range sh.newest {
+	for key := range sh.newestSequence {
 		if !known[key.vm] {
-			delete(sh.newest, key)
+			delete(sh.newestSequence, key)
 			sh.queue.Drop(key)
 		}
 	}
 }
 
-// others are the VMs that may hold a part of the limits. One that is gone may
-// only be cut off and still spend its part; it is forgotten once it has said
-// that it leaves, or once a fresh list no longer has it. A VM that is cut off
-// itself gets no fresh list, and so never takes itself for the only one.
-func (sh *shares) others() []share.VM {
-	fresh := sh.listed != nil && sh.now() < sh.listedAt+listFresh
+// otherVMs returns the other VMs that may hold a share of the limits. A VM that is gone may only
+// be partitioned and still use its share, so it counts until it has announced that it leaves or
+// a recent VM list no longer has it. A partitioned VM receives no recent list, so it never
+// assumes that it is the only VM.
+func (sh *shares) otherVMs() []share.VM {
+	fresh := sh.listed != nil && sh.now() < sh.listedAt+maxListAge
 	var out []share.VM
-	for _, mb := range sh.ct.members.ma.Members() {
+	for _, mb := range sh.ct.members.machine.Members() {
 		if mb.Gone && (mb.Leaving || fresh && !sh.listed[mb.Addr]) {
 			continue
 		}
@@ -144,16 +145,16 @@
 	return out
 }
 
-// pass queues a demand for the others.
-func (sh *shares) pass(de *inner.Demand) {
-	key := keyOf(de)
-	sh.newest[key] = de.GetSequence()
+// queueDemand queues a demand for the other VMs.
+func (sh *shares) queueDemand(de *inner.Demand) {
+	key := demandKeyOf(de)
+	sh.newestSequence[key] = de.GetSequence()
 	if sh.queue.Put(key, de) {
 		sh.ct.nd.meter.Count(meter.Member, "demandDropped")
 	}
 }
 
-func (sh *shares) outgoing(to recipient, room int, cg *cargo) int {
+func (sh *shares) outgoing(to recipient, room int, pb *piggyback) int {
 	used := 0
 	sh.queue.Take(member.Retransmits(to.vms), func(de *inner.Demand) bool {
 		size := proto.Size(de) + fieldBytes
@@ -161,16 +162,16 @@
 			return false
 		}
 		used += size
-		cg.demands = append(cg.demands, de)
+		pb.demands = append(pb.demands, de)
 		return true
 	})
 	return used
 }
 
-func (sh *shares) incoming(_ *inner.VM, cg cargo) {
-	for _, de := range cg.demands {
-		key := keyOf(de)
-		if key.vm.Addr == sh.ct.nd.addr || de.GetSequence() <= sh.newest[key] {
+func (sh *shares) incoming(_ *inner.VM, pb piggyback) {
+	for _, de := range pb.demands {
+		key := demandKeyOf(de)
+		if key.vm.Addr == sh.ct.nd.addr || de.GetSequence() <= sh.newestSequence[key] {
 			continue
 		}
 		sh.machine.Incoming(sh.now(), []share.Demand{{
@@ -181,18 +182,18 @@
 			VM:       key.vm,
 			Sequence: de.GetSequence(),
 		}})
-		sh.pass(de)
+		sh.queueDemand(de)
 	}
 }
 
-func keyOf(de *inner.Demand) demandKey {
+func demandKeyOf(de *inner.Demand) demandKey {
 	return demandKey{
 		team: de.GetTeam(),
 		vm:   share.VM{Addr: de.GetVm().GetAddr(), Incarnation: de.GetVm().GetIncarnation()},
 	}
 }
 
-func demandOf(de share.Demand) *inner.Demand {
+func demandToWire(de share.Demand) *inner.Demand {
 	return &inner.Demand{
 		Team:     de.Team,
 		Rate:     de.Rate,
--- a/io/node/shares_test.go
+++ b/io/node/shares_test.go
@@ -5,10 +5,9 @@
 	"testing"
 )
 
-// What the caller sees: a team's limit is the same however many VMs there are.
-// Three VMs know each other from the list and by heartbeats; each takes an even
-// part while it is new, and a fourth that boots takes one from the others.
-// Why: a part is worked out from the VMs known, not from those heard.
+// A team's limit must not depend on the number of VMs. Three new VMs, which know each other from the
+// list and by heartbeats, must have equal shares; when a fourth boots, all four must. Shares are
+// computed from the known VMs, not from those whose demand has arrived.
 func TestTeamSharesAreEven(t *testing.T) {
 	st := startSite(t, 3, 0)
 	even := func(n int) func() bool {
--- a/io/node/status.go
+++ b/io/node/status.go
@@ -12,7 +12,7 @@
 	"laburnumvane/io/wire"
 )
 
-// Status is this VM's view of itself, its peers and its upstreams.
+// Status returns this VM's status with its view of the other VMs and the upstream servers.
 func (nd *Node) Status() wire.Status {
 	vw := nd.view.Load()
 	st := wire.Status{
@@ -21,16 +21,16 @@
 		Incarnation: nd.set.Incarnation,
 		Phase:       nd.phase(),
 		Version:     nd.cfg.Version,
-		Teams:       teamsOf(vw),
-		Registers:   nd.registersOf(vw),
-		Upstreams:   nd.upstreamsOf(vw),
+		Teams:       teamStatuses(vw),
+		Registers:   nd.registerStatuses(vw),
+		Upstreams:   nd.upstreamStatuses(vw),
 		VMs:         []wire.VMStatus{},
 		Alarms:      []string{},
 		Limits:      nd.limits(),
 	}
-	nd.ask(func(ct *control) {
+	nd.onControl(func(ct *control) {
 		st.Alarms = append(st.Alarms, ct.alarms...)
-		st.Alarms = append(st.Alarms, ct.conf.alarmTexts()...)
+		st.Alarms = append(st.Alarms, ct.configs.alarmTexts()...)
 		st.VMs = ct.members.status()
 		st.Limits.Teams = nd.teamLimits(ct, vw)
 	})
@@ -44,7 +44,7 @@
 	return "serving"
 }
 
-func teamsOf(vw *view.View) []wire.TeamStatus {
+func teamStatuses(vw *view.View) []wire.TeamStatus {
 	out := []wire.TeamStatus{}
 	for name, tm := range vw.Teams {
 		out = append(out, wire.TeamStatus{Team: name, Revision: tm.Revision, ChangeID: tm.ChangeID})
@@ -53,7 +53,7 @@
 	return out
 }
 
-func (nd *Node) registersOf(vw *view.View) []wire.RegisterStatus {
+func (nd *Node) registerStatuses(vw *view.View) []wire.RegisterStatus {
 	out := []wire.RegisterStatus{}
 	live := func(id view.ServerID) bool { return !vw.Server(id).State.Leaving() }
 	for key, rg := range vw.Registers {
@@ -73,7 +73,7 @@
 	return out
 }
 
-func (nd *Node) upstreamsOf(vw *view.View) []wire.UpstreamOfVM {
+func (nd *Node) upstreamStatuses(vw *view.View) []wire.UpstreamOfVM {
 	out := make([]wire.UpstreamOfVM, 0, vw.Len())
 	for _, sv := range vw.Servers() {
 		up := nd.upstream(sv.ID)
@@ -94,10 +94,10 @@
 	return out
 }
 
-// Metrics lists all counters, gauges and histograms.
+// Metrics returns all counters, gauges and histograms by name.
 func (nd *Node) Metrics() map[string]float64 {
 	open := 0
-	for _, sv := range *nd.servers.Load() {
+	for _, sv := range *nd.pools.Load() {
 		open += sv.Open()
 	}
 	nd.meter.Set(meter.Connections, int64(open))
@@ -109,7 +109,7 @@
 	return nd.meter.Snapshot()
 }
 
-// SetLogLevel changes the level of the log while the VM runs.
+// SetLogLevel changes the log level while the VM runs. It returns an error for an unknown level.
 func (nd *Node) SetLogLevel(level string) error {
 	lv := log.ParseLevel(level)
 	if lv.String() != level {
--- a/io/node/stop.go
+++ b/io/node/stop.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// stopPoll is how often a stop looks at what is still in flight.
-	stopPoll = 10 * time.Millisecond
-	// abortPatience bounds what is left to do once requests were cut off.
-	abortPatience = time.Second
+	// stopPollInterval is the interval at which a stop checks what is still in flight.
+	stopPollInterval = 10 * time.Millisecond
+	// abortTimeout bounds the shutdown of the inner listener after requests were cut off.
+	abortTimeout = time.Second
 )
 
 // Error is a failure of a VM as a whole.
@@ -22,7 +22,7 @@
 	Msg  string
 }
 
-// Kind says what went wrong.
+// Kind is the class of an Error.
 type Kind string
 
 // Kinds of errors.
@@ -31,39 +31,39 @@
 	KindCut Kind = "cutOff"
 )
 
-// Error gives operation, kind and message on one line.
+// Error returns the operation, kind and message on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %s", e.Op, e.Kind, e.Msg)
 }
 
-// Stop is the planned stop; core/drain tells its course. It ends with ctx at the
-// latest. The error tells how many searches were cut off, if any. Calls after
-// the first wait for the same end.
+// Stop performs a planned stop, whose steps package drain decides. When ctx ends, Stop cuts off
+// what is still in flight. The error says how many searches were cut off, if any. Further calls
+// wait for the same stop and return its result.
 func (nd *Node) Stop(ctx context.Context) error {
-	nd.stopOnce.Do(func() { nd.stopErr = nd.stopNow(ctx) })
+	nd.stopOnce.Do(func() { nd.stopErr = nd.runStop(ctx) })
 	return nd.stopErr
 }
 
-// stopRun performs one planned stop.
-type stopRun struct {
-	nd     *Node
-	ma     *drain.Machine
-	closed chan struct{}
-	abort  context.CancelFunc
-	closes context.Context
-	exit   *drain.Action
+// plannedStop performs the actions of one planned stop.
+type plannedStop struct {
+	nd       *Node
+	machine  *drain.Machine
+	closed   chan struct{}
+	abort    context.CancelFunc
+	closeCtx context.Context
+	exit     *drain.Action
 }
 
-func (nd *Node) stopNow(ctx context.Context) error {
-	sr := &stopRun{
-		nd:     nd,
-		ma:     drain.New(drain.Config{BalancerLag: nd.set.BalancerLag, Grace: nd.set.StopGrace}),
-		closed: make(chan struct{}),
+func (nd *Node) runStop(ctx context.Context) error {
+	sr := &plannedStop{
+		nd:      nd,
+		machine: drain.New(drain.Config{BalancerLag: nd.set.BalancerLag, Grace: nd.set.StopGrace}),
+		closed:  make(chan struct{}),
 	}
-	sr.closes, sr.abort = context.WithCancel(context.Background())
+	sr.closeCtx, sr.abort = context.WithCancel(context.Background())
 	defer sr.abort()
 	sr.begin()
-	tk := time.NewTicker(stopPoll)
+	tk := time.NewTicker(stopPollInterval)
 	defer tk.Stop()
 	closed, done := sr.closed, ctx.Done()
 	for sr.exit == nil {
@@ -87,9 +87,9 @@
 	return nil
 }
 
-// begin takes a VM that nobody ever connected to for one that still boots: the
-// balancer has not seen it healthy, so there is no lag to wait for.
-func (sr *stopRun) begin() {
+// begin starts the stop. A VM that never accepted a connection counts as still booting: the
+// balancer has not seen it healthy, so the stop need not wait for the balancer's lag.
+func (sr *plannedStop) begin() {
 	sr.step(sr.load())
 	if sr.nd.front.Accepted() {
 		sr.step(drain.Booted{})
@@ -100,28 +100,28 @@
 	sr.step(drain.Booted{})
 }
 
-func (sr *stopRun) load() drain.Load {
-	return drain.Load{InFlight: sr.nd.driver.InFlight(), TicketsUntil: sr.nd.desk.ticketsUntil()}
+func (sr *plannedStop) load() drain.Load {
+	return drain.Load{InFlight: sr.nd.driver.InFlight(), TicketsUntil: sr.nd.callerService.ticketsUntil()}
 }
 
-func (sr *stopRun) step(ev drain.Event) {
-	for _, ac := range sr.ma.Step(time.Since(sr.nd.started), ev) {
+func (sr *plannedStop) step(ev drain.Event) {
+	for _, ac := range sr.machine.Step(time.Since(sr.nd.started), ev) {
 		sr.do(ac)
 	}
 }
 
-func (sr *stopRun) do(ac drain.Action) {
+func (sr *plannedStop) do(ac drain.Action) {
 	nd := sr.nd
 	switch ac.Kind {
 	case drain.ActFailHealth:
-		nd.desk.ends.Store(int64(time.Since(nd.started) + nd.set.StopGrace))
+		nd.callerService.graceEndsAt.Store(int64(time.Since(nd.started) + nd.set.StopGrace))
 		nd.leaving.Store(true)
-		nd.log.Info().Msg("leaving: health fails, listeners go on")
+		nd.log.Info().Msg("leaving: health check fails, listeners stay open")
 	case drain.ActAnnounce:
-		// The others rank without this VM from now on, so its watches and
-		// relays pass to those that rank next while it still has its own:
-		// ActHandOver needs nothing more.
-		nd.leave()
+		// The other VMs now rank without this one. The VMs next in rank take over its
+		// watches and relays while it still runs its own, so ActHandOver needs no
+		// action of its own.
+		nd.announceLeave()
 	case drain.ActCloseCallers:
 		go sr.closeCallers()
 	case drain.ActAbort:
@@ -135,30 +135,30 @@
 	}
 }
 
-func (sr *stopRun) closeCallers() {
+func (sr *plannedStop) closeCallers() {
 	defer close(sr.closed)
-	err := both(
-		func() error { return sr.nd.front.Shutdown(sr.closes) },
-		func() error { return sr.nd.oper.Shutdown(sr.closes) },
+	err := runBoth(
+		func() error { return sr.nd.front.Shutdown(sr.closeCtx) },
+		func() error { return sr.nd.oper.Shutdown(sr.closeCtx) },
 	)
 	if err != nil {
-		sr.nd.log.Error().Err(err).Msg("listeners closed with an error")
+		sr.nd.log.Error().Err(err).Msg("closing the caller and operator listeners failed")
 	}
 }
 
-func (sr *stopRun) closeInner() {
+func (sr *plannedStop) closeInner() {
 	nd := sr.nd
-	nd.quit()
-	ctx, cancel := context.WithTimeout(context.Background(), abortPatience)
+	nd.announceQuit()
+	ctx, cancel := context.WithTimeout(context.Background(), abortTimeout)
 	defer cancel()
 	if err := nd.inner.Shutdown(ctx); err != nil {
-		nd.log.Warn().Err(err).Msg("peers' requests cut off")
-		// They were given their time; what is left would outlive the VM.
+		nd.log.Warn().Err(err).Msg("inner listener did not shut down in time; cutting off requests of other VMs")
+		// The requests had their time. Without Close they would outlive the VM.
 		_ = nd.inner.Close()
 	}
 }
 
-// release ends what runs beside the listeners.
+// release stops the VM's goroutines and closes its clients and connections.
 func (nd *Node) release() {
 	nd.stop()
 	nd.running.Wait()
@@ -166,13 +166,13 @@
 	nd.kv.Close()
 	nd.vms.Close()
 	nd.peers.Close()
-	for _, sv := range *nd.servers.Load() {
+	for _, sv := range *nd.pools.Load() {
 		sv.Close()
 	}
 }
 
-// Kill ends the VM without any of the steps of a planned stop, as when its
-// process is killed: all connections break, nobody is told.
+// Kill ends the VM without the steps of a planned stop, as if its process was killed: all
+// connections break, and the other VMs are not informed.
 func (nd *Node) Kill() {
 	nd.stopOnce.Do(func() {
 		nd.front.Abort()
@@ -184,9 +184,9 @@
 	})
 }
 
-// both runs two things at once and returns the first's error before the
-// second's.
-func both(first, second func() error) error {
+// runBoth runs two functions concurrently and returns the error of first or, if that is nil, of
+// second.
+func runBoth(first, second func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- second() }()
 	err := first()
@@ -196,7 +196,7 @@
 	return err
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	tm := time.NewTimer(d)
 	defer tm.Stop()
 	select {
--- a/io/node/stop_test.go
+++ b/io/node/stop_test.go
@@ -16,16 +16,15 @@
 	"laburnumvane/io/wire"
 )
 
-// slow makes every sub-request take longer than the test lets the stop last, or
-// as long as d.
-func slow(d time.Duration) func(*site.Config) {
+// withServiceTime makes every sub-request take d.
+func withServiceTime(d time.Duration) func(*site.Config) {
 	return func(cfg *site.Config) {
 		cfg.ServiceTime = func(*rand.Rand) time.Duration { return d }
 	}
 }
 
-// searching starts one search on a VM and returns once it is in flight.
-func searching(t *testing.T, nd *node.Node) <-chan wire.SearchAnswer {
+// startSearch starts one search on a VM and returns once it is in flight.
+func startSearch(t *testing.T, nd *node.Node) <-chan wire.SearchAnswer {
 	t.Helper()
 	answers := make(chan wire.SearchAnswer, 1)
 	ba := newBalancer()
@@ -42,15 +41,15 @@
 	return answers
 }
 
-// The platform sends SIGTERM, and again because the stop takes long. A search is
-// in flight. The second signal must not cut it off: both wait for the same end,
-// and the caller gets its whole answer.
+// The platform sends SIGTERM while a search is in flight, and again because the stop takes long. The
+// second signal must not cut the search off: both stops must wait for the same end, and the caller
+// must get a complete answer.
 func TestStopTwiceAnswersWhatIsInFlight(t *testing.T) {
 	is := is.New(t)
-	st := startSite(t, 3, 50*time.Millisecond, slow(500*time.Millisecond))
+	st := startSite(t, 3, 50*time.Millisecond, withServiceTime(500*time.Millisecond))
 	nd := st.Nodes()[0]
-	answers := searching(t, nd)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	answers := startSearch(t, nd)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	second := make(chan error, 1)
 	first := make(chan error, 1)
@@ -62,14 +61,13 @@
 	is.NoErr(<-second)
 }
 
-// A search takes longer than the grace. At its end the connection is cut; the
-// process must say so, by its error and with it by exit code 1, and must not
-// wait on.
+// A search takes longer than the grace period. When the period ends, the connection is cut. The stop
+// must report that by its error, from which exit code 1 follows, and must not wait any longer.
 func TestSearchLongerThanGrace(t *testing.T) {
 	is := is.New(t)
-	st := startSite(t, 3, 50*time.Millisecond, slow(8*time.Second), func(cfg *site.Config) { cfg.StopGrace = 300 * time.Millisecond })
+	st := startSite(t, 3, 50*time.Millisecond, withServiceTime(8*time.Second), func(cfg *site.Config) { cfg.StopGrace = 300 * time.Millisecond })
 	nd := st.Nodes()[0]
-	answers := searching(t, nd)
+	answers := startSearch(t, nd)
 	err := nd.Stop(context.Background())
 	var ne *node.Error
 	is.True(errors.As(err, &ne))
@@ -80,26 +78,24 @@
 	is.True(an.Reason != "")
 }
 
-// SIGTERM comes while the VM boots: nobody has ever connected to it. It must not
-// wait for a balancer that never sent anything: the lag here is beyond what the
-// test lets pass.
+// SIGTERM arrives while the VM boots and no client has ever connected. The stop must not wait for the
+// balancer's lag, which is longer than the test's timeout here.
 func TestStopDuringBoot(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 3, 0)
 	cfg := st.Config()
-	cfg.BalancerLag = 10 * bound
+	cfg.BalancerLag = 10 * testTimeout
 	nd, err := st.BootWith(cfg, "east")
 	is.NoErr(err)
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(nd.Stop(ctx))
 	is.NoErr(ctx.Err())
 	st.Forget(nd)
 }
 
-// A VM is killed while callers search and renew. Those whose connection broke
-// see an error; a renewal that was on its way may have run, and the others
-// cannot tell. No renewal may run twice, and no answer may be less than it says.
+// VMs are killed while callers search and renew. Callers whose connection breaks get an error. A
+// renewal that was in flight may have run, and the other VMs cannot know. No renewal may run twice.
 func TestKilledVMRunsNothingTwice(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 9, 0)
@@ -108,27 +104,27 @@
 	ba.check()
 	tr := startTraffic(ba, 4, 4)
 	for range 3 {
-		eventually(t, "traffic flows", goesOn(tr))
+		eventually(t, "traffic flows", progressed(tr))
 		st.Kill(st.Nodes()[0])
 	}
-	eventually(t, "traffic flows on six VMs", goesOn(tr))
-	tr.end()
-	is.Equal(tr.twice(st), nil)
-	t.Logf("%d searches, %d renewals; callers saw: %d errors or unknown", tr.good.Load(), tr.tickets.Load(), len(tr.faults))
+	eventually(t, "traffic flows on six VMs", progressed(tr))
+	tr.finish()
+	is.Equal(tr.repeatedRuns(st), nil)
+	t.Logf("%d searches, %d renewals; callers saw: %d errors or unknown", tr.complete.Load(), tr.renewals.Load(), len(tr.faults))
 }
 
-// goesOn tells when 50 more searches and renewals have been answered.
-func goesOn(tr *traffic) func() bool {
-	searches, tickets := tr.good.Load()+50, tr.tickets.Load()+50
-	return func() bool { return tr.good.Load() >= searches && tr.tickets.Load() >= tickets }
+// progressed returns a condition that holds once 50 more searches and renewals were answered.
+func progressed(tr *traffic) func() bool {
+	searches, tickets := tr.complete.Load()+50, tr.renewals.Load()+50
+	return func() bool { return tr.complete.Load() >= searches && tr.renewals.Load() >= tickets }
 }
 
-// A VM that is leaving must issue no tickets that are void before they can be
-// used: it has another VM issue them. The caller sees nothing of it.
+// A VM that is leaving must not issue tickets that become void before they can be used. It has another
+// VM issue them, and the caller must not notice.
 func TestTicketsOfLeavingVM(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 9, 700*time.Millisecond)
-	allSee(t, st, map[string]int{"live": 9})
+	waitForStates(t, st, map[string]int{"live": 9})
 	nd := st.Nodes()[0]
 	ba := newBalancer()
 	ba.set([]*node.Node{nd})
--- a/io/node/tickets.go
+++ b/io/node/tickets.go
@@ -14,48 +14,49 @@
 	"laburnumvane/io/wire"
 )
 
-// issuers is how many other VMs are asked for tickets that this one, as it
-// leaves, may not issue.
-const issuers = 3
+// maxIssuersAsked is the number of other VMs that a leaving VM asks to issue tickets.
+const maxIssuersAsked = 3
 
-// desk is what the callers' listener asks: the driver, but for tickets, which
-// would be void soon if a VM that is leaving issued them.
-type desk struct {
+// callerService handles the requests of the caller listener. It passes searches to the driver.
+// Tickets have rules of their own, since those of a VM that is leaving are void once it has
+// stopped.
+type callerService struct {
 	nd     *Node
 	driver *drive.Driver
-	// until is when the last ticket issued here expires, ends when the grace of
-	// a stop does; both count from the start.
-	until, ends atomic.Int64
+	// ticketsExpireAt is when the last ticket issued here expires, graceEndsAt when the grace
+	// period of a stop ends. Both are durations since the VM's start.
+	ticketsExpireAt, graceEndsAt atomic.Int64
 }
 
-// Search takes a search.
-func (de *desk) Search(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
-	return de.driver.Search(ctx, rq)
+// Search runs a caller's search.
+func (cs *callerService) Search(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
+	return cs.driver.Search(ctx, rq)
 }
 
-// Tickets issues tickets. A VM that is leaving has another one issue them; if
-// there is none it issues those that it can answer for to their end, or none.
-func (de *desk) Tickets(team string, n int) []string {
-	if de.nd.Leaving() {
-		return de.elsewhere(team, n)
+// Tickets issues tickets. A VM that is leaving has another VM issue them. If no other VM does,
+// it issues them itself if it will still run when they expire, and otherwise returns none.
+func (cs *callerService) Tickets(team string, n int) []string {
+	if cs.nd.Leaving() {
+		return cs.issueElsewhere(team, n)
 	}
-	return de.issue(team, n)
+	return cs.issue(team, n)
 }
 
-func (de *desk) issue(team string, n int) []string {
-	until := time.Since(de.nd.started) + de.nd.set.TicketTTL
-	de.until.Store(int64(until))
-	return de.driver.Tickets(team, n)
+func (cs *callerService) issue(team string, n int) []string {
+	until := time.Since(cs.nd.started) + cs.nd.set.TicketTTL
+	cs.ticketsExpireAt.Store(int64(until))
+	return cs.driver.Tickets(team, n)
 }
 
-// ticketsUntil is when the last ticket issued here expires.
-func (de *desk) ticketsUntil() time.Duration {
-	return time.Duration(de.until.Load())
+// ticketsUntil returns when the last ticket issued here expires, as a duration since the VM's
+// start.
+func (cs *callerService) ticketsUntil() time.Duration {
+	return time.Duration(cs.ticketsExpireAt.Load())
 }
 
-func (de *desk) elsewhere(team string, n int) []string {
-	nd := de.nd
-	for _, vm := range de.candidates(team) {
+func (cs *callerService) issueElsewhere(team string, n int) []string {
+	nd := cs.nd
+	for _, vm := range cs.candidates(team) {
 		ctx, cancel := context.WithTimeout(nd.stopping, peerTimeout)
 		rp, err := nd.peers.To(vm.Addr).Issue(ctx, &inner.IssueRequest{Version: inner.Version, From: nd.self(), Team: team, Count: uint32(n)})
 		cancel()
@@ -65,55 +66,55 @@
 		}
 		nd.log.Warn().Str("vm", vm.Addr).Err(err).Msg("another VM could not issue tickets")
 	}
-	if time.Since(nd.started)+nd.set.TicketTTL <= time.Duration(de.ends.Load()) {
-		// This VM stays until they have expired.
-		return de.issue(team, n)
+	if time.Since(nd.started)+nd.set.TicketTTL <= time.Duration(cs.graceEndsAt.Load()) {
+		// This VM runs until the tickets have expired.
+		return cs.issue(team, n)
 	}
 	return nil
 }
 
-// candidates are the VMs to ask: live ones before those that are only on the
-// list, as all are to a VM that has just booted, and within each those of this
-// data centre first.
-func (de *desk) candidates(team string) []member.VM {
+// candidates returns the VMs to ask: live VMs before those that are only on the VM list (which
+// are all that a VM knows that has just booted), and within both groups the VMs of this data
+// centre first.
+func (cs *callerService) candidates(team string) []member.VM {
 	var all []member.Member
-	de.nd.ask(func(ct *control) { all = ct.members.ma.Members() })
+	cs.nd.onControl(func(ct *control) { all = ct.members.machine.Members() })
 	var out []member.VM
 	for _, state := range []member.State{member.StateLive, member.StateCandidate} {
-		near, far := de.split(all, state)
-		out = append(out, member.Rank(near, "tickets "+team, issuers)...)
-		out = append(out, member.Rank(far, "tickets "+team, issuers)...)
+		local, remote := cs.byDataCentre(all, state)
+		out = append(out, member.Rank(local, "tickets "+team, maxIssuersAsked)...)
+		out = append(out, member.Rank(remote, "tickets "+team, maxIssuersAsked)...)
 	}
-	return out[:min(issuers, len(out))]
+	return out[:min(maxIssuersAsked, len(out))]
 }
 
-func (de *desk) split(all []member.Member, state member.State) (near, far []member.VM) {
+func (cs *callerService) byDataCentre(all []member.Member, state member.State) (local, remote []member.VM) {
 	for _, mb := range all {
 		switch {
-		case mb.Addr == de.nd.addr || mb.State() != state:
-		case mb.DataCentre == de.nd.set.DataCentre:
-			near = append(near, mb.VM)
+		case mb.Addr == cs.nd.addr || mb.State() != state:
+		case mb.DataCentre == cs.nd.set.DataCentre:
+			local = append(local, mb.VM)
 		default:
-			far = append(far, mb.VM)
+			remote = append(remote, mb.VM)
 		}
 	}
-	return near, far
+	return local, remote
 }
 
-// maxIssue bounds the tickets that another VM may ask for at once, as the
-// callers' listener does.
-const maxIssue = 1000
+// maxTicketsPerIssue bounds the tickets that another VM may request at once. It is the limit of
+// the caller listener.
+const maxTicketsPerIssue = 1000
 
-// Issue issues tickets for a caller of a VM that is leaving.
-func (se *service) Issue(_ context.Context, rq *inner.IssueRequest) (*inner.IssueReply, error) {
-	if err := se.checkVersion(rq.GetVersion()); err != nil {
+// Issue issues tickets on behalf of a VM that is leaving.
+func (ps *peerService) Issue(_ context.Context, rq *inner.IssueRequest) (*inner.IssueReply, error) {
+	if err := ps.checkVersion(rq.GetVersion()); err != nil {
 		return nil, err
 	}
-	if se.nd.Leaving() {
+	if ps.nd.Leaving() {
 		return nil, twirp.NewError(twirp.Unavailable, "this VM is leaving too")
 	}
-	if rq.GetTeam() == "" || rq.GetCount() == 0 || rq.GetCount() > maxIssue {
+	if rq.GetTeam() == "" || rq.GetCount() == 0 || rq.GetCount() > maxTicketsPerIssue {
 		return nil, twirp.InvalidArgumentError("count", "must be between 1 and 1000, with a team")
 	}
-	return &inner.IssueReply{Version: inner.Version, Tickets: se.nd.desk.issue(rq.GetTeam(), int(rq.GetCount()))}, nil
+	return &inner.IssueReply{Version: inner.Version, Tickets: ps.nd.callerService.issue(rq.GetTeam(), int(rq.GetCount()))}, nil
 }
--- a/io/node/upstreams.go
+++ b/io/node/upstreams.go
@@ -14,90 +14,89 @@
 )
 
 const (
-	// hintBytes is a quarter of the 8 KB a second that a node may spend on all
-	// control at the size aimed at.
-	hintBytes = 2 << 10
-	hintBurst = 256 << 10
-	hintEvery = 2 * time.Second
-
-	// departedHold is how long a VM out of sight keeps its connections: as long
-	// as the VM list may lag.
-	departedHold = time.Minute
-	// listPatience is how long a VM that sees no list of VMs waits before it
-	// opens one connection to each server all the same, and for how long after
-	// its start it has no more: the time in which VMs that start together find
-	// each other.
-	listPatience = 5 * time.Second
-	// connectSetup is what a new connection costs the slowest of today's
-	// servers, connectLoad the share of its time that may go into that.
-	connectSetup = 6 * time.Millisecond
-	connectLoad  = 0.25
-	// farVMs is the size up to which VMs of other data centres get a part of a
-	// server's connections: beyond, hardly any of them would have one.
-	farVMs = 64
-
-	// sweepEvery bounds the pause between two looks at the clock.
-	sweepEvery = time.Second
+	// hintBytes is the budget for polling servers' load endpoints, in bytes a second: a quarter
+	// of the 8 kB/s that a VM may spend on control traffic at the intended size.
+	hintBytes      = 2 << 10
+	hintBurstBytes = 256 << 10
+	hintInterval   = 2 * time.Second
+
+	// departureDelay is how long a VM that has disappeared still counts as a holder of
+	// connections: as long as the VM list may lag.
+	departureDelay = time.Minute
+	// listSettleTime is how long a VM without a VM list waits before it opens one connection
+	// to each server anyway. Until then after its start it opens no more than one either. It is
+	// the time in which VMs that start together learn of each other.
+	listSettleTime = 5 * time.Second
+	// connSetupTime is the time that a new connection costs the slowest of today's servers,
+	// connSetupShare the share of a server's time that may be spent on new connections.
+	connSetupTime  = 6 * time.Millisecond
+	connSetupShare = 0.25
+	// maxVMsForRemoteShares is the number of VMs up to which VMs of other data centres get a
+	// share of a server's connections. With more VMs hardly any of them would get one.
+	maxVMsForRemoteShares = 64
+
+	// maxTickInterval bounds the time between two ticks.
+	maxTickInterval = time.Second
 )
 
-// upstreams runs the decisions on upstream servers on the control goroutine.
+// upstreams runs the state machines of upstream servers on the control goroutine.
 type upstreams struct {
-	ct     *control
-	rnd    *rand.Rand
-	states *server.Table
-	maps   *server.Maps
-	polls  *server.Polls
-	placed *placement
-	plan   *connPlan
-	timer  *time.Timer
-	dirty  bool
-	// none stands for the connections to servers that this VM does not use.
-	none *upst.Server
+	ct          *control
+	rnd         *rand.Rand
+	states      *server.Table
+	maps        *server.Maps
+	polls       *server.Polls
+	placement   *placement
+	plan        *connPlan
+	timer       *time.Timer
+	viewChanged bool
+	// noServer is the connection pool of all servers that this VM does not use.
+	noServer *upst.Server
 }
 
 func newUpstreams(ct *control) *upstreams {
 	set := ct.nd.set
-	us := &upstreams{ct: ct, placed: newPlacement(), timer: time.NewTimer(sweepEvery)}
-	us.none = upst.New(upst.Config{})
+	us := &upstreams{ct: ct, placement: newPlacement(), timer: time.NewTimer(maxTickInterval)}
+	us.noServer = upst.New(upst.Config{})
 	us.rnd = rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr)))
 	us.maps = server.NewMaps(func(id view.ServerID) bool { return !ct.view.ServerRef(id).State.Leaving() })
 	us.states = server.New(server.Config{Rand: us.rnd, Last: us.maps.Last})
-	us.polls = server.NewPolls(server.PollsConfig{Rand: us.rnd, BytesPerSecond: hintBytes, Burst: hintBurst, Every: hintEvery})
+	us.polls = server.NewPolls(server.PollsConfig{Rand: us.rnd, BytesPerSecond: hintBytes, Burst: hintBurstBytes, Every: hintInterval})
 	us.plan = newConnPlan(us, conns.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre})
 	return us
 }
 
-// now counts from the start of the process.
+// now returns the time since the VM's start.
 func (us *upstreams) now() time.Duration {
 	return time.Since(us.ct.nd.started)
 }
 
-// tick does what is due.
+// tick performs what is due. It is called when the timer fires.
 func (us *upstreams) tick() {
 	now := us.now()
 	us.do(us.states.Wake(now))
 	us.plan.tick(now)
 }
 
-// flush publishes what an event has changed and sets the timer.
+// flush starts the polls that are due, publishes what an event has changed, and resets the timer.
 func (us *upstreams) flush() {
 	now := us.now()
 	for id, ok := us.polls.Take(now); ok; id, ok = us.polls.Take(now) {
-		us.ask(id, false)
+		us.pollLoad(id, false)
 	}
 	if registers, changed := us.maps.Registers(); changed {
 		us.ct.view = us.ct.view.WithRegisters(registers)
-		us.dirty = true
+		us.viewChanged = true
 	}
-	if us.dirty {
-		us.dirty = false
+	if us.viewChanged {
+		us.viewChanged = false
 		us.ct.publish()
 	}
-	us.timer.Reset(us.pause(now))
+	us.timer.Reset(us.untilNextTick(now))
 }
 
-func (us *upstreams) pause(now time.Duration) time.Duration {
-	next := now + sweepEvery
+func (us *upstreams) untilNextTick(now time.Duration) time.Duration {
+	next := now + maxTickInterval
 	if at, ok := us.states.Next(); ok {
 		next = min(next, at)
 	}
@@ -110,7 +109,7 @@
 	return max(0, next-now)
 }
 
-// step takes one event of a server.
+// step processes an event of a server.
 func (us *upstreams) step(id view.ServerID, ev server.Event) {
 	us.do(us.states.Step(us.now(), id, ev))
 }
@@ -119,30 +118,30 @@
 	for _, ac := range actions {
 		switch ac.Kind {
 		case server.Publish:
-			us.show(ac.ID)
+			us.updateView(ac.ID)
 		case server.Probe:
 			us.ct.nd.meter.Count(meter.Server, "probe")
-			us.ask(ac.ID, true)
+			us.pollLoad(ac.ID, true)
 		case server.Spread:
-			us.tell(ac.Sign)
+			us.sendSign(ac.Sign)
 		}
 	}
 }
 
-// show puts a server's new status into the view.
-func (us *upstreams) show(id view.ServerID) {
+// updateView puts a server's new status into the view.
+func (us *upstreams) updateView(id view.ServerID) {
 	sv := us.ct.view.Server(id)
 	st := us.states.Status(id)
 	restarted := sv.Incarnation != 0 && sv.Incarnation != st.Incarnation
 	if sv.State != st.State {
 		us.ct.nd.meter.Count(meter.ServerState, st.State.String())
 		us.ct.nd.log.Info().Str("server", sv.Addr).Str("state", st.State.String()).Str("why", st.Why).
-			Uint64("incarnation", st.Incarnation).Msg("upstream's state")
+			Uint64("incarnation", st.Incarnation).Msg("upstream server's state changed")
 	}
 	sv.State, sv.Why, sv.Incarnation, sv.Weight = st.State, st.Why, st.Incarnation, st.Weight
 	us.ct.view = us.ct.view.WithServer(sv)
-	us.dirty = true
-	us.ct.nd.upstream(id).known(st)
+	us.viewChanged = true
+	us.ct.nd.upstream(id).setStatus(st)
 	if restarted {
 		us.plan.restart(us.now(), id)
 		us.polls.Urge(us.now(), id)
@@ -152,21 +151,21 @@
 	}
 }
 
-// ask asks a server's load endpoint, as a probe or for its hint.
-func (us *upstreams) ask(id view.ServerID, probe bool) {
+// pollLoad queries a server's load endpoint, as a probe or for its holdings.
+func (us *upstreams) pollLoad(id view.ServerID, probe bool) {
 	nd := us.ct.nd
 	up := nd.upstream(id)
 	nd.run("load", func() error {
 		ctx, cancel := context.WithTimeout(nd.stopping, loadTimeout)
 		defer cancel()
 		st, err := up.Load(ctx)
-		nd.post(loadSeen{id: id, probe: probe, status: st, err: err})
+		nd.post(loadReceived{id: id, probe: probe, status: st, err: err})
 		return nil
 	})
 }
 
-// heard takes another VM's sign.
-func (us *upstreams) heard(sn *inner.Sign) {
+// receiveSign processes another VM's sign.
+func (us *upstreams) receiveSign(sn *inner.Sign) {
 	us.ct.nd.meter.Count(meter.Member, "signHeard")
 	us.do(us.states.Learn(us.now(), server.Sign{
 		Addr:        sn.GetServer(),
@@ -175,18 +174,18 @@
 	}))
 }
 
-// tell spreads a sign; one that came from another VM is passed on already.
-func (us *upstreams) tell(sg server.Sign) {
+// sendSign sends a sign of this VM's own to the others. Signs of other VMs are passed on by signs.
+func (us *upstreams) sendSign(sg server.Sign) {
 	us.ct.nd.meter.Count(meter.Sign, sg.Kind.String())
-	us.ct.signs.tell(&inner.Sign{Server: sg.Addr, Incarnation: sg.Incarnation, Kind: uint32(sg.Kind)})
+	us.ct.signs.announce(&inner.Sign{Server: sg.Addr, Incarnation: sg.Incarnation, Kind: uint32(sg.Kind)})
 }
 
-// membersChanged takes the VMs that may hold connections.
+// membersChanged passes the VMs that may hold connections to the connection plan.
 func (us *upstreams) membersChanged(vms []conns.VM) {
 	us.plan.members(us.now(), vms)
 }
 
-// newServer makes a server's connections; the plan allows them.
+// newServer returns a server's connection pool. The connection plan sets its limit.
 func (us *upstreams) newServer(addr string) *upst.Server {
 	return upst.New(upst.Config{Addr: addr, DialTimeout: dialTimeout, Seed: us.rnd.Uint64()})
 }
--- a/io/node/upstreams_bench_test.go
+++ b/io/node/upstreams_bench_test.go
@@ -21,26 +21,26 @@
 	"laburnumvane/io/upst"
 )
 
-// bareControl is the upstreams' part of control on a node without listeners.
-func bareControl() *control {
+// newBenchControl returns a control with only its upstreams, on a VM without listeners.
+func newBenchControl() *control {
 	set := setup.Defaults()
 	set.DataCentre, set.Region, set.Incarnation = "dc0", "r", 5
 	nd := &Node{
-		set: set, addr: "10.0.0.0:7703", meter: meter.New(), events: make(chan event, eventRoom),
-		// Older than listPatience, so that shares are in force.
+		set: set, addr: "10.0.0.0:7703", meter: meter.New(), events: make(chan event, eventQueueLen),
+		// Older than listSettleTime, so that shares are in force.
 		started: time.Now().Add(-time.Minute),
 		table:   pick.New(pick.Config{DataCentre: set.DataCentre}),
 		log:     &log.Logger{Level: log.PanicLevel, Writer: log.IOWriter{Writer: io.Discard}},
 	}
 	nd.stopping, nd.stop = context.WithCancel(context.Background())
-	nd.servers.Store(&[]*upst.Server{})
-	nd.ups.Store(&[]*upstream{})
+	nd.pools.Store(&[]*upst.Server{})
+	nd.upstreams.Store(&[]*upstream{})
 	ct := &control{nd: nd}
-	ct.ups = newUpstreams(ct)
+	ct.upstreams = newUpstreams(ct)
 	return ct
 }
 
-// teamOf is a data centre's team with so many services of nine servers.
+// teamOf returns a data centre's team with a number of services of nine servers each.
 func teamOf(dc, services int) team.Document {
 	sc := make(map[string]team.Service, services)
 	for s := range services {
@@ -60,28 +60,28 @@
 	return float64(ms.HeapAlloc)
 }
 
-// What control pays for one event at the size aimed at, 13 data centres with
-// 270 services each, and at a hundredth of it: a VM that joins and leaves, a
-// server that leaves the configuration and comes back, a server that changes its
-// state, published. Heap is what all of it keeps.
+// BenchmarkUpstreams measures the cost of one event on the control goroutine at the intended size,
+// 13 data centres with 270 services each, and at a hundredth of it. The events are a VM that joins
+// or leaves, a server that is removed from the configuration or added again, and a server that
+// changes its state, which is published. heapMB is the heap that the whole state retains.
 func BenchmarkUpstreams(b *testing.B) {
 	for _, size := range []struct{ services, vms int }{{3, 43}, {270, 4_300}} {
 		before := heapNow()
-		ct := bareControl()
+		ct := newBenchControl()
 		for dc := range 13 {
-			ct.placeServers(teamOf(dc, size.services))
+			ct.updateServers(teamOf(dc, size.services))
 		}
 		var vms []conns.VM
 		for i := range size.vms {
 			vms = append(vms, conns.VM{Addr: fmt.Sprintf("10.0.%d.%d:7703", i/250, i%250), DataCentre: fmt.Sprint("dc", i%13)})
 		}
-		ct.ups.membersChanged(vms)
+		ct.upstreams.membersChanged(vms)
 		name := fmt.Sprintf("servers=%d/vms=%d", ct.view.Len(), size.vms)
 		heap := (heapNow() - before) / (1 << 20)
 		b.Run("join/"+name, func(b *testing.B) {
 			for i := range b.N {
 				joined := slices.Concat(vms, []conns.VM{{Addr: fmt.Sprint("10.9.9.9:", i), DataCentre: "dc0"}})
-				ct.ups.membersChanged(joined)
+				ct.upstreams.membersChanged(joined)
 			}
 			b.ReportMetric(heap, "heapMB")
 		})
@@ -91,14 +91,14 @@
 			sc.Servers = sc.Servers[1:]
 			less.Registers["members"].Services["s0"] = sc
 			for i := range b.N {
-				ct.placeServers([]team.Document{less, whole}[i%2])
+				ct.updateServers([]team.Document{less, whole}[i%2])
 			}
 		})
 		b.Run("state/"+name, func(b *testing.B) {
 			for i := range b.N {
 				id := view.ServerID(i % ct.view.Len())
-				ct.ups.step(id, server.Event{Kind: server.Hint, Incarnation: uint64(i + 1), Says: server.SaysServing})
-				ct.ups.flush()
+				ct.upstreams.step(id, server.Event{Kind: server.Hint, Incarnation: uint64(i + 1), Says: server.SaysServing})
+				ct.upstreams.flush()
 			}
 		})
 	}
--- a/io/node/upstreams_conns.go
+++ b/io/node/upstreams_conns.go
@@ -10,20 +10,20 @@
 	"laburnumvane/core/view"
 )
 
-// connPlan keeps this VM's part of each server's connections.
+// connPlan maintains this VM's share of each server's connections.
 type connPlan struct {
 	us      *upstreams
 	self    conns.VM
 	roster  *conns.Roster
 	planner *conns.Planner
 	ramp    *conns.Ramp
-	counted map[conns.VM]bool
-	// slots is each server's place in the planner.
+	vms     map[conns.VM]bool
+	// slots is each server's position in the planner, by server id.
 	slots  []planSlot
 	groups map[string]*planGroup
 	used   []bool
-	// settled, cautious and far are as the shares in force assume.
-	settled, cautious, far bool
+	// settled, cautious and remote are the values that the current shares are based on.
+	settled, cautious, remote bool
 }
 
 type planSlot struct {
@@ -31,7 +31,7 @@
 	replica int
 }
 
-// planGroup is the replicas of one service in one data centre, by address, so
+// planGroup is the replicas of one service in one data centre. They are sorted by address, so
 // that all VMs number them alike.
 type planGroup struct {
 	id      conns.GroupID
@@ -39,54 +39,54 @@
 }
 
 func newConnPlan(us *upstreams, self conns.VM) *connPlan {
-	cp := &connPlan{us: us, self: self, counted: make(map[conns.VM]bool), groups: make(map[string]*planGroup), far: true}
-	cp.roster = conns.NewRoster(conns.RosterConfig{Self: self, Hold: departedHold, Patience: listPatience})
+	cp := &connPlan{us: us, self: self, vms: make(map[conns.VM]bool), groups: make(map[string]*planGroup), remote: true}
+	cp.roster = conns.NewRoster(conns.RosterConfig{Self: self, Hold: departureDelay, Patience: listSettleTime})
 	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: self, Far: true})
-	cp.ramp = conns.NewRamp(conns.RampConfig{Rand: us.rnd, Setup: connectSetup, Load: connectLoad})
+	cp.ramp = conns.NewRamp(conns.RampConfig{Rand: us.rnd, Setup: connSetupTime, Load: connSetupShare})
 	return cp
 }
 
-// uses tells whether this VM has connections to a server, or will have.
+// uses reports whether this VM has a share of a server's connections.
 func (cp *connPlan) uses(id view.ServerID) bool {
 	return int(id) < len(cp.used) && cp.used[id]
 }
 
-// members takes the VMs seen now.
+// members processes the VMs that currently may hold connections.
 func (cp *connPlan) members(now time.Duration, vms []conns.VM) {
-	cp.take(now, cp.roster.Update(now, vms))
+	cp.applyChanges(now, cp.roster.Update(now, vms))
 }
 
 func (cp *connPlan) tick(now time.Duration) {
-	cp.take(now, cp.roster.Expire(now))
-	cp.limit(cp.ramp.Wake(now))
+	cp.applyChanges(now, cp.roster.Expire(now))
+	cp.setLimits(cp.ramp.Wake(now))
 }
 
-func (cp *connPlan) take(now time.Duration, changes []conns.Change) {
+func (cp *connPlan) applyChanges(now time.Duration, changes []conns.Change) {
 	for _, ch := range changes {
 		if ch.Joined {
-			cp.counted[ch.VM] = true
+			cp.vms[ch.VM] = true
 		} else {
-			delete(cp.counted, ch.VM)
+			delete(cp.vms, ch.VM)
 		}
 		cp.planner.Apply(ch)
 	}
 	settled, cautious := cp.roster.Settled(now), cp.roster.Cautious(now)
-	anew := len(changes) > 0 || settled != cp.settled || cautious != cp.cautious
+	changed := len(changes) > 0 || settled != cp.settled || cautious != cp.cautious
 	cp.settled, cp.cautious = settled, cautious
-	if far := cp.roster.Len() <= farVMs; far != cp.far {
-		cp.far = far
+	if remote := cp.roster.Len() <= maxVMsForRemoteShares; remote != cp.remote {
+		cp.remote = remote
 		cp.rebuild(now)
 		return
 	}
-	if anew {
-		cp.apply(now)
+	if changed {
+		cp.updateShares(now)
 	}
 }
 
-// rebuild makes the planner anew.
+// rebuild replaces the planner with a new one.
 func (cp *connPlan) rebuild(now time.Duration) {
-	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: cp.self, Far: cp.far})
-	for vm := range cp.counted {
+	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: cp.self, Far: cp.remote})
+	for vm := range cp.vms {
 		cp.planner.Apply(conns.Change{VM: vm, Joined: true})
 	}
 	clear(cp.groups)
@@ -95,11 +95,11 @@
 	for i := range all {
 		all[i] = view.ServerID(i)
 	}
-	cp.placed(now, all)
+	cp.regroup(now, all)
 }
 
-// placed takes servers whose place in the configuration has changed.
-func (cp *connPlan) placed(now time.Duration, ids []view.ServerID) {
+// regroup processes servers whose configuration entries have changed.
+func (cp *connPlan) regroup(now time.Duration, ids []view.ServerID) {
 	touched := make(map[*planGroup]bool)
 	for _, id := range ids {
 		for int(id) >= len(cp.slots) {
@@ -110,20 +110,20 @@
 			cp.slots[id] = planSlot{}
 			touched[gr] = true
 		}
-		if len(cp.us.placed.places[id]) > 0 {
+		if len(cp.us.placement.entries[id]) > 0 {
 			gr := cp.groupOf(id)
 			gr.members = append(gr.members, id)
 			touched[gr] = true
 		}
 	}
 	for gr := range touched {
-		cp.number(gr)
+		cp.renumber(gr)
 	}
-	cp.apply(now)
+	cp.updateShares(now)
 }
 
-// number gives a group's replicas their numbers.
-func (cp *connPlan) number(gr *planGroup) {
+// renumber assigns the numbers of a group's replicas.
+func (cp *connPlan) renumber(gr *planGroup) {
 	vw := cp.us.ct.view
 	slices.SortFunc(gr.members, func(a, b view.ServerID) int {
 		return cmp.Compare(vw.ServerRef(a).Addr, vw.ServerRef(b).Addr)
@@ -134,11 +134,11 @@
 	cp.planner.Resize(gr.id, len(gr.members))
 }
 
-// groupOf is the group that a server belongs to. Servers of one service whose
-// limits differ, as where one stands in another register too, are divided apart.
+// groupOf returns the group of a server and adds it if it is new. Servers of one service with
+// different limits, as when one is in a second register too, are in different groups.
 func (cp *connPlan) groupOf(id view.ServerID) *planGroup {
 	sv := cp.us.ct.view.ServerRef(id)
-	service := cp.us.placed.places[id][0].group() + "#" + strconv.Itoa(sv.Connections)
+	service := cp.us.placement.entries[id][0].group() + "#" + strconv.Itoa(sv.Connections)
 	key := service + "@" + sv.DataCentre
 	gr, ok := cp.groups[key]
 	if !ok {
@@ -148,21 +148,22 @@
 	return gr
 }
 
-// apply works out all shares; only what changed reaches the connections.
-func (cp *connPlan) apply(now time.Duration) {
-	var fresh []view.ServerID
+// updateShares recomputes all shares and opens the pools of servers that are used for the first
+// time. Only changed shares reach the connections.
+func (cp *connPlan) updateShares(now time.Duration) {
+	var unopened []view.ServerID
 	for i := range cp.slots {
 		id := view.ServerID(i)
 		if share, _ := cp.shareOf(id); share > 0 && !cp.us.ct.nd.upstream(id).pooled {
-			fresh = append(fresh, id)
+			unopened = append(unopened, id)
 		}
 	}
-	cp.us.open(fresh)
+	cp.us.openPools(unopened)
 	for i := range cp.slots {
 		id := view.ServerID(i)
 		share, users := cp.shareOf(id)
-		cp.limit(cp.ramp.Set(now, id, share, users))
-		cp.use(now, id, share > 0)
+		cp.setLimits(cp.ramp.Set(now, id, share, users))
+		cp.setUsed(now, id, share > 0)
 	}
 }
 
@@ -178,8 +179,8 @@
 	return share, cp.planner.Users(sl.group.id)
 }
 
-// use takes a server into the maps and the polls, or out of them.
-func (cp *connPlan) use(now time.Duration, id view.ServerID, used bool) {
+// setUsed includes a server in the polls or removes it from the polls and maps.
+func (cp *connPlan) setUsed(now time.Duration, id view.ServerID, used bool) {
 	for int(id) >= len(cp.used) {
 		cp.used = append(cp.used, false)
 	}
@@ -190,7 +191,7 @@
 	cp.used[id] = used
 }
 
-func (cp *connPlan) limit(limits []conns.Limit) {
+func (cp *connPlan) setLimits(limits []conns.Limit) {
 	for _, li := range limits {
 		if up := cp.us.ct.nd.upstream(li.ID); up.pooled {
 			up.SetLimit(li.N)
@@ -200,10 +201,10 @@
 
 func (cp *connPlan) restart(now time.Duration, id view.ServerID) {
 	if int(id) < len(cp.slots) {
-		cp.limit(cp.ramp.Restart(now, id))
+		cp.setLimits(cp.ramp.Restart(now, id))
 	}
 }
 
 func (cp *connPlan) refused(now time.Duration, id view.ServerID, open int) {
-	cp.limit(cp.ramp.Refused(now, id, open))
+	cp.setLimits(cp.ramp.Refused(now, id, open))
 }
--- a/io/node/upstreams_place.go
+++ b/io/node/upstreams_place.go
@@ -9,15 +9,15 @@
 	"laburnumvane/core/view"
 )
 
-// place is one entry of a server in a configuration. A server, known by its
-// address, may stand in several registers and teams.
-type place struct {
+// serverEntry is one entry of a server in a team's configuration. A server, identified by its
+// address, may have entries in several registers and teams.
+type serverEntry struct {
 	team, register, service string
 	dataCentre              string
 	slots, connections      int
 }
 
-func (pl place) compare(other place) int {
+func (pl serverEntry) compare(other serverEntry) int {
 	return cmp.Or(
 		cmp.Compare(pl.team, other.team),
 		cmp.Compare(pl.register, other.register),
@@ -25,17 +25,17 @@
 	)
 }
 
-// group names the service that the connections are divided in.
-func (pl place) group() string {
+// group returns the name of the service whose connections are divided among the VMs.
+func (pl serverEntry) group() string {
 	return pl.team + "/" + pl.register + "/" + pl.service
 }
 
-// placement is where each server stands in the teams' configurations.
+// placement holds the entries of each server in the teams' configurations.
 type placement struct {
 	ids        map[string]view.ServerID
-	places     [][]place
+	entries    [][]serverEntry
 	byRegister map[view.RegisterKey][]view.ServerID
-	// byTeam are the servers that a team's document in force names.
+	// byTeam holds the servers that a team's document in force lists.
 	byTeam map[string][]view.ServerID
 }
 
@@ -47,10 +47,10 @@
 	}
 }
 
-// registersOf are the registers of one name that a server stands in.
+// registersOf returns the registers with a name, of any team, that a server has entries in.
 func (pc *placement) registersOf(id view.ServerID, register string) []view.RegisterKey {
 	var out []view.RegisterKey
-	for _, pl := range pc.places[id] {
+	for _, pl := range pc.entries[id] {
 		key := view.RegisterKey{Team: pl.team, Register: pl.register}
 		if pl.register == register && !slices.Contains(out, key) {
 			out = append(out, key)
@@ -59,13 +59,13 @@
 	return out
 }
 
-// placesIn lists the entries of a document by address.
-func placesIn(doc team.Document) map[string][]place {
-	out := make(map[string][]place)
+// entriesByAddr returns the server entries of a document by address.
+func entriesByAddr(doc team.Document) map[string][]serverEntry {
+	out := make(map[string][]serverEntry)
 	for register, rg := range doc.Registers {
 		for service, sc := range rg.Services {
 			for _, sr := range sc.Servers {
-				out[sr.Addr] = append(out[sr.Addr], place{
+				out[sr.Addr] = append(out[sr.Addr], serverEntry{
 					team: doc.Team, register: register, service: service, dataCentre: sr.DataCentre,
 					slots: sc.SlotsPerServer, connections: sc.ConnectionsPerServer,
 				})
@@ -75,9 +75,10 @@
 	return out
 }
 
-// put replaces a team's entries and returns the servers whose entries changed.
+// put replaces a team's entries. It returns the ids of the servers whose entries changed, and
+// the addresses of those that are new.
 func (pc *placement) put(doc team.Document) (changed []view.ServerID, added []string) {
-	in := placesIn(doc)
+	in := entriesByAddr(doc)
 	for addr := range in {
 		if _, ok := pc.ids[addr]; !ok {
 			added = append(added, addr)
@@ -85,20 +86,20 @@
 	}
 	slices.Sort(added)
 	for _, addr := range added {
-		pc.ids[addr] = view.ServerID(len(pc.places))
-		pc.places = append(pc.places, nil)
+		pc.ids[addr] = view.ServerID(len(pc.entries))
+		pc.entries = append(pc.entries, nil)
 	}
 	named := make([]view.ServerID, 0, len(in))
-	entries := make(map[view.ServerID][]place, len(in))
+	entries := make(map[view.ServerID][]serverEntry, len(in))
 	for addr, places := range in {
 		named = append(named, pc.ids[addr])
 		entries[pc.ids[addr]] = places
 	}
 	for _, id := range slices.Concat(pc.byTeam[doc.Team], named) {
-		next := slices.DeleteFunc(slices.Clone(pc.places[id]), func(pl place) bool { return pl.team == doc.Team })
+		next := slices.DeleteFunc(slices.Clone(pc.entries[id]), func(pl serverEntry) bool { return pl.team == doc.Team })
 		next = append(next, entries[id]...)
-		slices.SortFunc(next, place.compare)
-		if !slices.Equal(next, pc.places[id]) {
+		slices.SortFunc(next, serverEntry.compare)
+		if !slices.Equal(next, pc.entries[id]) {
 			pc.reindex(id, next)
 			changed = append(changed, id)
 		}
@@ -109,12 +110,12 @@
 }
 
 // reindex replaces a server's entries.
-func (pc *placement) reindex(id view.ServerID, next []place) {
-	for _, pl := range pc.places[id] {
+func (pc *placement) reindex(id view.ServerID, next []serverEntry) {
+	for _, pl := range pc.entries[id] {
 		key := view.RegisterKey{Team: pl.team, Register: pl.register}
 		pc.byRegister[key] = slices.DeleteFunc(pc.byRegister[key], func(other view.ServerID) bool { return other == id })
 	}
-	pc.places[id] = next
+	pc.entries[id] = next
 	for _, pl := range next {
 		key := view.RegisterKey{Team: pl.team, Register: pl.register}
 		if at, found := slices.BinarySearch(pc.byRegister[key], id); !found {
@@ -123,67 +124,67 @@
 	}
 }
 
-// placeServers takes a team's document: new servers get an id and connections,
-// those that it no longer has are drained, changed limits take effect.
-func (ct *control) placeServers(doc team.Document) {
-	us := ct.ups
-	changed, added := us.placed.put(doc)
-	us.add(added)
+// updateServers applies a team's document: new servers get an id and connections, servers that
+// are no longer listed are drained, and changed limits take effect.
+func (ct *control) updateServers(doc team.Document) {
+	us := ct.upstreams
+	changed, added := us.placement.put(doc)
+	us.addServers(added)
 	for _, id := range changed {
-		us.replace(id)
+		us.updateServer(id)
 	}
 	if len(changed) > 0 {
-		us.plan.placed(us.now(), changed)
+		us.plan.regroup(us.now(), changed)
 	}
-	us.dirty = true
+	us.viewChanged = true
 }
 
-// add takes new servers. Their connections come with a part of the plan: at
-// 32,000 servers pools for all would take 26 MB of the 64 that a node has for
-// control, and a VM uses some hundred of them.
-func (us *upstreams) add(addrs []string) {
+// addServers adds new servers without connection pools. A server gets a pool when this VM has a
+// share of its connections: with 32,000 servers, pools for all of them would take 26 MB of the
+// 64 MB that a VM has for control, and a VM uses only some hundred of them.
+func (us *upstreams) addServers(addrs []string) {
 	if len(addrs) == 0 {
 		return
 	}
 	nd := us.ct.nd
-	ups := slices.Clone(*nd.ups.Load())
+	ups := slices.Clone(*nd.upstreams.Load())
 	for _, addr := range addrs {
 		id := view.ServerID(len(ups))
-		ups = append(ups, &upstream{Server: us.none, id: id, nd: nd})
+		ups = append(ups, &upstream{Server: us.noServer, id: id, nd: nd})
 		us.states.Add(id, addr)
 		us.ct.view = us.ct.view.WithServer(view.Server{ID: id, Addr: addr})
 	}
 	nd.table.Grow(len(ups))
-	nd.ups.Store(&ups)
+	nd.upstreams.Store(&ups)
 	for i := len(ups) - len(addrs); i < len(ups); i++ {
-		us.show(view.ServerID(i))
+		us.updateView(view.ServerID(i))
 	}
 }
 
-// open makes the connections to servers that this VM begins to use. Traffic
-// knows none of them yet, so that their counts may begin anew.
-func (us *upstreams) open(ids []view.ServerID) {
+// openPools makes the connection pools of servers that this VM begins to use. No search has used
+// these servers yet, so their counters may start again at 0.
+func (us *upstreams) openPools(ids []view.ServerID) {
 	if len(ids) == 0 {
 		return
 	}
 	nd := us.ct.nd
-	ups := slices.Clone(*nd.ups.Load())
-	pools := slices.Clone(*nd.servers.Load())
+	ups := slices.Clone(*nd.upstreams.Load())
+	pools := slices.Clone(*nd.pools.Load())
 	for _, id := range ids {
 		pool := us.newServer(us.ct.view.ServerRef(id).Addr)
 		up := &upstream{Server: pool, id: id, nd: nd, pooled: true}
-		up.known(us.states.Status(id))
+		up.setStatus(us.states.Status(id))
 		ups[id] = up
 		pools = append(pools, pool)
 	}
-	nd.ups.Store(&ups)
-	nd.servers.Store(&pools)
+	nd.upstreams.Store(&ups)
+	nd.pools.Store(&pools)
 }
 
-// replace puts a server's entries into the view. The limits that several
-// entries give for one server are not added up: the lowest is safe for all.
-func (us *upstreams) replace(id view.ServerID) {
-	places := us.placed.places[id]
+// updateServer puts a server's entries into the view. If several entries have limits for one
+// server, the lowest applies, which satisfies all of them.
+func (us *upstreams) updateServer(id view.ServerID) {
+	places := us.placement.entries[id]
 	if len(places) == 0 {
 		us.step(id, server.Event{Kind: server.Removed})
 		us.maps.Set(id, nil)
--- a/io/node/upstreams_test.go
+++ b/io/node/upstreams_test.go
@@ -21,9 +21,9 @@
 	return doc
 }
 
-// The caller of either team finds a server that two of them share, and one that
-// holds two registers of one team: it has one id, so one state and one part of
-// its connections, and each team's removal takes that team's entries only.
+// Two teams share a server, which also holds two registers of one of the teams. It must have one
+// id, so that it has one state and one share of its connections, and both teams must find it. When
+// a team removes it, only that team's entries may go.
 func TestPlacementOfSharedServer(t *testing.T) {
 	is := is.New(t)
 	pc := newPlacement()
@@ -39,13 +39,13 @@
 
 	changed, _ = pc.put(docOf("wash", 30, map[string][]string{"members": {"b:1"}}))
 	is.Equal(changed, []view.ServerID{0})
-	is.Equal(len(pc.places[0]), 1)
+	is.Equal(len(pc.entries[0]), 1)
 	changed, _ = pc.put(docOf("pension", 25, nil))
 	is.Equal(changed, []view.ServerID{0})
-	is.Equal(len(pc.places[0]), 0) // in no configuration now
+	is.Equal(len(pc.entries[0]), 0) // no configuration lists it any more
 }
 
-// A changed limit takes effect, and an unchanged document changes nothing.
+// A changed limit must take effect, and an unchanged document must change nothing.
 func TestPlacementOfChangedLimit(t *testing.T) {
 	is := is.New(t)
 	pc := newPlacement()
@@ -55,5 +55,5 @@
 	is.Equal(len(changed), 0)
 	changed, _ = pc.put(docOf("wash", 40, registers))
 	is.Equal(changed, []view.ServerID{0})
-	is.Equal(pc.places[0][0].connections, 40)
+	is.Equal(pc.entries[0][0].connections, 40)
 }
