--- a/io/drive/admit.go
+++ b/io/drive/admit.go
@@ -19,48 +19,48 @@
 	"laburnumvane/io/wire"
 )
 
-// ReasonGone is the reason of a search whose caller went away while it waited.
-const ReasonGone = "callerGone"
+// ReasonCallerGone is the reason of a search whose caller disconnected while it was queued.
+const ReasonCallerGone = "callerGone"
 
-// queueWait is the meter of the time from arrival to being let in.
+// queueWait is the metric name of the time from arrival to admission.
 const queueWait = "latency.queueMs"
 
-// The VM's budget of extra work over all kinds of searches.
+// The VM's budget of extra work (hedges and retries) for all searches.
 const (
-	spareShare = 0.1
-	spareBurst = 100
+	extraShare = 0.1
+	extraBurst = 100
 )
 
-// The VM's budget of moves: sub-requests that go to a further server for a shard,
-// whatever became of the one before. Of those after a refusal that cost nothing
-// no search's own budget is asked, and where every server refuses, each search
-// would turn into as many messages as there are replicas. One for each primary
-// is enough to find the last replica of three that has not left.
+// The VM's budget of moves: sub-requests to a further server for a shard, whatever the result of
+// the one before. A search's own budgets don't limit moves after a refusal that cost nothing, so
+// if every server refused, each search would send as many messages as there are replicas. One move
+// for each primary suffices to find the last of three replicas if the other two are leaving.
 const (
 	moveShare = 1
 	moveBurst = 1000
 )
 
-// placeEvery bounds how often a view that brings no new server is looked
-// through for servers that leave.
-const placeEvery = 50 * time.Millisecond
+// minUpdateInterval is the minimum interval at which views without new servers are searched for
+// leaving servers.
+const minUpdateInterval = 50 * time.Millisecond
 
-// admission decides which searches may start, and counts their sub-requests
-// against what each server may take.
+// admission decides which searches may start, and counts their sub-requests against each server's
+// limit.
 type admission struct {
 	dr     *Driver
 	limits *limit.Table
-	spare  *budget.Budget
+	extra  *budget.Budget
 	moves  *budget.Budget
-	// placed is the view whose servers limits knows, placeAt the earliest time
-	// for the next.
-	placed  atomic.Pointer[view.View]
-	placeAt atomic.Int64
-	placing sync.Mutex
-	doors   sync.Map // limit.PoolKey to *door
-	teams   sync.Map // team's name to admit.TeamID
-	nextID  atomic.Uint32
-	// admitted is by class; it and waited are looked up once.
+	// lastView is the view that limits was last updated from, nextUpdate the earliest time of
+	// the next update.
+	lastView   atomic.Pointer[view.View]
+	nextUpdate atomic.Int64
+	updateMu   sync.Mutex
+	queues     sync.Map // *admissionQueue by limit.PoolKey
+	teams      sync.Map // admit.TeamID by team name
+	nextID     atomic.Uint32
+	// admitted counts admitted searches by class, and waited records their time in the queue.
+	// Both are looked up once.
 	admitted [admit.Classes]metrics.Counter
 	waited   metrics.Histogram
 }
@@ -69,7 +69,7 @@
 	ad := &admission{
 		dr:     dr,
 		limits: limit.New(limit.Config{}),
-		spare:  budget.New(budget.Config{Share: spareShare, Burst: spareBurst}),
+		extra:  budget.New(budget.Config{Share: extraShare, Burst: extraBurst}),
 		moves:  budget.New(budget.Config{Share: moveShare, Burst: moveBurst}),
 		waited: dr.cfg.Meter.Histogram(queueWait),
 	}
@@ -79,18 +79,18 @@
 	return ad
 }
 
-// Waiting is the number of searches in the queues of all registers.
+// Waiting returns the number of queued searches of all registers.
 func (dr *Driver) Waiting() int {
 	n := 0
-	dr.admission.doors.Range(func(_, do any) bool {
-		n += int(do.(*door).waiting.Load())
+	dr.admission.queues.Range(func(_, aq any) bool {
+		n += int(aq.(*admissionQueue).waiting.Load())
 		return true
 	})
 	return n
 }
 
-// ServerLimit is how many sub-requests this VM may have in flight on a server,
-// by what replies showed; 0 if no search has met it yet.
+// ServerLimit returns the adaptive limit of this VM's sub-requests in flight on a server, or 0 if
+// no search has used the server yet.
 func (dr *Driver) ServerLimit(id view.ServerID) float64 {
 	if int(id) >= dr.admission.limits.Len() {
 		return 0
@@ -98,59 +98,59 @@
 	return dr.admission.limits.Limit(id)
 }
 
-// pass is a search that was let in.
-type pass struct {
-	ad     *admission
-	do     *door
-	bucket *share.Bucket
-	class  admit.Class
-	at     time.Duration
-	// waited is the time in the queue; it is part of the caller's deadline.
-	waited time.Duration
-	begun  bool
-	// free is set where limits are off.
-	free bool
+// admittedSearch is a search that was admitted.
+type admittedSearch struct {
+	ad        *admission
+	queue     *admissionQueue
+	bucket    *share.Bucket
+	class     admit.Class
+	startedAt time.Duration
+	// waited is the time in the queue, which counts towards the caller's deadline.
+	waited    time.Duration
+	confirmed bool
+	// unlimited is set if limits are off.
+	unlimited bool
 }
 
-// enter lets a search in, after a wait where need be, or refuses it. Nothing
-// has been sent for it, so a refusal's notRun is the truth.
-func (ad *admission) enter(ctx context.Context, vw *view.View, rq wire.SearchRequest, conf team.Search, cost int) (*pass, *wire.SearchAnswer) {
+// admit admits a search, if necessary after a wait in the queue, or refuses it. Nothing was sent
+// for a refused search, so notRun is the correct outcome.
+func (ad *admission) admit(ctx context.Context, vw *view.View, rq wire.SearchRequest, conf team.Search, cost int) (*admittedSearch, *wire.SearchAnswer) {
 	now := ad.dr.now()
-	ad.place(now, vw)
-	ps := &pass{
-		ad:     ad,
-		do:     ad.door(limit.PoolKey{Team: rq.Team, Register: conf.Register}),
-		bucket: ad.bucket(rq.Team),
-		class:  admit.ClassOf(conf.Class),
-		at:     now,
+	ad.updateServers(now, vw)
+	as := &admittedSearch{
+		ad:        ad,
+		queue:     ad.queueOf(limit.PoolKey{Team: rq.Team, Register: conf.Register}),
+		bucket:    ad.bucket(rq.Team),
+		class:     admit.ClassOf(conf.Class),
+		startedAt: now,
 	}
 	if ad.dr.cfg.Unlimited {
-		ps.free = true
-		return ps, nil
+		as.unlimited = true
+		return as, nil
 	}
-	if ps.bucket != nil {
-		if re, after := ps.bucket.Take(now); re != "" {
+	if as.bucket != nil {
+		if re, after := as.bucket.Take(now); re != "" {
 			return nil, ad.refuse(string(re), after)
 		}
 	}
 	ar := admit.Request{
-		Class:    ps.class,
+		Class:    as.class,
 		Team:     ad.team(rq.Team),
 		Cost:     int32(max(1, cost)),
-		Deadline: now + ad.dr.budgetOf(rq, conf),
+		Deadline: now + ad.dr.timeLimitOf(rq, conf),
 	}
-	vd := ps.do.offer(ctx, ad.dr, ar)
+	vd := as.queue.offer(ctx, ad.dr, ar)
 	if !vd.start {
-		if ps.bucket != nil {
-			ps.bucket.GiveBack()
+		if as.bucket != nil {
+			as.bucket.GiveBack()
 		}
-		return nil, ad.refuse(vd.reason, vd.after)
+		return nil, ad.refuse(vd.reason, vd.retryAfter)
 	}
-	ps.waited = ad.dr.now() - now
-	ps.at += ps.waited
-	ad.admitted[ps.class].Inc(1)
-	ad.waited.Update(ps.waited.Microseconds())
-	return ps, nil
+	as.waited = ad.dr.now() - now
+	as.startedAt += as.waited
+	ad.admitted[as.class].Inc(1)
+	ad.waited.Update(as.waited.Microseconds())
+	return as, nil
 }
 
 func (ad *admission) refuse(reason string, after time.Duration) *wire.SearchAnswer {
@@ -159,62 +159,62 @@
 	return &an
 }
 
-// start tells that the first sub-requests are counted in the limits.
-func (ps *pass) start() {
-	if ps.free {
+// confirmStart confirms that the first sub-requests are counted in the limits.
+func (as *admittedSearch) confirmStart() {
+	if as.unlimited {
 		return
 	}
-	ps.begun = true
-	ps.do.with(ps.ad.dr, func(mc *machine) { mc.Begun() })
+	as.confirmed = true
+	as.queue.update(as.ad.dr, func(mc *machine) { mc.Begun() })
 }
 
-// leave ends the search.
-func (ps *pass) leave(behind bool) {
-	if ps.free {
+// finish ends the search. NoWorker is set if sub-requests were not sent for lack of workers.
+func (as *admittedSearch) finish(noWorker bool) {
+	if as.unlimited {
 		return
 	}
-	now := ps.ad.dr.now()
-	ps.do.with(ps.ad.dr, func(mc *machine) {
-		if !ps.begun {
+	now := as.ad.dr.now()
+	as.queue.update(as.ad.dr, func(mc *machine) {
+		if !as.confirmed {
 			mc.Begun()
 		}
-		mc.Done(now, ps.class, now-ps.at, behind)
+		mc.Done(now, as.class, now-as.startedAt, noWorker)
 	})
-	if ps.bucket != nil {
-		ps.bucket.Give()
+	if as.bucket != nil {
+		as.bucket.Give()
 	}
 }
 
-// begin counts a sub-request against its server's limit.
-func (ps *pass) begin(id view.ServerID) {
-	if int(id) >= ps.ad.limits.Len() {
-		// A search that started over on a newer view.
-		ps.ad.place(ps.ad.dr.now(), ps.ad.dr.cfg.View())
+// beginSubRequest counts a sub-request against its server's limit.
+func (as *admittedSearch) beginSubRequest(id view.ServerID) {
+	if int(id) >= as.ad.limits.Len() {
+		// The search has started over on a newer view.
+		as.ad.updateServers(as.ad.dr.now(), as.ad.dr.cfg.View())
 	}
-	ps.ad.limits.Begin(ps.ad.dr.now(), id)
+	as.ad.limits.Begin(as.ad.dr.now(), id)
 }
 
-// end settles a sub-request, and lets in who waited for its room.
-func (ps *pass) end(id view.ServerID, sa limit.Sample) {
-	ps.ad.limits.End(ps.ad.dr.now(), id, sa)
-	if ps.do.waiting.Load() > 0 {
-		ps.do.with(ps.ad.dr, func(*machine) {})
+// endSubRequest records a sub-request's result, and admits queued searches that now have capacity.
+func (as *admittedSearch) endSubRequest(id view.ServerID, sa limit.Sample) {
+	as.ad.limits.End(as.ad.dr.now(), id, sa)
+	if as.queue.waiting.Load() > 0 {
+		as.queue.update(as.ad.dr, func(*machine) {})
 	}
 }
 
-// place puts new servers into the limits, and takes those that leave out of the
-// sum of their group.
-func (ad *admission) place(now time.Duration, vw *view.View) {
-	// Only the table's own length tells that a server is there: another search
-	// may be about to place the servers of the very same view.
-	seen := ad.placed.Load() == vw || int64(now) < ad.placeAt.Load()
+// updateServers adds new servers to the limits, and excludes leaving servers from their group's
+// limit.
+func (ad *admission) updateServers(now time.Duration, vw *view.View) {
+	// Only the table's length shows which servers it has: another search may be adding the servers
+	// of the same view at the moment.
+	seen := ad.lastView.Load() == vw || int64(now) < ad.nextUpdate.Load()
 	if seen && ad.limits.Len() >= vw.Len() {
 		return
 	}
-	ad.placing.Lock()
-	defer ad.placing.Unlock()
-	ad.placed.Store(vw)
-	ad.placeAt.Store(int64(now + placeEvery))
+	ad.updateMu.Lock()
+	defer ad.updateMu.Unlock()
+	ad.lastView.Store(vw)
+	ad.nextUpdate.Store(int64(now + minUpdateInterval))
 	for i := range vw.Len() {
 		id := view.ServerID(i)
 		sv := vw.ServerRef(id)
@@ -225,13 +225,13 @@
 	}
 }
 
-func (ad *admission) door(key limit.PoolKey) *door {
-	if do, ok := ad.doors.Load(key); ok {
-		return do.(*door)
+func (ad *admission) queueOf(key limit.PoolKey) *admissionQueue {
+	if aq, ok := ad.queues.Load(key); ok {
+		return aq.(*admissionQueue)
 	}
 	pl := ad.limits.Pool(key)
-	do, _ := ad.doors.LoadOrStore(key, &door{machine: admit.New[*waiter](admit.Config{Room: pl.Room})})
-	return do.(*door)
+	aq, _ := ad.queues.LoadOrStore(key, &admissionQueue{machine: admit.New[*waiter](admit.Config{Room: pl.Room})})
+	return aq.(*admissionQueue)
 }
 
 func (ad *admission) bucket(name string) *share.Bucket {
@@ -241,7 +241,7 @@
 	return ad.dr.cfg.Bucket(name)
 }
 
-// team gives each team a small number.
+// team returns a team's number, and assigns one if the team is new.
 func (ad *admission) team(name string) admit.TeamID {
 	if id, ok := ad.teams.Load(name); ok {
 		return id.(admit.TeamID)
@@ -250,11 +250,11 @@
 	return id.(admit.TeamID)
 }
 
-// sampleOf is what the end of a sub-request tells the limits. One that was given
-// up tells how long the server had had it; one that never left tells nothing.
-func (at *attempt) sampleOf(result pick.Result, rp wire.ShardReply, took time.Duration) limit.Sample {
+// limitSample returns what a sub-request's result means for the server's limit. A cancelled
+// sub-request still shows how long the server had it; one that was not sent shows nothing.
+func (at *attempt) limitSample(result pick.Result, rp wire.ShardReply, latency time.Duration) limit.Sample {
 	if result == pick.Nothing && !at.cancelled.Load() {
-		took = 0
+		latency = 0
 	}
 	kinds := [...]limit.Kind{
 		pick.Nothing: limit.Neutral,
@@ -264,7 +264,7 @@
 	}
 	return limit.Sample{
 		Kind:    kinds[result],
-		Latency: took,
+		Latency: latency,
 		Running: rp.Load.InFlight,
 		Queued:  rp.Load.Queued,
 	}
--- a/io/drive/bench_test.go
+++ b/io/drive/bench_test.go
@@ -8,17 +8,17 @@
 	"laburnumvane/io/wire"
 )
 
-// The whole cost of a search in this VM, but for HTTP on both sides: upstreams
-// in memory answer at once.
+// BenchmarkSearch measures the whole cost of a search on this VM except HTTP on both sides:
+// in-memory upstreams answer at once.
 func BenchmarkSearch(b *testing.B) {
 	for _, shards := range []int{10, 270} {
 		b.Run(fmt.Sprintf("shards=%d", shards), func(b *testing.B) {
 			up := &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) { return reply(rq, shards), nil }}
-			ri := newRig(b, rigConfig{shards: shards, workers: 4096, up: up, search: kiosk()})
+			fx := newFixture(b, fixtureConfig{shards: shards, workers: 4096, up: up, search: kiosk()})
 			ctx := context.Background()
 			b.ReportAllocs()
 			for b.Loop() {
-				if an := ri.dr.Search(ctx, searchRequest()); an.Outcome != wire.OutcomeComplete {
+				if an := fx.dr.Search(ctx, searchRequest()); an.Outcome != wire.OutcomeComplete {
 					b.Fatal(an.Outcome, an.Reason)
 				}
 			}
--- a/io/drive/counts.go
+++ b/io/drive/counts.go
@@ -9,24 +9,24 @@
 	"laburnumvane/io/meter"
 )
 
-// latencySample is one in how many sub-requests the latency histogram is given.
-const latencySample = 8
+// latencySampleInterval: one of this many sub-requests is recorded in the latency histogram.
+const latencySampleInterval = 8
 
-// counts are the meters touched by each sub-request, looked up once: to find
-// them by name takes the registry's lock and makes a string each time.
+// counts holds the metrics that each sub-request updates. They are looked up once, since a lookup
+// by name takes the registry's lock and allocates a string.
 type counts struct {
-	primary metrics.Counter
-	hedge   metrics.Counter
-	retry   metrics.Counter
-	took    metrics.Histogram
+	primary    metrics.Counter
+	hedge      metrics.Counter
+	retry      metrics.Counter
+	subLatency metrics.Histogram
 }
 
 func newCounts(mt *meter.Meter) counts {
 	return counts{
-		primary: mt.Counter(meter.Sent, "primary"),
-		hedge:   mt.Counter(meter.Sent, "hedge"),
-		retry:   mt.Counter(meter.Sent, "retry"),
-		took:    mt.Histogram(meter.SubLatency),
+		primary:    mt.Counter(meter.Sent, "primary"),
+		hedge:      mt.Counter(meter.Sent, "hedge"),
+		retry:      mt.Counter(meter.Sent, "retry"),
+		subLatency: mt.Histogram(meter.SubLatency),
 	}
 }
 
@@ -41,11 +41,11 @@
 	}
 }
 
-// latency keeps one sub-request in latencySample: the histogram's lock and heap
-// cost a tenth of a search over many shards. Which one varies from search to
-// search, so that no shard is left out.
-func (co *counts) latency(id search.SubID, took time.Duration) {
-	if (id.Search+uint64(id.Attempt))%latencySample == 0 {
-		co.took.Update(took.Microseconds())
+// observeLatency records one of latencySampleInterval sub-requests: the histogram's lock and heap
+// would otherwise cost a tenth of a search over many shards. The recorded shards vary from search
+// to search, so that no shard is left out.
+func (co *counts) observeLatency(id search.SubID, latency time.Duration) {
+	if (id.Search+uint64(id.Attempt))%latencySampleInterval == 0 {
+		co.subLatency.Update(latency.Microseconds())
 	}
 }
--- a/io/drive/doc.go
+++ b/io/drive/doc.go
@@ -1,18 +1,15 @@
-// Package drive takes callers' searches through a VM: it reads the team's
-// configuration from the published view, judges tickets, and performs what the
-// search machine decides.
+// Package drive runs callers' searches on a VM. It reads the team's configuration from the
+// published view, checks tickets, and performs the actions of the search state machine.
 //
 // # Usage
 //
 //	dr := drive.New(drive.Config{View: published.Load, Upstream: servers.Of, ...})
 //	answer := dr.Search(ctx, request)
 //
-// Answers, requests and events hold memory of their own: a sub-request may
-// outlive the search, and a search the handler that brought it, while the HTTP
-// library recycles its buffers.
+// Answers, requests and events own their memory: a sub-request may outlive its search, and a
+// search the HTTP handler that started it, while the HTTP library reuses its buffers.
 //
-// A Driver is used from many goroutines at once. Each search has one goroutine
-// that owns its machine; sub-requests run on the worker pool and hand their
-// events over through a mailbox, so that none of them ever waits for a search
-// that has already been answered.
+// A Driver is safe for concurrent use. Each search has one goroutine that owns its state machine.
+// Sub-requests run on the worker pool and pass their events through a mailbox, so that they never
+// wait for a search that has already been answered.
 package drive
--- a/io/drive/drive_test.go
+++ b/io/drive/drive_test.go
@@ -14,8 +14,8 @@
 	"laburnumvane/io/wire"
 )
 
-// What the caller of one search over four shards is told, by what happened to
-// the sub-request of shard 2.
+// One of four shards fails in various ways. The search must be partial, with a reason and a metric
+// that name the failure.
 func TestOneShardFails(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -27,7 +27,7 @@
 		counted  string
 	}{
 		{
-			name: "another's reply",
+			name: "reply with another id",
 			answer: func(rq wire.ShardRequest) (wire.ShardReply, error) {
 				rp := reply(rq, shards)
 				rp.ID = "1.999.0"
@@ -36,14 +36,14 @@
 			answered: 3, reason: "foreignReply", family: meter.Dropped, counted: "foreign",
 		},
 		{
-			name: "its connection went silent",
+			name: "connection silent",
 			answer: func(wire.ShardRequest) (wire.ShardReply, error) {
 				return wire.ShardReply{}, &upst.Error{Kind: upst.KindSilent, Sent: true}
 			},
 			answered: 3, reason: "silent", family: meter.Upstream, counted: "silent",
 		},
 		{
-			name: "no connection could be had",
+			name: "no connection",
 			answer: func(wire.ShardRequest) (wire.ShardReply, error) {
 				return wire.ShardReply{}, &upst.Error{Kind: upst.KindBackoff}
 			},
@@ -59,19 +59,19 @@
 				}
 				return reply(rq, shards), nil
 			}}
-			se := team.Search{HardDeadlineMs: patience.Milliseconds(), HitLimit: 5}
-			ri := newRig(t, rigConfig{shards: shards, workers: 64, up: up, search: se})
-			an := ri.dr.Search(context.Background(), searchRequest())
+			se := team.Search{HardDeadlineMs: testTimeout.Milliseconds(), HitLimit: 5}
+			fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: se})
+			an := fx.dr.Search(context.Background(), searchRequest())
 			is.Equal(an.Outcome, wire.OutcomePartial)
 			is.Equal(an.Coverage.Answered, tc.answered)
 			is.Equal(an.Reason, tc.reason)
-			is.True(ri.mt.Value(tc.family, tc.counted) >= 1)
+			is.True(fx.mt.Value(tc.family, tc.counted) >= 1)
 		})
 	}
 }
 
-// A shard's reply comes after the answer has gone out at the deadline. It is
-// dropped and counted, and its sub-request was given up by name.
+// A shard's reply comes after the search was answered at its deadline. The reply must be dropped
+// and counted, and its sub-request must have been cancelled by its id.
 func TestReplyAfterAnswer(t *testing.T) {
 	is := is.New(t)
 	free := make(chan struct{})
@@ -94,40 +94,40 @@
 		},
 	}
 	se := team.Search{HardDeadlineMs: 50, HitLimit: 5}
-	ri := newRig(t, rigConfig{shards: shards, workers: 64, up: up, search: se})
-	an := ri.dr.Search(context.Background(), searchRequest())
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: se})
+	an := fx.dr.Search(context.Background(), searchRequest())
 	is.Equal(an.Outcome, wire.OutcomePartial)
 	is.Equal(an.Coverage.Answered, 3)
 	close(free)
-	ri.dr.Wait()
-	is.Equal(ri.mt.Value(meter.Dropped, "afterAnswer"), int64(1))
+	fx.dr.Wait()
+	is.Equal(fx.mt.Value(meter.Dropped, "afterAnswer"), int64(1))
 	mu.Lock()
 	defer mu.Unlock()
 	is.True(asked != "")
 	is.Equal(cancelled, asked)
 }
 
-// All workers are busy: nothing was sent, and the caller may try again at once
-// elsewhere.
+// All workers are busy, so that nothing is sent. The outcome must be notRun, with which the caller
+// may try again at once on another VM.
 func TestNoWorker(t *testing.T) {
 	is := is.New(t)
 	blocked := make(chan struct{})
 	defer close(blocked)
 	up := &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) { return reply(rq, shards), nil }}
-	ri := newRig(t, rigConfig{shards: shards, workers: 1, up: up, search: kiosk()})
-	is.NoErr(ri.workers.Submit(func() { <-blocked }))
-	an := ri.dr.Search(context.Background(), searchRequest())
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 1, up: up, search: kiosk()})
+	is.NoErr(fx.workers.Submit(func() { <-blocked }))
+	an := fx.dr.Search(context.Background(), searchRequest())
 	is.Equal(an.Outcome, wire.OutcomeNotRun)
-	is.True(ri.mt.Value(meter.Upstream, "workers") >= shards)
+	is.True(fx.mt.Value(meter.Upstream, "workers") >= shards)
 	is.Equal(an.Coverage.Answered, 0)
 }
 
-// Many searches run at once while their callers leave at random moments: each
-// gets its own answer or none, and nothing is left over.
+// Many searches run concurrently while their callers disconnect at various moments. Each caller
+// must get its own answer or none, and no search may remain in flight.
 func TestCallersLeave(t *testing.T) {
 	is := is.New(t)
 	up := &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) { return reply(rq, shards), nil }}
-	ri := newRig(t, rigConfig{shards: shards, workers: 256, up: up, search: kiosk()})
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 256, up: up, search: kiosk()})
 	var wg sync.WaitGroup
 	for i := range 200 {
 		wg.Add(1)
@@ -135,13 +135,13 @@
 			defer wg.Done()
 			ctx, cancel := context.WithTimeout(context.Background(), time.Duration(i)*10*time.Microsecond)
 			defer cancel()
-			an := ri.dr.Search(ctx, searchRequest())
+			an := fx.dr.Search(ctx, searchRequest())
 			if an.Outcome == wire.OutcomeComplete && len(an.Hits) != shards {
 				t.Errorf("%d hits", len(an.Hits))
 			}
 		}()
 	}
 	wg.Wait()
-	ri.dr.Wait()
-	is.Equal(ri.dr.InFlight(), 0)
+	fx.dr.Wait()
+	is.Equal(fx.dr.InFlight(), 0)
 }
--- a/io/drive/driver.go
+++ b/io/drive/driver.go
@@ -22,13 +22,13 @@
 	"laburnumvane/io/wire"
 )
 
-// Upstream is what a driver asks of one server.
+// Upstream sends sub-requests to one server.
 type Upstream interface {
 	Search(ctx context.Context, rq wire.ShardRequest) (wire.ShardReply, error)
-	// SearchOnce is Search for what must not be repeated: it avoids whatever
-	// could lose the request after it was sent.
+	// SearchOnce is like Search for a sub-request that must not be repeated. It avoids
+	// connections on which the request could be lost after it was sent.
 	SearchOnce(ctx context.Context, rq wire.ShardRequest) (wire.ShardReply, error)
-	// Cancel gives up a sub-request; it does not wait.
+	// Cancel abandons a sub-request by its id, without waiting.
 	Cancel(id string)
 }
 
@@ -37,13 +37,13 @@
 	Run(ctx context.Context, to ticket.Issuer, rq wire.SearchRequest) (wire.SearchAnswer, error)
 }
 
-// Observer is told what replies show about a server.
+// Observer receives the result of each exchange with a server.
 type Observer interface {
 	Replied(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal)
 	Failed(id view.ServerID, kind string)
 }
 
-// Config sets a driver. All fields but Bucket are required.
+// Config configures a Driver. All fields but Bucket are required.
 type Config struct {
 	View     func() *view.View
 	Upstream func(view.ServerID) Upstream
@@ -53,63 +53,63 @@
 	Observe  Observer
 	Meter    *meter.Meter
 	Tickets  ticket.Config
-	// Incarnation makes the ids of sub-requests unique over restarts.
+	// Incarnation makes the ids of sub-requests unique across restarts.
 	Incarnation uint64
-	// MaxDeadline bounds the deadline that a caller may ask for.
+	// MaxDeadline bounds the deadline that a caller may set.
 	MaxDeadline time.Duration
-	// Bucket returns the bucket that holds a team to its limits; nil, or one
-	// that returns nil, means no limit.
+	// Bucket returns the bucket that enforces a team's limits. If Bucket is nil or returns
+	// nil, there is no limit.
 	Bucket func(team string) *share.Bucket
-	// Unlimited lets every search in at once, by no limit but the deadline. It
-	// is the other side of a measurement, and for no VM that serves.
+	// Unlimited admits every search at once, with no limit but the deadline. It is the
+	// baseline of measurements and not for production.
 	Unlimited bool
 	// Seed seeds the choice of replicas.
 	Seed uint64
 }
 
-// Driver takes searches.
+// Driver runs searches.
 type Driver struct {
-	cfg     Config
-	start   time.Time
-	numbers atomic.Uint64
-	active  sync.WaitGroup
-	flight  atomic.Int64
-	kinds   sync.Map
-	tickets *gate
-	counts  counts
+	cfg        Config
+	started    time.Time
+	lastNumber atomic.Uint64
+	active     sync.WaitGroup
+	inFlight   atomic.Int64
+	kinds      sync.Map
+	tickets    *ticketTable
+	counts     counts
 	// admission decides which searches may start.
 	admission *admission
-	// prefix begins the ids of all sub-requests of this process.
-	prefix string
+	// idPrefix is the prefix of the ids of all sub-requests of this process.
+	idPrefix string
 }
 
-// New makes a driver.
+// New returns a driver, which is ready at once.
 func New(cfg Config) *Driver {
-	dr := &Driver{cfg: cfg, start: time.Now()}
-	dr.tickets = newGate(cfg.Tickets)
+	dr := &Driver{cfg: cfg, started: time.Now()}
+	dr.tickets = newTicketTable(cfg.Tickets)
 	dr.counts = newCounts(cfg.Meter)
 	dr.admission = newAdmission(dr)
-	dr.prefix = strconv.FormatUint(cfg.Incarnation, 36) + "."
+	dr.idPrefix = strconv.FormatUint(cfg.Incarnation, 36) + "."
 	return dr
 }
 
-// InFlight is the number of searches under way.
+// InFlight returns the number of searches in flight, including queued ones.
 func (dr *Driver) InFlight() int {
-	return int(dr.flight.Load())
+	return int(dr.inFlight.Load())
 }
 
-// Wait returns when no search and no sub-request is under way.
+// Wait returns when no search and no sub-request is in flight.
 func (dr *Driver) Wait() {
 	dr.active.Wait()
 }
 
-// now is monotonic and counts from the start of the process.
+// now returns the monotonic time since the driver's start.
 func (dr *Driver) now() time.Duration {
-	return time.Since(dr.start)
+	return time.Since(dr.started)
 }
 
-// kind is what searches of one kind share.
-type kind struct {
+// searchKind is the state shared by all runs of one configured search.
+type searchKind struct {
 	conf    team.Search
 	tracker *hedge.Tracker
 	hedges  *budget.Budget
@@ -128,11 +128,11 @@
 	retryRounds = 5
 )
 
-func (dr *Driver) kindOf(key kindKey, conf team.Search) *kind {
-	if got, ok := dr.kinds.Load(key); ok && got.(*kind).conf == conf {
-		return got.(*kind)
+func (dr *Driver) kindOf(key kindKey, conf team.Search) *searchKind {
+	if got, ok := dr.kinds.Load(key); ok && got.(*searchKind).conf == conf {
+		return got.(*searchKind)
 	}
-	kd := &kind{
+	kd := &searchKind{
 		conf: conf,
 		tracker: hedge.New(hedge.Config{
 			Quantile: conf.Hedge.Quantile,
@@ -150,11 +150,11 @@
 	return rand.New(rand.NewPCG(dr.cfg.Seed, number))
 }
 
-// chooser makes the chooser of one search.
+// chooser returns the chooser of one search's servers.
 func (dr *Driver) chooser(now time.Duration, vw *view.View, number uint64, once bool) search.Chooser {
 	ch := dr.cfg.Table.Chooser(now, vw, dr.random(number))
 	if once {
 		ch = ch.WithoutProbes()
 	}
-	return roomy{inner: ch, ad: dr.admission, blind: dr.cfg.Unlimited}
+	return capacityChooser{inner: ch, ad: dr.admission, unlimited: dr.cfg.Unlimited}
 }
--- a/io/drive/event.go
+++ b/io/drive/event.go
@@ -11,16 +11,14 @@
 	"laburnumvane/io/wire"
 )
 
-// eventOf turns the end of an exchange into the search's event. The name is
-// that of the request.
+// eventOf converts the result of an exchange to an event of the search. Name is the request's id.
 func (dr *Driver) eventOf(at *attempt, name string, rp *wire.ShardReply, err error) search.Event {
 	ac := &at.ac
 	if err != nil {
-		return dr.failed(at, err)
+		return dr.failureEvent(at, err)
 	}
 	if rp.ID != name {
-		// Two exchanges got mixed up on the way: the reply belongs to
-		// somebody else and must not be shown.
+		// The reply belongs to another exchange and must not be shown to this caller.
 		dr.cfg.Meter.Count(meter.Dropped, "foreign")
 		return search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "foreignReply", Sent: true}
 	}
@@ -32,7 +30,7 @@
 			Sub:          ac.Sub,
 			Reason:       string(rp.Refusal),
 			SnapshotGone: rp.Refusal == wire.RefusalSnapshotGone,
-			Elsewhere:    elsewhere(rp.Refusal),
+			Elsewhere:    isElsewhere(rp.Refusal),
 			RetryAfter:   time.Duration(rp.RetryAfterMs) * time.Millisecond,
 		}
 	}
@@ -47,7 +45,7 @@
 	}
 }
 
-func (dr *Driver) failed(at *attempt, err error) search.Event {
+func (dr *Driver) failureEvent(at *attempt, err error) search.Event {
 	reason := "internal"
 	sent := true
 	var ue *upst.Error
@@ -56,21 +54,21 @@
 		sent = ue.Sent
 	}
 	if at.cancelled.Load() {
-		// This VM gave it up itself; its end says nothing of the server.
+		// This VM abandoned the sub-request, so the error says nothing about the server.
 		return search.Event{Kind: search.EvFailed, Sub: at.ac.Sub, Reason: search.ReasonCancelled, Sent: sent}
 	}
 	dr.cfg.Meter.Count(meter.Upstream, reason)
-	if !ours(reason) {
+	if !isLocalFailure(reason) {
 		dr.cfg.Observe.Failed(at.ac.Server, reason)
 	}
 	return search.Event{Kind: search.EvFailed, Sub: at.ac.Sub, Reason: reason, Sent: sent}
 }
 
-// ours tells whether a failure is a shortage of this VM and says nothing of the
-// server.
-func ours(reason string) bool {
+// isLocalFailure reports whether a failure is a shortage of resources on this VM and says nothing
+// about the server.
+func isLocalFailure(reason string) bool {
 	switch reason {
-	case ReasonWorkers, string(upst.KindNoConn), string(upst.KindExpired), string(upst.KindClosed):
+	case ReasonNoWorker, string(upst.KindNoConn), string(upst.KindExpired), string(upst.KindClosed):
 		return true
 	default:
 		return false
--- a/io/drive/help_test.go
+++ b/io/drive/fixture_test.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	teamName = "wash"
-	patience = 20 * time.Second
+	teamName    = "wash"
+	testTimeout = 20 * time.Second
 )
 
-// upstream answers in memory.
+// upstream is an in-memory upstream server.
 type upstream struct {
 	answer func(rq wire.ShardRequest) (wire.ShardReply, error)
 	cancel func(id string)
@@ -45,20 +45,20 @@
 	}
 }
 
-// nobody watches.
-type nobody struct{}
+// nopObserver ignores all results.
+type nopObserver struct{}
 
-func (nobody) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (nobody) Failed(view.ServerID, string)                           {}
+func (nopObserver) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
+func (nopObserver) Failed(view.ServerID, string)                           {}
 
-// noForward has no other VMs.
-type noForward struct{}
+// nopForwarder fails to forward any search.
+type nopForwarder struct{}
 
-func (noForward) Run(context.Context, ticket.Issuer, wire.SearchRequest) (wire.SearchAnswer, error) {
+func (nopForwarder) Run(context.Context, ticket.Issuer, wire.SearchRequest) (wire.SearchAnswer, error) {
 	return wire.SearchAnswer{}, context.Canceled
 }
 
-// hits are made ahead, so that a benchmark does not count them.
+// hits are allocated in advance, so that benchmarks don't count them.
 var hits = func() []wire.Hit {
 	out := make([]wire.Hit, 300)
 	for i := range out {
@@ -67,7 +67,7 @@
 	return out
 }()
 
-// reply is a whole answer of one shard.
+// reply returns a complete reply of one shard.
 func reply(rq wire.ShardRequest, shards int) wire.ShardReply {
 	return wire.ShardReply{
 		ID:       rq.ID,
@@ -79,35 +79,35 @@
 	}
 }
 
-// rig is a driver over upstreams in memory.
-type rig struct {
+// fixture is a driver with in-memory upstreams.
+type fixture struct {
 	tb      testing.TB
 	dr      *drive.Driver
 	mt      *meter.Meter
 	workers *ants.Pool
 }
 
-type rigConfig struct {
+type fixtureConfig struct {
 	shards  int
 	workers int
 	up      *upstream
 	forward drive.Forwarder
 	tickets ticket.Config
 	search  team.Search
-	// more are further searches by name.
-	more   map[string]team.Search
-	bucket func(string) *share.Bucket
-	// bare leaves the view empty, as on a VM without configuration.
-	bare bool
-	// upOf gives each server its own upstream in place of up.
+	// moreSearches are further searches by name.
+	moreSearches map[string]team.Search
+	bucket       func(string) *share.Bucket
+	// noConfig leaves the view empty, as on a VM without configuration.
+	noConfig bool
+	// upOf returns the upstream of each server, in place of up.
 	upOf func(view.ServerID) *upstream
 }
 
-func newRig(tb testing.TB, cfg rigConfig) *rig {
+func newFixture(tb testing.TB, cfg fixtureConfig) *fixture {
 	tb.Helper()
 	is := is.New(tb)
 	vw := view.View{}
-	if !cfg.bare {
+	if !cfg.noConfig {
 		vw = viewOf(cfg)
 	}
 	table := pick.New(pick.Config{DataCentre: "east"})
@@ -116,29 +116,29 @@
 	is.NoErr(err)
 	tb.Cleanup(workers.Release)
 	if cfg.forward == nil {
-		cfg.forward = noForward{}
+		cfg.forward = nopForwarder{}
 	}
 	if cfg.upOf == nil {
 		cfg.upOf = func(view.ServerID) *upstream { return cfg.up }
 	}
-	ri := &rig{tb: tb, mt: meter.New(), workers: workers}
-	ri.dr = drive.New(drive.Config{
+	fx := &fixture{tb: tb, mt: meter.New(), workers: workers}
+	fx.dr = drive.New(drive.Config{
 		View:        func() *view.View { return &vw },
 		Upstream:    func(id view.ServerID) drive.Upstream { return cfg.upOf(id) },
 		Table:       table,
 		Workers:     workers,
 		Forward:     cfg.forward,
-		Observe:     nobody{},
-		Meter:       ri.mt,
+		Observe:     nopObserver{},
+		Meter:       fx.mt,
 		Tickets:     cfg.tickets,
 		Incarnation: max(1, cfg.tickets.Incarnation),
 		MaxDeadline: time.Minute,
 		Bucket:      cfg.bucket,
 	})
-	return ri
+	return fx
 }
 
-func viewOf(cfg rigConfig) view.View {
+func viewOf(cfg fixtureConfig) view.View {
 	const replicas = 3
 	servers := make([]view.Server, cfg.shards*replicas)
 	sn := view.Snapshot{Version: 7, Replicas: make([][]view.ServerID, cfg.shards)}
@@ -149,7 +149,7 @@
 	se := cfg.search
 	se.Register = "members"
 	doc := team.Document{Team: teamName, Searches: map[string]team.Search{"s": se}}
-	for name, other := range cfg.more {
+	for name, other := range cfg.moreSearches {
 		other.Register = se.Register
 		doc.Searches[name] = other
 	}
@@ -162,7 +162,7 @@
 
 func kiosk() team.Search {
 	return team.Search{
-		HardDeadlineMs: patience.Milliseconds(),
+		HardDeadlineMs: testTimeout.Milliseconds(),
 		HitLimit:       5,
 		Hedge:          team.Hedge{Quantile: 0.99, Budget: 0.03, MinDelayMs: 100},
 		Retry:          team.Retry{Budget: 0.1, PerShard: 2},
--- a/io/drive/mailbox.go
+++ b/io/drive/mailbox.go
@@ -6,8 +6,8 @@
 	"laburnumvane/core/search"
 )
 
-// mailbox hands events from workers to a search. Posting never blocks: a worker
-// whose reply comes after the answer must not hang on a search that is gone.
+// mailbox passes events from workers to a search. Posting never blocks: a worker whose reply comes
+// after the answer must not wait for a search that has ended.
 type mailbox struct {
 	mu     sync.Mutex
 	events []search.Event
@@ -15,14 +15,14 @@
 	signal chan struct{}
 }
 
-func newMailbox(room int) *mailbox {
+func newMailbox(capacity int) *mailbox {
 	return &mailbox{
-		events: make([]search.Event, 0, room),
+		events: make([]search.Event, 0, capacity),
 		signal: make(chan struct{}, 1),
 	}
 }
 
-// post tells whether the event will be read.
+// post adds an event. It reports whether the event will be read.
 func (mb *mailbox) post(ev search.Event) bool {
 	mb.mu.Lock()
 	defer mb.mu.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// swap takes all waiting events and leaves buf, which was read, for the next.
+// swap returns all waiting events. It reuses buf, whose events have been processed, for the next.
 func (mb *mailbox) swap(buf []search.Event) []search.Event {
 	clear(buf)
 	mb.mu.Lock()
--- a/io/drive/search.go
+++ b/io/drive/search.go
@@ -12,7 +12,7 @@
 	"laburnumvane/io/wire"
 )
 
-// Reasons of searches that this VM refuses itself.
+// Reasons for which this VM itself refuses a search.
 const (
 	ReasonBadRequest = "badRequest"
 	ReasonNoConfig   = "noConfig"
@@ -22,51 +22,49 @@
 )
 
 const (
-	// lostTimes the hedge delay, an attempt counts as lost.
-	lostTimes = 3
-	// leastShare of the time that a search has is the most that a reply is
-	// taken to need. Else a spell of slow replies could stop all sending, and
-	// with it the replies that show its end.
-	leastShare    = 4
-	leastSendTime = time.Millisecond
-	// defaultRetryAfter is what a caller whose search did not run is told
-	// where no server gave a hint of its own.
+	// lostDelayFactor times the hedge delay is the time after which an attempt counts as lost.
+	lostDelayFactor = 3
+	// maxReplyTimeDivisor bounds the time that a reply is assumed to need: the search's time
+	// divided by it. Without the bound a period of slow replies could stop all sending, and
+	// then no reply would show that the period has ended.
+	maxReplyTimeDivisor = 4
+	minSendTime         = time.Millisecond
+	// defaultRetryAfter is sent to callers whose search did not run if no server gave a time.
 	defaultRetryAfter = time.Second
-	defaultHits       = 100
+	defaultHitLimit   = 100
 )
 
-// Search takes one search of a caller to its answer.
+// Search runs a caller's search and returns its answer. It counts and measures the search.
 func (dr *Driver) Search(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
-	begun := time.Now()
+	start := time.Now()
 	dr.active.Add(1)
-	dr.flight.Add(1)
+	dr.inFlight.Add(1)
 	defer dr.active.Done()
-	defer dr.flight.Add(-1)
+	defer dr.inFlight.Add(-1)
 	an := dr.search(ctx, rq)
 	an.ID = rq.ID
 	if an.Hits == nil {
 		an.Hits = []wire.Hit{}
 	}
-	elapsed := time.Since(begun)
+	elapsed := time.Since(start)
 	an.ElapsedMs = float64(elapsed.Microseconds()) / 1000
 	dr.cfg.Meter.Count(meter.Outcome, string(an.Outcome))
 	dr.cfg.Meter.Observe(meter.SearchLatency, elapsed)
 	return an
 }
 
-// search looks at a ticket before anything else: a VM that lacks the team's
-// configuration, as one just replaced may, must not tell a caller that comes
-// back with a ticket that its search did not run. An earlier attempt may have,
-// elsewhere; only the ticket's issuer knows.
+// search checks the ticket before the configuration. A VM without the team's configuration, such
+// as a new one, must not answer notRun to a caller that repeats a search with a ticket: an earlier
+// attempt may have run on another VM, and only the ticket's issuer knows.
 func (dr *Driver) search(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
 	if rq.Ticket != "" {
 		return dr.withTicket(ctx, rq)
 	}
-	return dr.configured(ctx, rq)
+	return dr.runConfigured(ctx, rq)
 }
 
-// configured runs a search as its team's configuration says.
-func (dr *Driver) configured(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
+// runConfigured runs a search according to its team's configuration.
+func (dr *Driver) runConfigured(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
 	vw := dr.cfg.View()
 	tm, ok := vw.Team(rq.Team)
 	if !ok {
@@ -83,30 +81,30 @@
 	if once && rq.Ticket == "" {
 		return dr.refuse(ReasonTicket, "a search that must not be repeated needs a ticket")
 	}
-	// A ticket asks for at most one run, also of a search that need not.
+	// With a ticket every search runs at most once, also one that may be repeated.
 	return dr.execute(ctx, vw, rq, conf, rq.Ticket != "")
 }
 
-// execute runs a search here.
+// execute runs a search on this VM.
 func (dr *Driver) execute(ctx context.Context, vw *view.View, rq wire.SearchRequest, conf team.Search, once bool) wire.SearchAnswer {
 	rg, ok := vw.Register(view.RegisterKey{Team: rq.Team, Register: conf.Register})
 	if !ok {
 		return dr.refuse(ReasonNoRegister, "no upstream of register "+conf.Register+" has been seen yet")
 	}
-	sn, ok := rg.Pin(dr.live(vw))
+	sn, ok := rg.Pin(dr.liveFilter(vw))
 	if !ok {
 		return dr.refuse(ReasonNoRegister, "no snapshot of register "+conf.Register+" is known yet")
 	}
 	if conf.HitLimit == 0 {
-		conf.HitLimit = defaultHits
+		conf.HitLimit = defaultHitLimit
 	}
-	ps, refusal := dr.admission.enter(ctx, vw, rq, conf, sn.Shards())
+	as, refusal := dr.admission.admit(ctx, vw, rq, conf, sn.Shards())
 	if refusal != nil {
 		return *refusal
 	}
 	kd := dr.kindOf(kindKey{rq.Team, rq.Search}, conf)
 	se := &session{
-		pass:     ps,
+		admitted: as,
 		dr:       dr,
 		vw:       vw,
 		rq:       rq,
@@ -114,24 +112,24 @@
 		register: conf.Register,
 		once:     once,
 	}
-	cf := dr.planOf(vw, rq, kd, sn, once)
-	cf.Soft -= ps.waited
-	cf.Hard -= ps.waited
-	se.open(cf.Number, cf.Hard, sn.Shards())
+	cf := dr.searchConfig(vw, rq, kd, sn, once)
+	cf.Soft -= as.waited
+	cf.Hard -= as.waited
+	se.prepare(cf.Number, cf.Hard, sn.Shards())
 	se.machine = search.New(cf)
 	an := se.run(ctx)
-	ps.leave(an.Reason == ReasonWorkers)
-	return answerOf(an)
+	as.finish(an.Reason == ReasonNoWorker)
+	return wireAnswer(an)
 }
 
-func (dr *Driver) planOf(vw *view.View, rq wire.SearchRequest, kd *kind, sn view.Snapshot, once bool) search.Config {
+func (dr *Driver) searchConfig(vw *view.View, rq wire.SearchRequest, kd *searchKind, sn view.Snapshot, once bool) search.Config {
 	now := dr.now()
-	hard := dr.budgetOf(rq, kd.conf)
-	least := kd.conf.MinCoverage
+	hard := dr.timeLimitOf(rq, kd.conf)
+	minCoverage := kd.conf.MinCoverage
 	if rq.MinCoverage != nil {
-		least = *rq.MinCoverage
+		minCoverage = *rq.MinCoverage
 	}
-	number := dr.numbers.Add(1)
+	number := dr.lastNumber.Add(1)
 	delay := time.Duration(0)
 	if kd.conf.Hedge.Quantile > 0 {
 		delay = kd.tracker.Delay()
@@ -139,35 +137,36 @@
 	return search.Config{
 		Number:        number,
 		Snapshot:      sn,
-		Newer:         dr.newer(rq.Team, kd.conf.Register),
+		Newer:         dr.newerSnapshot(rq.Team, kd.conf.Register),
 		Soft:          now + min(hard, kd.conf.SoftDeadline()),
 		Hard:          now + hard,
-		MinCoverage:   least,
+		MinCoverage:   minCoverage,
 		Once:          once,
 		HitLimit:      kd.conf.HitLimit,
 		Chooser:       dr.chooser(now, vw, number, once),
 		HedgeDelay:    delay,
-		LostDelay:     lostTimes * delay,
-		HedgeBudget:   limit.Hedges(kd.hedges, dr.admission.spare),
-		RetryBudget:   limit.Retries(kd.retries, dr.admission.spare),
+		LostDelay:     lostDelayFactor * delay,
+		HedgeBudget:   limit.Hedges(kd.hedges, dr.admission.extra),
+		RetryBudget:   limit.Retries(kd.retries, dr.admission.extra),
 		RetryPerShard: kd.conf.Retry.PerShard,
-		LeastTime:     max(leastSendTime, min(kd.tracker.Least(), hard/leastShare)),
+		LeastTime:     max(minSendTime, min(kd.tracker.Least(), hard/maxReplyTimeDivisor)),
 	}
 }
 
-// newer looks at the view of the moment, not at the one the search began with.
-func (dr *Driver) newer(teamName, register string) func(uint64) (view.Snapshot, bool) {
+// newerSnapshot returns a function that looks for a newer snapshot in the current view, not in the
+// view that the search started with.
+func (dr *Driver) newerSnapshot(teamName, register string) func(uint64) (view.Snapshot, bool) {
 	return func(version uint64) (view.Snapshot, bool) {
 		vw := dr.cfg.View()
 		rg, ok := vw.Register(view.RegisterKey{Team: teamName, Register: register})
 		if !ok {
 			return view.Snapshot{}, false
 		}
-		return rg.Newer(version, dr.live(vw))
+		return rg.Newer(version, dr.liveFilter(vw))
 	}
 }
 
-func (dr *Driver) live(vw *view.View) func(view.ServerID) bool {
+func (dr *Driver) liveFilter(vw *view.View) func(view.ServerID) bool {
 	return func(id view.ServerID) bool {
 		return !vw.Server(id).State.Leaving()
 	}
@@ -178,9 +177,9 @@
 	return wire.SearchAnswer{Outcome: wire.OutcomeNotRun, Reason: reason, Message: message}
 }
 
-func answerOf(an *search.Answer) wire.SearchAnswer {
+func wireAnswer(an *search.Answer) wire.SearchAnswer {
 	out := wire.SearchAnswer{
-		Outcome:   outcomeName(an.Outcome),
+		Outcome:   wireOutcome(an.Outcome),
 		Reason:    an.Reason,
 		Snapshot:  an.Snapshot,
 		Hits:      an.Hits,
@@ -204,13 +203,13 @@
 	return an.RetryAfter
 }
 
-// elsewhere tells whether a refusal says that the server is leaving or does not
-// hold the shard, and nothing of a lack of room.
-func elsewhere(rf wire.Refusal) bool {
+// isElsewhere reports whether a refusal means that the server is leaving or does not hold the
+// shard, rather than that it lacks capacity.
+func isElsewhere(rf wire.Refusal) bool {
 	return rf == wire.RefusalDraining || rf == wire.RefusalNotHeld || rf == wire.RefusalCold
 }
 
-func outcomeName(oc search.Outcome) wire.Outcome {
+func wireOutcome(oc search.Outcome) wire.Outcome {
 	switch oc {
 	case search.OutcomeComplete:
 		return wire.OutcomeComplete
--- a/io/drive/session.go
+++ b/io/drive/session.go
@@ -12,73 +12,73 @@
 	"laburnumvane/io/wire"
 )
 
-// spareAttempts is the room for hedges and retries made ahead for each search.
-const spareAttempts = 4
+// reservedAttempts is the number of hedges and retries that each search allocates in advance.
+const reservedAttempts = 4
 
 // session performs the actions of one search.
 type session struct {
 	dr       *Driver
-	pass     *pass
+	admitted *admittedSearch
 	vw       *view.View
 	rq       wire.SearchRequest
-	kd       *kind
+	kd       *searchKind
 	register string
 	once     bool
 	machine  *search.Machine
-	box      *mailbox
+	mailbox  *mailbox
 	timer    *time.Timer
-	// name is what the ids of its sub-requests begin with.
-	name string
-	// hard is the deadline of its sub-requests, and work their context. One
-	// for all of them: a timer for each costs more than the rest of a send.
-	hard time.Duration
-	work context.Context
-	done context.CancelFunc
-	// live counts the search itself and its exchanges under way. Some of them
-	// outlive the answer, and need the context until they end.
-	live atomic.Int32
+	// subIDPrefix is the prefix of the ids of its sub-requests.
+	subIDPrefix string
+	// deadline is the deadline of its sub-requests, and subCtx their context. They share one
+	// context, because a timer for each would cost more than the rest of a send.
+	deadline     time.Duration
+	subCtx       context.Context
+	cancelSubCtx context.CancelFunc
+	// refs counts the search itself and its exchanges in flight. Exchanges may outlive the
+	// answer and need the context until they end.
+	refs atomic.Int32
 	// attempts are indexed by the attempt's number.
 	attempts []*attempt
-	room     []attempt
+	reserved []attempt
 	answer   *search.Answer
 }
 
-// open prepares what the exchanges share.
-func (se *session) open(number uint64, hard time.Duration, shards int) {
-	se.name = se.dr.prefix + strconv.FormatUint(number, 10) + "."
-	se.hard = hard
-	se.work, se.done = context.WithDeadline(context.Background(), se.dr.start.Add(hard))
-	se.attempts = make([]*attempt, 0, shards+spareAttempts)
-	se.room = make([]attempt, shards+spareAttempts)
-	se.box = newMailbox(shards + spareAttempts)
-	se.timer = time.NewTimer(hard - se.dr.now())
-	se.hold()
+// prepare allocates what the exchanges share.
+func (se *session) prepare(number uint64, deadline time.Duration, shards int) {
+	se.subIDPrefix = se.dr.idPrefix + strconv.FormatUint(number, 10) + "."
+	se.deadline = deadline
+	se.subCtx, se.cancelSubCtx = context.WithDeadline(context.Background(), se.dr.started.Add(deadline))
+	se.attempts = make([]*attempt, 0, shards+reservedAttempts)
+	se.reserved = make([]attempt, shards+reservedAttempts)
+	se.mailbox = newMailbox(shards + reservedAttempts)
+	se.timer = time.NewTimer(deadline - se.dr.now())
+	se.retain()
 }
 
-func (se *session) hold() {
-	se.live.Add(1)
+func (se *session) retain() {
+	se.refs.Add(1)
 	se.dr.active.Add(1)
 }
 
 func (se *session) release() {
-	if se.live.Add(-1) == 0 {
-		se.done()
+	if se.refs.Add(-1) == 0 {
+		se.cancelSubCtx()
 	}
 	se.dr.active.Done()
 }
 
-// run takes the search to its answer.
+// run runs the search until it has an answer.
 func (se *session) run(ctx context.Context) *search.Answer {
 	defer se.release()
-	defer se.box.close()
+	defer se.mailbox.close()
 	defer se.timer.Stop()
 	se.perform(se.machine.Start(se.dr.now()))
-	se.pass.start()
+	se.admitted.confirmStart()
 	var events []search.Event
 	for se.answer == nil {
 		select {
-		case <-se.box.signal:
-			events = se.box.swap(events)
+		case <-se.mailbox.signal:
+			events = se.mailbox.swap(events)
 			for i := range events {
 				se.step(events[i])
 			}
@@ -118,25 +118,25 @@
 		se.dr.cfg.Meter.Count(meter.Retry, ac.Reason)
 	}
 	se.dr.cfg.Table.Begin(ac.Server)
-	se.pass.begin(ac.Server)
-	se.hold()
+	se.admitted.beginSubRequest(ac.Server)
+	se.retain()
 	if se.dr.cfg.Workers.Submit(at.run) == nil {
 		return
 	}
-	// No worker is free, so nothing left this VM: the search may try again or
-	// answer that it did not run.
-	se.dr.cfg.Meter.Count(meter.Upstream, ReasonWorkers)
-	at.finish(search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: ReasonWorkers}, wire.ShardReply{}, 0)
+	// No worker is free, so nothing was sent: the search may try again or answer that it did
+	// not run.
+	se.dr.cfg.Meter.Count(meter.Upstream, ReasonNoWorker)
+	at.finish(search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: ReasonNoWorker}, wire.ShardReply{}, 0)
 }
 
-// attempt makes the record of a sub-request. Records are made ahead in one
-// piece; they never move, since exchanges hold on to them.
+// attempt returns the record of a new sub-request. Records are allocated in advance, in blocks
+// that never move, since exchanges keep pointers to them.
 func (se *session) attempt(ac *search.Action) *attempt {
-	if len(se.room) == 0 {
-		se.room = make([]attempt, spareAttempts)
+	if len(se.reserved) == 0 {
+		se.reserved = make([]attempt, reservedAttempts)
 	}
-	at := &se.room[0]
-	se.room = se.room[1:]
+	at := &se.reserved[0]
+	se.reserved = se.reserved[1:]
 	at.se = se
 	at.ac = *ac
 	se.attempts = append(se.attempts, at)
@@ -147,5 +147,5 @@
 	at := se.attempts[ac.Sub.Attempt]
 	at.cancelled.Store(true)
 	se.kd.tracker.GaveUp(se.dr.now() - ac.Started)
-	se.dr.cfg.Upstream(at.ac.Server).Cancel(at.name())
+	se.dr.cfg.Upstream(at.ac.Server).Cancel(at.id())
 }
--- a/io/drive/site_test.go
+++ b/io/drive/site_test.go
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-// place is an installation with two VMs on real sockets.
-type place struct {
+// testSite is a site with two VMs on real sockets.
+type testSite struct {
 	is *is.I
 	st *site.Site
 }
 
-func newPlace(t *testing.T) *place {
+func newTestSite(t *testing.T) *testSite {
 	t.Helper()
 	is := is.New(t)
 	rg, err := emul.SampleRegister("members", 1, 200)
@@ -57,139 +57,139 @@
 	})
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
-	return &place{is: is, st: st}
+	return &testSite{is: is, st: st}
 }
 
-func (pl *place) caller(vm int) *client.Caller {
-	ca, err := client.NewCaller(client.Config{URL: "http://" + pl.st.Nodes()[vm].Addrs().Caller})
-	pl.is.NoErr(err)
+func (ts *testSite) caller(vm int) *client.Caller {
+	ca, err := client.NewCaller(client.Config{URL: "http://" + ts.st.Nodes()[vm].Addrs().Caller})
+	ts.is.NoErr(err)
 	return ca
 }
 
-// ticket takes one from the first VM.
-func (pl *place) ticket() string {
-	rp, err := pl.caller(0).Tickets(context.Background(), wire.TicketRequest{Team: teamName})
-	pl.is.NoErr(err)
+// ticket returns a new ticket of the first VM.
+func (ts *testSite) ticket() string {
+	rp, err := ts.caller(0).Tickets(context.Background(), wire.TicketRequest{Team: teamName})
+	ts.is.NoErr(err)
 	return rp.Tickets[0]
 }
 
-func (pl *place) renew(vm int, token, query string) wire.SearchAnswer {
-	return pl.search(vm, wire.SearchRequest{Search: "renewal", Query: json.RawMessage(query), Ticket: token})
+func (ts *testSite) renew(vm int, token, query string) wire.SearchAnswer {
+	return ts.search(vm, wire.SearchRequest{Search: "renewal", Query: json.RawMessage(query), Ticket: token})
 }
 
-func (pl *place) search(vm int, rq wire.SearchRequest) wire.SearchAnswer {
+func (ts *testSite) search(vm int, rq wire.SearchRequest) wire.SearchAnswer {
 	rq.Team = teamName
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	an, err := pl.caller(vm).Search(ctx, rq)
-	pl.is.NoErr(err)
+	an, err := ts.caller(vm).Search(ctx, rq)
+	ts.is.NoErr(err)
 	return an
 }
 
-// once checks that no shard ran a query twice.
-func (pl *place) once(query string) {
-	pl.is.Helper()
-	for _, n := range pl.st.Fleet().RunsOf(query) {
-		pl.is.True(n <= 1)
+// checkRanOnce checks that no shard ran a query twice.
+func (ts *testSite) checkRanOnce(query string) {
+	ts.is.Helper()
+	for _, n := range ts.st.Fleet().RunsOf(query) {
+		ts.is.True(n <= 1)
 	}
 }
 
-// A client renews on one VM, loses the reply, and asks another VM with the same
-// ticket: both answers are the same, and each shard ran it once.
+// A client renews on one VM, loses the reply, and repeats the request on another VM with the same
+// ticket. Both answers must be the same, and each shard must run the search once.
 func TestRenewalOnTwoVMs(t *testing.T) {
-	pl := newPlace(t)
+	ts := newTestSite(t)
 	const query = `{"plate":"AAA-000"}`
-	token := pl.ticket()
-	first := pl.renew(0, token, query)
-	second := pl.renew(1, token, query)
-	pl.is.Equal(first.Outcome, wire.OutcomeComplete)
-	pl.is.Equal(second.Outcome, wire.OutcomeComplete)
-	pl.is.Equal(first.Hits, second.Hits)
-	pl.is.Equal(len(pl.st.Fleet().RunsOf(query)), services)
-	pl.once(query)
+	token := ts.ticket()
+	first := ts.renew(0, token, query)
+	second := ts.renew(1, token, query)
+	ts.is.Equal(first.Outcome, wire.OutcomeComplete)
+	ts.is.Equal(second.Outcome, wire.OutcomeComplete)
+	ts.is.Equal(first.Hits, second.Hits)
+	ts.is.Equal(len(ts.st.Fleet().RunsOf(query)), services)
+	ts.checkRanOnce(query)
 }
 
-// The VM that issued the ticket ran the search and is gone. The other VM cannot
-// know that it ran, and says so; also when another process has taken the
-// issuer's address since, which must not take the old ticket for its own.
+// The VM that issued a ticket ran its search and is gone. Another VM cannot know whether the search
+// ran and must answer unknown. It must also do so after a new process has started at the issuer's
+// address: that process must not accept the old ticket as its own.
 func TestIssuerGone(t *testing.T) {
-	pl := newPlace(t)
+	ts := newTestSite(t)
 	const query = `{"plate":"AAA-000"}`
-	token := pl.ticket()
-	pl.is.Equal(pl.renew(0, token, query).Outcome, wire.OutcomeComplete)
-	gone := pl.st.Nodes()[0]
-	// A stop without any time is as near to a kill as one process allows: a
-	// planned one would stay for its tickets.
+	token := ts.ticket()
+	ts.is.Equal(ts.renew(0, token, query).Outcome, wire.OutcomeComplete)
+	gone := ts.st.Nodes()[0]
+	// A stop whose context has ended comes closest to a kill within one process. Otherwise the
+	// stop would wait until the tickets have expired.
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_ = gone.Stop(ctx)
 
-	an := pl.renew(1, token, query)
-	pl.is.Equal(an.Outcome, wire.OutcomeUnknown)
-	pl.is.Equal(an.Reason, drive.ReasonIssuerGone)
+	an := ts.renew(1, token, query)
+	ts.is.Equal(an.Outcome, wire.OutcomeUnknown)
+	ts.is.Equal(an.Reason, drive.ReasonIssuerGone)
 
-	next := pl.boot(gone.Addrs().Inner)
+	next := ts.boot(gone.Addrs().Inner)
 	defer func() { _ = next.Stop(ctx) }()
-	an = pl.renew(1, token, query)
-	pl.is.Equal(an.Outcome, wire.OutcomeUnknown)
-	pl.is.Equal(an.Reason, drive.ReasonTicketVoid)
-	pl.once(query)
+	an = ts.renew(1, token, query)
+	ts.is.Equal(an.Outcome, wire.OutcomeUnknown)
+	ts.is.Equal(an.Reason, drive.ReasonTicketVoid)
+	ts.checkRanOnce(query)
 }
 
-// boot starts a VM at a given inner address.
-func (pl *place) boot(innerAddr string) *node.Node {
+// boot starts a VM with a given inner address.
+func (ts *testSite) boot(innerAddr string) *node.Node {
 	set := setup.Defaults()
 	set.CallerAddr, set.OperatorAddr, set.InnerAddr = "127.0.0.1:0", "127.0.0.1:0", innerAddr
 	set.DataCentre, set.Region = "east", "home"
-	set.KV = []string{pl.st.KV().Addr()}
-	set.VMList = pl.st.VMs().Addr()
+	set.KV = []string{ts.st.KV().Addr()}
+	set.VMList = ts.st.VMs().Addr()
 	set.BalancerLag = 0
 	set = set.WithIncarnation(time.Now())
 	nd, err := node.Start(node.Config{Settings: set, Log: &log.Logger{Writer: &log.IOWriter{Writer: io.Discard}}, Version: "test"})
-	pl.is.NoErr(err)
+	ts.is.NoErr(err)
 	return nd
 }
 
-// One server of each service crashes and comes back between two renewals. The
-// old connections are dead; the caller of the second sees nothing of it.
+// One server of each service crashes and restarts between two renewals, so that its old connections
+// are broken. The second renewal must be complete.
 func TestServerCrashBetweenRenewals(t *testing.T) {
-	pl := newPlace(t)
-	pl.is.Equal(pl.renew(0, pl.ticket(), `{"plate":"AAA-000"}`).Outcome, wire.OutcomeComplete)
-	for i, sv := range pl.st.Fleet().Servers() {
+	ts := newTestSite(t)
+	ts.is.Equal(ts.renew(0, ts.ticket(), `{"plate":"AAA-000"}`).Outcome, wire.OutcomeComplete)
+	for i, sv := range ts.st.Fleet().Servers() {
 		if i%emul.DefaultReplicas == 0 {
 			sv.Upstream.Crash()
-			pl.is.NoErr(sv.Upstream.Restart(wire.UpstreamServing))
+			ts.is.NoErr(sv.Upstream.Restart(wire.UpstreamServing))
 		}
 	}
 	const query = `{"plate":"BBB-001"}`
-	an := pl.renew(0, pl.ticket(), query)
-	pl.is.Equal(an.Reason, "")
-	pl.is.Equal(an.Outcome, wire.OutcomeComplete)
-	pl.once(query)
+	an := ts.renew(0, ts.ticket(), query)
+	ts.is.Equal(an.Reason, "")
+	ts.is.Equal(an.Outcome, wire.OutcomeComplete)
+	ts.checkRanOnce(query)
 }
 
-// Every connection to every server goes silent for good while new ones work. A
-// history search is answered whole long before its deadline, since what is lost
-// is found and sent again. A renewal never runs twice on a shard, whatever it is
-// told, and soon one is answered whole again.
+// All open connections to all servers become silent for good, while new ones work. A search that
+// may be repeated must be complete long before its deadline, since lost sub-requests are detected
+// and sent again. A renewal must never run twice on a shard, whatever its outcome, and a later
+// renewal must be complete.
 func TestAllConnectionsSilent(t *testing.T) {
-	pl := newPlace(t)
-	for _, sv := range pl.st.Fleet().Servers() {
+	ts := newTestSite(t)
+	for _, sv := range ts.st.Fleet().Servers() {
 		sv.Upstream.Silence()
 	}
 	const lost = `{"plate":"AAA-000"}`
-	an := pl.renew(0, pl.ticket(), lost)
-	pl.is.True(an.Outcome != wire.OutcomeNotRun || len(pl.st.Fleet().RunsOf(lost)) == 0)
-	pl.once(lost)
-	an = pl.search(0, wire.SearchRequest{Search: "history", Query: json.RawMessage(`{"plate":"CCC-002"}`)})
-	pl.is.Equal(an.Reason, "")
-	pl.is.Equal(an.Outcome, wire.OutcomeComplete)
+	an := ts.renew(0, ts.ticket(), lost)
+	ts.is.True(an.Outcome != wire.OutcomeNotRun || len(ts.st.Fleet().RunsOf(lost)) == 0)
+	ts.checkRanOnce(lost)
+	an = ts.search(0, wire.SearchRequest{Search: "history", Query: json.RawMessage(`{"plate":"CCC-002"}`)})
+	ts.is.Equal(an.Reason, "")
+	ts.is.Equal(an.Outcome, wire.OutcomeComplete)
 	const query = `{"plate":"BBB-001"}`
-	an = pl.renew(0, pl.ticket(), query)
-	pl.is.Equal(an.Reason, "")
-	pl.is.Equal(an.Outcome, wire.OutcomeComplete)
-	pl.once(query)
+	an = ts.renew(0, ts.ticket(), query)
+	ts.is.Equal(an.Reason, "")
+	ts.is.Equal(an.Outcome, wire.OutcomeComplete)
+	ts.checkRanOnce(query)
 }
--- a/io/drive/ticket.go
+++ b/io/drive/ticket.go
@@ -16,32 +16,32 @@
 
 // Reasons of answers to searches with tickets.
 const (
-	ReasonTicketForged  = "ticketForged"
-	ReasonTicketTeam    = "ticketOfOtherTeam"
-	ReasonTicketBody    = "ticketOfOtherRequest"
-	ReasonTicketFull    = "ticketTableFull"
-	ReasonTicketExpired = "ticketExpired"
-	ReasonTicketVoid    = "ticketVoid"
-	// ReasonTicketUnverified: the ticket is not signed with the VMs' shared key.
+	ReasonTicketForged    = "ticketForged"
+	ReasonTicketTeam      = "ticketOfOtherTeam"
+	ReasonTicketBody      = "ticketOfOtherRequest"
+	ReasonTicketTableFull = "ticketTableFull"
+	ReasonTicketExpired   = "ticketExpired"
+	ReasonTicketVoid      = "ticketVoid"
+	// ReasonTicketUnverified means that the ticket is not signed with the VMs' shared key.
 	ReasonTicketUnverified = "ticketUnverified"
 	ReasonTicketRunning    = "ticketRunning"
 	ReasonTicketForgotten  = "ticketAnswerForgotten"
-	// ReasonIssuerGone: the issuer could not be reached, so this attempt did
+	// ReasonIssuerGone means that the issuer could not be reached, so that this attempt did
 	// not run.
 	ReasonIssuerGone = "ticketIssuerUnreachable"
-	// ReasonIssuerSilent: the issuer was asked and did not answer.
+	// ReasonIssuerSilent means that the issuer was asked and did not answer.
 	ReasonIssuerSilent = "ticketIssuerSilent"
 )
 
-// forwardShare of the time left is kept back for the way to the issuer and
-// back, up to forwardMost, so that its answer comes before the caller's
-// deadline.
+// The issuer of a ticket gets less than the time left, so that its answer arrives before the
+// caller's deadline. The reserve is the time left divided by forwardReserveDivisor, but at most
+// maxForwardReserve.
 const (
-	forwardShare = 10
-	forwardMost  = 20 * time.Millisecond
+	forwardReserveDivisor = 10
+	maxForwardReserve     = 20 * time.Millisecond
 )
 
-// ticketRetryAfter is when a caller that met a full table may come back.
+// ticketRetryAfter is the retry time for callers refused because the table is full.
 const ticketRetryAfter = time.Second
 
 // Tickets issues n tickets for a team.
@@ -50,13 +50,13 @@
 }
 
 func (dr *Driver) withTicket(ctx context.Context, rq wire.SearchRequest) wire.SearchAnswer {
-	due := dr.now() + dr.budgetOf(rq, dr.confOf(rq))
+	due := dr.now() + dr.timeLimitOf(rq, dr.confOf(rq))
 	vd, fr := dr.tickets.begin(dr.now(), rq)
 	switch vd.Kind {
 	case ticket.VerdictRun:
-		return dr.firstRun(ctx, rq, vd.Number, fr)
+		return dr.runFirst(ctx, rq, vd.Number, fr)
 	case ticket.VerdictWait:
-		return dr.await(ctx, due, fr)
+		return dr.awaitFirstRun(ctx, due, fr)
 	case ticket.VerdictAnswered:
 		return vd.Answer
 	case ticket.VerdictElsewhere:
@@ -66,14 +66,15 @@
 	}
 }
 
-// confOf is the search's configuration, empty where this VM holds none.
+// confOf returns the search's configuration, which is empty if this VM has none.
 func (dr *Driver) confOf(rq wire.SearchRequest) team.Search {
 	tm, _ := dr.cfg.View().Team(rq.Team)
 	return tm.Document.Searches[rq.Search]
 }
 
-// budgetOf is the time that a caller gives its search.
-func (dr *Driver) budgetOf(rq wire.SearchRequest, conf team.Search) time.Duration {
+// timeLimitOf returns the time that a search may take: the lowest of the limits of the caller, the
+// search's configuration and the driver.
+func (dr *Driver) timeLimitOf(rq wire.SearchRequest, conf team.Search) time.Duration {
 	budget := dr.cfg.MaxDeadline
 	if conf.HardDeadlineMs > 0 {
 		budget = min(budget, conf.HardDeadline())
@@ -84,19 +85,19 @@
 	return budget
 }
 
-func (dr *Driver) firstRun(ctx context.Context, rq wire.SearchRequest, number uint64, fr *firstRun) wire.SearchAnswer {
-	// Should the run end in a panic, those who wait must still be woken, and
-	// nobody may run it again.
-	an := unknown("internal", "the search ended without an answer")
+func (dr *Driver) runFirst(ctx context.Context, rq wire.SearchRequest, number uint64, fr *firstRun) wire.SearchAnswer {
+	// If the run panics, those who wait must still be woken, and the search must not run
+	// again.
+	an := unknownAnswer("internal", "the search ended without an answer")
 	defer func() { dr.tickets.finish(number, fr, an) }()
-	// The caller may go away and come back with the same ticket: the run
-	// goes on for the answer it will then be given.
-	an = dr.configured(context.WithoutCancel(ctx), rq)
+	// The caller may disconnect and repeat the search with the same ticket, so the run goes on
+	// without it to provide the answer.
+	an = dr.runConfigured(context.WithoutCancel(ctx), rq)
 	return an
 }
 
-// await waits for the first run's answer, but no longer than its own caller.
-func (dr *Driver) await(ctx context.Context, due time.Duration, fr *firstRun) wire.SearchAnswer {
+// awaitFirstRun waits for the first run's answer until due, or until its own caller disconnects.
+func (dr *Driver) awaitFirstRun(ctx context.Context, due time.Duration, fr *firstRun) wire.SearchAnswer {
 	tm := time.NewTimer(due - dr.now())
 	defer tm.Stop()
 	select {
@@ -105,17 +106,17 @@
 	case <-tm.C:
 	case <-ctx.Done():
 	}
-	return unknown(ReasonTicketRunning, "an earlier attempt with this ticket is still running")
+	return unknownAnswer(ReasonTicketRunning, "an earlier attempt with this ticket is still running")
 }
 
-// forward asks the VM that issued the ticket.
+// forward has the VM that issued the ticket run the search.
 func (dr *Driver) forward(ctx context.Context, due time.Duration, to ticket.Issuer, rq wire.SearchRequest) wire.SearchAnswer {
-	ctx, cancel := context.WithDeadline(ctx, dr.start.Add(due))
+	ctx, cancel := context.WithDeadline(ctx, dr.started.Add(due))
 	defer cancel()
 	left := due - dr.now()
-	left -= min(left/forwardShare, forwardMost)
-	if left < leastSendTime {
-		return dr.issuerGone()
+	left -= min(left/forwardReserveDivisor, maxForwardReserve)
+	if left < minSendTime {
+		return dr.issuerUnreachable()
 	}
 	rq.DeadlineMs = left.Milliseconds()
 	an, err := dr.cfg.Forward.Run(ctx, to, rq)
@@ -123,27 +124,27 @@
 	case err == nil:
 		return an
 	case notSent(err):
-		return dr.issuerGone()
+		return dr.issuerUnreachable()
 	default:
 		dr.cfg.Meter.Count(meter.Refusal, ReasonIssuerSilent)
-		return unknown(ReasonIssuerSilent, "the VM that issued the ticket was asked and did not answer: this attempt, or an earlier one, may have run")
+		return unknownAnswer(ReasonIssuerSilent, "the VM that issued the ticket was asked and did not answer: this attempt, or an earlier one, may have run")
 	}
 }
 
-func (dr *Driver) issuerGone() wire.SearchAnswer {
+func (dr *Driver) issuerUnreachable() wire.SearchAnswer {
 	dr.cfg.Meter.Count(meter.Refusal, ReasonIssuerGone)
-	return unknown(ReasonIssuerGone, "the VM that issued the ticket cannot be reached: this attempt did not run, an earlier one may have")
+	return unknownAnswer(ReasonIssuerGone, "the VM that issued the ticket cannot be reached: this attempt did not run, an earlier one may have")
 }
 
-// notSent tells whether a forwarded search certainly never left: no connection
-// to the issuer came about.
+// notSent reports whether a forwarded search was certainly not sent because no connection to the
+// issuer could be opened.
 func notSent(err error) bool {
 	var oe *net.OpError
 	return errors.As(err, &oe) && oe.Op == "dial"
 }
 
-// RunForwarded takes a search that another VM forwarded; it is never passed on
-// again. Void tells that this process did not issue the ticket.
+// RunForwarded runs a search that another VM forwarded. It never forwards it again: void is set if
+// this process did not issue the ticket.
 func (dr *Driver) RunForwarded(ctx context.Context, rq wire.SearchRequest) (an wire.SearchAnswer, void bool) {
 	is, ok := ticket.IssuerOf(rq.Ticket)
 	if !ok || is.Addr != dr.cfg.Tickets.Addr || is.Incarnation != dr.cfg.Incarnation {
@@ -161,32 +162,32 @@
 	case ticket.VerdictOtherBody:
 		return dr.refuse(ReasonTicketBody, "the ticket was used before with another request")
 	case ticket.VerdictFull:
-		an := dr.refuse(ReasonTicketFull, "this VM remembers as many tickets as it may; come back later")
+		an := dr.refuse(ReasonTicketTableFull, "this VM remembers as many tickets as it may; come back later")
 		an.RetryAfterMs = ticketRetryAfter.Milliseconds()
 		return an
 	case ticket.VerdictUnverified:
-		return dr.doubt(ReasonTicketUnverified, "the ticket is not signed with this VM's key: its issuer was not asked, an earlier attempt may have run")
+		return dr.refuseUnknown(ReasonTicketUnverified, "the ticket is not signed with this VM's key: its issuer was not asked, an earlier attempt may have run")
 	case ticket.VerdictForgotten:
-		return dr.doubt(ReasonTicketForgotten, "an earlier attempt ran; its answer is no longer kept")
+		return dr.refuseUnknown(ReasonTicketForgotten, "an earlier attempt ran; its answer is no longer kept")
 	case ticket.VerdictExpired:
-		return dr.doubt(ReasonTicketExpired, "the ticket has expired: this attempt did not run, an earlier one may have")
+		return dr.refuseUnknown(ReasonTicketExpired, "the ticket has expired: this attempt did not run, an earlier one may have")
 	default:
-		return dr.doubt(ReasonTicketVoid, "the process that issued the ticket is gone: this attempt did not run, an earlier one may have")
+		return dr.refuseUnknown(ReasonTicketVoid, "the process that issued the ticket is gone: this attempt did not run, an earlier one may have")
 	}
 }
 
-func (dr *Driver) doubt(reason, message string) wire.SearchAnswer {
+func (dr *Driver) refuseUnknown(reason, message string) wire.SearchAnswer {
 	dr.cfg.Meter.Count(meter.Refusal, reason)
-	return unknown(reason, message)
+	return unknownAnswer(reason, message)
 }
 
-// unknown is the answer where an earlier attempt may have run: to say notRun
-// would invite the caller to run it twice.
-func unknown(reason, message string) wire.SearchAnswer {
+// unknownAnswer returns the answer for a search of which an earlier attempt may have run. The
+// answer notRun would let the caller run it twice.
+func unknownAnswer(reason, message string) wire.SearchAnswer {
 	return wire.SearchAnswer{Outcome: wire.OutcomeUnknown, Reason: reason, Message: message}
 }
 
-// bodyHash covers what makes two requests the same search.
+// bodyHash hashes the fields that make two requests the same search.
 func bodyHash(rq wire.SearchRequest) uint64 {
 	di := xxhash.New()
 	for _, part := range []string{rq.Team, rq.Search, rq.Register, string(rq.Query)} {
--- a/io/drive/ticket_test.go
+++ b/io/drive/ticket_test.go
@@ -17,67 +17,67 @@
 )
 
 const (
-	shards = 4
-	ttl    = time.Hour
+	shards    = 4
+	ticketTTL = time.Hour
 )
 
 func renewal() team.Search {
-	return team.Search{HardDeadlineMs: patience.Milliseconds(), NeverRepeat: true, HitLimit: 5}
+	return team.Search{HardDeadlineMs: testTimeout.Milliseconds(), NeverRepeat: true, HitLimit: 5}
 }
 
-func ticketsOf(addr string) ticket.Config {
-	return ticket.Config{Addr: addr, Incarnation: 1, Secret: []byte("secret of " + addr), TTL: ttl, Cap: 4}
+func ticketConfig(addr string) ticket.Config {
+	return ticket.Config{Addr: addr, Incarnation: 1, Secret: []byte("secret of " + addr), TTL: ticketTTL, Cap: 4}
 }
 
-// counting answers all shards and counts them.
-func counting(runs *atomic.Int64) *upstream {
+// countingUpstream answers all sub-requests and counts them.
+func countingUpstream(runs *atomic.Int64) *upstream {
 	return &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) {
 		runs.Add(1)
 		return reply(rq, shards), nil
 	}}
 }
 
-// forwarder is the way from one driver to another.
+// forwarder forwards searches to another driver, or fails.
 type forwarder struct {
-	to   *drive.Driver
-	err  error
-	lose bool
-	got  wire.SearchRequest
+	to          *drive.Driver
+	err         error
+	loseAnswer  bool
+	lastRequest wire.SearchRequest
 }
 
 func (fo *forwarder) Run(ctx context.Context, _ ticket.Issuer, rq wire.SearchRequest) (wire.SearchAnswer, error) {
-	fo.got = rq
+	fo.lastRequest = rq
 	if fo.err != nil {
 		return wire.SearchAnswer{}, fo.err
 	}
 	an, _ := fo.to.RunForwarded(ctx, rq)
-	if fo.lose {
+	if fo.loseAnswer {
 		return wire.SearchAnswer{}, context.DeadlineExceeded
 	}
 	return an, nil
 }
 
-// pair is two VMs; the second forwards to the first.
-type pair struct {
+// vmPair is two VMs, of which the second forwards to the first.
+type vmPair struct {
 	is     *is.I
-	first  *rig
-	second *rig
+	first  *fixture
+	second *fixture
 	fo     *forwarder
 	runs   atomic.Int64
 }
 
-func newPair(t *testing.T) *pair {
-	pa := &pair{is: is.New(t), fo: &forwarder{}}
-	cfg := rigConfig{shards: shards, workers: 64, up: counting(&pa.runs), search: renewal(), tickets: ticketsOf("vm1")}
-	pa.first = newRig(t, cfg)
-	cfg.tickets = ticketsOf("vm2")
-	cfg.forward = pa.fo
-	pa.second = newRig(t, cfg)
-	pa.fo.to = pa.first.dr
-	return pa
+func newPair(t *testing.T) *vmPair {
+	vp := &vmPair{is: is.New(t), fo: &forwarder{}}
+	cfg := fixtureConfig{shards: shards, workers: 64, up: countingUpstream(&vp.runs), search: renewal(), tickets: ticketConfig("vm1")}
+	vp.first = newFixture(t, cfg)
+	cfg.tickets = ticketConfig("vm2")
+	cfg.forward = vp.fo
+	vp.second = newFixture(t, cfg)
+	vp.fo.to = vp.first.dr
+	return vp
 }
 
-func renew(token string) wire.SearchRequest {
+func withTicket(token string) wire.SearchRequest {
 	rq := searchRequest()
 	rq.Ticket = token
 	return rq
@@ -87,134 +87,134 @@
 	ctx := context.Background()
 	cases := []struct {
 		name    string
-		run     func(pa *pair, token string) wire.SearchAnswer
+		run     func(vp *vmPair, token string) wire.SearchAnswer
 		outcome wire.Outcome
 		reason  string
 		runs    int64
 	}{
-		{"first use", func(pa *pair, token string) wire.SearchAnswer {
-			return pa.first.dr.Search(ctx, renew(token))
+		{"first use", func(vp *vmPair, token string) wire.SearchAnswer {
+			return vp.first.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeComplete, "", shards},
-		{"the reply was lost, asked again", func(pa *pair, token string) wire.SearchAnswer {
-			pa.first.dr.Search(ctx, renew(token))
-			return pa.first.dr.Search(ctx, renew(token))
+		{"reply lost, repeated", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.first.dr.Search(ctx, withTicket(token))
+			return vp.first.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeComplete, "", shards},
-		{"asked again on another VM", func(pa *pair, token string) wire.SearchAnswer {
-			pa.first.dr.Search(ctx, renew(token))
-			return pa.second.dr.Search(ctx, renew(token))
+		{"repeated on another VM", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.first.dr.Search(ctx, withTicket(token))
+			return vp.second.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeComplete, "", shards},
-		{"the forwarded answer was lost, asked again", func(pa *pair, token string) wire.SearchAnswer {
-			pa.fo.lose = true
-			an := pa.second.dr.Search(ctx, renew(token))
-			pa.is.Equal(an.Outcome, wire.OutcomeUnknown)
-			pa.is.Equal(an.Reason, drive.ReasonIssuerSilent)
-			pa.fo.lose = false
-			return pa.second.dr.Search(ctx, renew(token))
+		{"forwarded answer lost, repeated", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.fo.loseAnswer = true
+			an := vp.second.dr.Search(ctx, withTicket(token))
+			vp.is.Equal(an.Outcome, wire.OutcomeUnknown)
+			vp.is.Equal(an.Reason, drive.ReasonIssuerSilent)
+			vp.fo.loseAnswer = false
+			return vp.second.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeComplete, "", shards},
-		{"the issuer cannot be reached", func(pa *pair, token string) wire.SearchAnswer {
-			pa.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
-			return pa.second.dr.Search(ctx, renew(token))
+		{"issuer unreachable", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
+			return vp.second.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, 0},
-		{"the issuer was asked and died", func(pa *pair, token string) wire.SearchAnswer {
-			pa.fo.err = &net.OpError{Op: "read", Err: context.DeadlineExceeded}
-			return pa.second.dr.Search(ctx, renew(token))
+		{"issuer failed after it was asked", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.fo.err = &net.OpError{Op: "read", Err: context.DeadlineExceeded}
+			return vp.second.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeUnknown, drive.ReasonIssuerSilent, 0},
-		{"no time is left to ask the issuer", func(pa *pair, token string) wire.SearchAnswer {
-			rq := renew(token)
+		{"no time left to ask the issuer", func(vp *vmPair, token string) wire.SearchAnswer {
+			rq := withTicket(token)
 			rq.DeadlineMs = 1
-			return pa.second.dr.Search(ctx, rq)
+			return vp.second.dr.Search(ctx, rq)
 		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, 0},
-		{"the issuer was restarted", func(pa *pair, token string) wire.SearchAnswer {
-			cfg := ticketsOf("vm1")
+		{"issuer restarted", func(vp *vmPair, token string) wire.SearchAnswer {
+			cfg := ticketConfig("vm1")
 			cfg.Incarnation = 2
-			ri := newRig(pa.first.tb, rigConfig{shards: shards, workers: 64, up: counting(&pa.runs), search: renewal(), tickets: cfg})
-			return ri.dr.Search(ctx, renew(token))
+			fx := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, up: countingUpstream(&vp.runs), search: renewal(), tickets: cfg})
+			return fx.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeUnknown, drive.ReasonTicketVoid, 0},
-		{"forwarded to a VM that did not issue it", func(pa *pair, token string) wire.SearchAnswer {
-			an, void := pa.second.dr.RunForwarded(ctx, renew(token))
-			pa.is.True(void)
+		{"forwarded to a VM that did not issue it", func(vp *vmPair, token string) wire.SearchAnswer {
+			an, void := vp.second.dr.RunForwarded(ctx, withTicket(token))
+			vp.is.True(void)
 			return an
 		}, wire.OutcomeUnknown, drive.ReasonTicketVoid, 0},
-		{"altered", func(pa *pair, token string) wire.SearchAnswer {
-			return pa.first.dr.Search(ctx, renew(token[1:]))
+		{"altered ticket", func(vp *vmPair, token string) wire.SearchAnswer {
+			return vp.first.dr.Search(ctx, withTicket(token[1:]))
 		}, wire.OutcomeNotRun, drive.ReasonTicketForged, 0},
-		{"another request", func(pa *pair, token string) wire.SearchAnswer {
-			pa.first.dr.Search(ctx, renew(token))
-			rq := renew(token)
+		{"another request", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.first.dr.Search(ctx, withTicket(token))
+			rq := withTicket(token)
 			rq.Query = json.RawMessage(`{"plate":"BBB-001"}`)
-			return pa.first.dr.Search(ctx, rq)
+			return vp.first.dr.Search(ctx, rq)
 		}, wire.OutcomeNotRun, drive.ReasonTicketBody, shards},
-		{"the table is full", func(pa *pair, token string) wire.SearchAnswer {
-			for _, other := range pa.first.dr.Tickets(teamName, 2) {
-				pa.first.dr.Search(ctx, renew(other))
+		{"table full", func(vp *vmPair, token string) wire.SearchAnswer {
+			for _, other := range vp.first.dr.Tickets(teamName, 2) {
+				vp.first.dr.Search(ctx, withTicket(other))
 			}
-			return pa.first.dr.Search(ctx, renew(token))
-		}, wire.OutcomeNotRun, drive.ReasonTicketFull, 2 * shards},
-		// The caller saw no answer and comes back through a VM that was just
-		// replaced and holds no configuration yet. Told notRun, it would take
-		// a new ticket and run the renewal twice.
-		{"asked again on a VM without configuration", func(pa *pair, token string) wire.SearchAnswer {
-			pa.first.dr.Search(ctx, renew(token))
-			bare := newRig(pa.first.tb, rigConfig{shards: shards, workers: 64, bare: true, forward: pa.fo, tickets: ticketsOf("vm3")})
-			return bare.dr.Search(ctx, renew(token))
+			return vp.first.dr.Search(ctx, withTicket(token))
+		}, wire.OutcomeNotRun, drive.ReasonTicketTableFull, 2 * shards},
+		// The caller got no answer and repeats the renewal on a new VM that has no
+		// configuration yet. If the VM answered notRun, the caller would get a new ticket and
+		// run the renewal twice.
+		{"repeated on a VM without configuration", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.first.dr.Search(ctx, withTicket(token))
+			bare := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, noConfig: true, forward: vp.fo, tickets: ticketConfig("vm3")})
+			return bare.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeComplete, "", shards},
-		{"asked again on a VM without configuration, the issuer gone", func(pa *pair, token string) wire.SearchAnswer {
-			pa.first.dr.Search(ctx, renew(token))
-			pa.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
-			bare := newRig(pa.first.tb, rigConfig{shards: shards, workers: 64, bare: true, forward: pa.fo, tickets: ticketsOf("vm3")})
-			return bare.dr.Search(ctx, renew(token))
+		{"repeated on a VM without configuration, issuer unreachable", func(vp *vmPair, token string) wire.SearchAnswer {
+			vp.first.dr.Search(ctx, withTicket(token))
+			vp.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
+			bare := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, noConfig: true, forward: vp.fo, tickets: ticketConfig("vm3")})
+			return bare.dr.Search(ctx, withTicket(token))
 		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, shards},
-		{"a search that may be repeated, asked twice with a ticket", func(pa *pair, token string) wire.SearchAnswer {
-			rq := renew(token)
+		{"repeatable search, sent twice with a ticket", func(vp *vmPair, token string) wire.SearchAnswer {
+			rq := withTicket(token)
 			rq.Repeat = wire.RepeatSafe
-			pa.first.dr.Search(ctx, rq)
-			return pa.second.dr.Search(ctx, rq)
+			vp.first.dr.Search(ctx, rq)
+			return vp.second.dr.Search(ctx, rq)
 		}, wire.OutcomeComplete, "", shards},
-		// A forged ticket names an address that is no VM's: nothing must be
-		// sent there. Signed under another key it may also be a true one, of
-		// a VM that has the next key already.
-		{"issued elsewhere under another key", func(pa *pair, _ string) wire.SearchAnswer {
-			cfg := ticketsOf("stranger")
+		// A forged ticket may name any address as its issuer, so nothing may be sent there. A
+		// ticket signed with another key may also be valid, of a VM that has the next key
+		// already, so the outcome is unknown.
+		{"issued by another VM with another key", func(vp *vmPair, _ string) wire.SearchAnswer {
+			cfg := ticketConfig("stranger")
 			cfg.Secret = []byte("another")
-			forged := newRig(pa.first.tb, rigConfig{shards: shards, workers: 64, up: counting(&pa.runs), search: renewal(), tickets: cfg})
-			cfg = ticketsOf("vm2")
+			forged := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, up: countingUpstream(&vp.runs), search: renewal(), tickets: cfg})
+			cfg = ticketConfig("vm2")
 			cfg.Shared = true
-			checks := newRig(pa.first.tb, rigConfig{shards: shards, workers: 64, up: counting(&pa.runs), search: renewal(), tickets: cfg, forward: pa.fo})
-			return checks.dr.Search(ctx, renew(forged.dr.Tickets(teamName, 1)[0]))
+			checks := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, up: countingUpstream(&vp.runs), search: renewal(), tickets: cfg, forward: vp.fo})
+			return checks.dr.Search(ctx, withTicket(forged.dr.Tickets(teamName, 1)[0]))
 		}, wire.OutcomeUnknown, drive.ReasonTicketUnverified, 0},
-		{"no ticket", func(pa *pair, _ string) wire.SearchAnswer {
-			return pa.first.dr.Search(ctx, renew(""))
+		{"no ticket", func(vp *vmPair, _ string) wire.SearchAnswer {
+			return vp.first.dr.Search(ctx, withTicket(""))
 		}, wire.OutcomeNotRun, drive.ReasonTicket, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			pa := newPair(t)
-			an := tc.run(pa, pa.first.dr.Tickets(teamName, 1)[0])
-			pa.is.Equal(an.Outcome, tc.outcome)
-			pa.is.Equal(an.Reason, tc.reason)
-			pa.is.Equal(pa.runs.Load(), tc.runs)
-			if tc.reason == drive.ReasonTicketFull {
-				pa.is.True(an.RetryAfterMs > 0)
+			vp := newPair(t)
+			an := tc.run(vp, vp.first.dr.Tickets(teamName, 1)[0])
+			vp.is.Equal(an.Outcome, tc.outcome)
+			vp.is.Equal(an.Reason, tc.reason)
+			vp.is.Equal(vp.runs.Load(), tc.runs)
+			if tc.reason == drive.ReasonTicketTableFull {
+				vp.is.True(an.RetryAfterMs > 0)
 			}
 		})
 	}
 }
 
-// The deadline told to the issuer is shorter than the caller's, so that the
-// answer is back in time.
+// The deadline sent to the issuer must be shorter than the caller's, so that the answer arrives in
+// time.
 func TestForwardShrinksDeadline(t *testing.T) {
-	pa := newPair(t)
-	rq := renew(pa.first.dr.Tickets(teamName, 1)[0])
+	vp := newPair(t)
+	rq := withTicket(vp.first.dr.Tickets(teamName, 1)[0])
 	rq.DeadlineMs = 5000
-	pa.second.dr.Search(context.Background(), rq)
-	pa.is.True(pa.fo.got.DeadlineMs < 5000)
-	pa.is.True(pa.fo.got.DeadlineMs > 0)
+	vp.second.dr.Search(context.Background(), rq)
+	vp.is.True(vp.fo.lastRequest.DeadlineMs < 5000)
+	vp.is.True(vp.fo.lastRequest.DeadlineMs > 0)
 }
 
-// Three attempts with one ticket meet while the first still runs. The second
-// gives up at its own deadline and the third's caller goes away: both get
-// "unknown". The first caller goes away too, and its run goes on; a fourth
-// attempt gets its answer. Each shard ran once.
+// Further attempts with the same ticket arrive while the first still runs. The second reaches its
+// own deadline and the third's caller disconnects: both must get the outcome unknown. The first
+// caller disconnects too, but its run must continue, and a fourth attempt must get its answer. Each
+// shard must run the search once.
 func TestAttemptsMeet(t *testing.T) {
 	is := is.New(t)
 	free := make(chan struct{})
@@ -224,32 +224,32 @@
 		<-free
 		return reply(rq, shards), nil
 	}}
-	ri := newRig(t, rigConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketsOf("vm1")})
-	token := ri.dr.Tickets(teamName, 1)[0]
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketConfig("vm1")})
+	token := fx.dr.Tickets(teamName, 1)[0]
 	ctx, leave := context.WithCancel(context.Background())
 	first := make(chan wire.SearchAnswer, 1)
-	go func() { first <- ri.dr.Search(ctx, renew(token)) }()
+	go func() { first <- fx.dr.Search(ctx, withTicket(token)) }()
 	for runs.Load() < shards {
 		time.Sleep(time.Millisecond)
 	}
-	hasty := renew(token)
+	hasty := withTicket(token)
 	hasty.DeadlineMs = 20
-	an := ri.dr.Search(context.Background(), hasty)
+	an := fx.dr.Search(context.Background(), hasty)
 	is.Equal(an.Outcome, wire.OutcomeUnknown)
 	is.Equal(an.Reason, drive.ReasonTicketRunning)
 	leave()
-	an = ri.dr.Search(ctx, renew(token)) // its caller is gone from the start
+	an = fx.dr.Search(ctx, withTicket(token)) // its caller has already disconnected
 	is.Equal(an.Reason, drive.ReasonTicketRunning)
 	fourth := make(chan wire.SearchAnswer, 1)
-	go func() { fourth <- ri.dr.Search(context.Background(), renew(token)) }()
+	go func() { fourth <- fx.dr.Search(context.Background(), withTicket(token)) }()
 	close(free)
 	is.Equal((<-fourth).Outcome, wire.OutcomeComplete)
 	is.Equal((<-first).Outcome, wire.OutcomeComplete)
 	is.Equal(runs.Load(), int64(shards))
 }
 
-// A VM stops while a search with a ticket runs: it answers it, and only then is
-// the driver idle, so that the issuer does not go while its memory is needed.
+// A VM stops while a search with a ticket runs. The search must be answered, and Wait must not
+// return before that, so that the issuer does not end while its record of the ticket is needed.
 func TestStopWaitsForFirstRun(t *testing.T) {
 	is := is.New(t)
 	free := make(chan struct{})
@@ -259,20 +259,20 @@
 		<-free
 		return reply(rq, shards), nil
 	}}
-	ri := newRig(t, rigConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketsOf("vm1")})
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketConfig("vm1")})
 	answered := make(chan wire.SearchAnswer, 1)
-	go func() { answered <- ri.dr.Search(context.Background(), renew(ri.dr.Tickets(teamName, 1)[0])) }()
+	go func() { answered <- fx.dr.Search(context.Background(), withTicket(fx.dr.Tickets(teamName, 1)[0])) }()
 	for runs.Load() < shards {
 		time.Sleep(time.Millisecond)
 	}
 	idle := make(chan struct{})
 	go func() {
-		ri.dr.Wait()
+		fx.dr.Wait()
 		close(idle)
 	}()
 	select {
 	case <-idle:
-		is.Fail() // the driver said that it was idle
+		is.Fail() // Wait returned too early
 	default:
 	}
 	close(free)
@@ -280,21 +280,21 @@
 	is.Equal((<-answered).Outcome, wire.OutcomeComplete)
 }
 
-// Nothing of a search could be sent: it did not run, and the same ticket may be
-// used again once there is room.
+// No sub-request of a search could be sent. The outcome must be notRun, and the same ticket must
+// work again once there are free workers.
 func TestTicketAfterNotRun(t *testing.T) {
 	is := is.New(t)
 	var runs atomic.Int64
 	blocked := make(chan struct{})
-	ri := newRig(t, rigConfig{shards: shards, workers: 1, up: counting(&runs), search: renewal(), tickets: ticketsOf("vm1")})
-	is.NoErr(ri.workers.Submit(func() { <-blocked }))
-	token := ri.dr.Tickets(teamName, 1)[0]
-	an := ri.dr.Search(context.Background(), renew(token))
+	fx := newFixture(t, fixtureConfig{shards: shards, workers: 1, up: countingUpstream(&runs), search: renewal(), tickets: ticketConfig("vm1")})
+	is.NoErr(fx.workers.Submit(func() { <-blocked }))
+	token := fx.dr.Tickets(teamName, 1)[0]
+	an := fx.dr.Search(context.Background(), withTicket(token))
 	is.Equal(an.Outcome, wire.OutcomeNotRun)
 	is.Equal(runs.Load(), int64(0))
 	close(blocked)
-	ri.workers.Tune(64)
-	an = ri.dr.Search(context.Background(), renew(token))
+	fx.workers.Tune(64)
+	an = fx.dr.Search(context.Background(), withTicket(token))
 	is.Equal(an.Outcome, wire.OutcomeComplete)
 	is.Equal(runs.Load(), int64(shards))
 }
