--- a/io/contr/call.go
+++ b/io/contr/call.go
@@ -10,23 +10,23 @@
 	"github.com/matryer/is"
 )
 
-// reply is what came back: status, headers and body.
+// reply is an HTTP reply: status, headers and body.
 type reply struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// as decodes the body.
-func as[T any](tb testing.TB, rp reply) T {
+// decodeBody decodes the JSON body of a reply.
+func decodeBody[T any](tb testing.TB, rp reply) T {
 	tb.Helper()
 	var out T
 	is.New(tb).NoErr(json.Unmarshal(rp.body, &out))
 	return out
 }
 
-// send makes one request with the standard client, so that no contract shares a
-// mistake with the product's own clients.
+// send makes one request with the standard client, so that contracts cannot share a fault with the
+// product's own clients.
 func send(tb testing.TB, method, url string, header http.Header, body any) reply {
 	tb.Helper()
 	is := is.New(tb)
@@ -48,7 +48,7 @@
 	if raw != nil {
 		rq.Header.Set("Content-Type", "application/json")
 	}
-	cl := http.Client{Timeout: patience, Transport: &http.Transport{DisableKeepAlives: true}}
+	cl := http.Client{Timeout: testTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	rs, err := cl.Do(rq)
 	is.NoErr(err)
 	defer rs.Body.Close()
@@ -57,24 +57,24 @@
 	return reply{status: rs.StatusCode, header: rs.Header, body: out}
 }
 
-// post sends JSON and wants status 200 and JSON back.
+// post sends JSON and expects status 200 and a JSON body.
 func post[T any](tb testing.TB, url string, body any) T {
 	tb.Helper()
 	rp := send(tb, http.MethodPost, url, nil, body)
 	is.New(tb).Equal(rp.status, http.StatusOK)
-	return as[T](tb, rp)
+	return decodeBody[T](tb, rp)
 }
 
-// clause is one promise of a contract.
+// clause is one requirement of a contract, checked as a subtest.
 type clause[S any] struct {
-	name string
-	hold func(t *testing.T, sv S)
+	name  string
+	check func(t *testing.T, sv S)
 }
 
-// run gives each clause an implementation of its own.
-func run[S any](t *testing.T, start func(t *testing.T) S, clauses []clause[S]) {
+// runClauses runs each clause against a newly started implementation.
+func runClauses[S any](t *testing.T, start func(t *testing.T) S, clauses []clause[S]) {
 	t.Helper()
 	for _, cl := range clauses {
-		t.Run(cl.name, func(t *testing.T) { cl.hold(t, start(t)) })
+		t.Run(cl.name, func(t *testing.T) { cl.check(t, start(t)) })
 	}
 }
--- a/io/contr/doc.go
+++ b/io/contr/doc.go
@@ -1,6 +1,5 @@
-// Package contr holds the contracts of the interfaces at a VM's borders, as
-// tests that any implementation can be run through: the product's own, a
-// stand-in, or a service of the platform.
+// Package contr has contract tests of the external interfaces of a VM. They can be run against any
+// implementation: the product's own, an emulated service, or a service of the platform.
 //
 // # Usage
 //
@@ -9,8 +8,8 @@
 //	contr.Upstream(t, func(t *testing.T) contr.UpstreamServer { ... })
 //	contr.KV(t, func(t *testing.T) string { return startMine(t) })
 //
-// Each contract is a table whose cases are subtests, so that a failure names
-// the clause that is broken.
+// Each contract is a table of clauses that run as subtests, so that a failure names the violated
+// clause.
 //
-// Talk speaks raw HTTP to a listener, for what no client library would send.
+// Talk sends raw HTTP to a listener, for requests that no client library would send.
 package contr
--- a/io/contr/kv.go
+++ b/io/contr/kv.go
@@ -10,30 +10,30 @@
 	"laburnumvane/io/wire"
 )
 
-// KVService is a key-value service under test. Keys below "contract/" are free
-// for it to change.
+// KVService is a key-value service under test. The test changes keys with the prefix "contract/".
 type KVService struct {
 	Addr string
-	// Compact forgets all changes so far; nil skips the clauses that need it.
+	// Compact discards the history of all changes so far. If it is nil, the clauses that need
+	// it are skipped.
 	Compact func()
 }
 
-// KV holds a key-value service to what VMs rely on.
+// KV checks what VMs rely on from a key-value service.
 func KV(t *testing.T, start func(t *testing.T) KVService) {
 	t.Helper()
-	run(t, start, []clause[KVService]{
-		{"an absent key is no error", kvAbsent},
-		{"a swap wants the revision that stands", kvSwap},
-		{"revisions only grow, over all keys", kvRevisions},
-		{"a range gives what has the prefix, by key", kvRange},
-		{"a watch gives what came after its revision, in order", kvWatch},
-		{"a watch ends without news when its wait is over", kvWatchEmpty},
-		{"a watch that waits is told at once", kvWatchWaits},
-		{"a watch from before a compaction is told so", kvCompaction},
-		{"keys go with their lease", kvLease},
+	runClauses(t, start, []clause[KVService]{
+		{"reading an absent key is not an error", kvAbsent},
+		{"a swap needs the current revision", kvSwap},
+		{"revisions increase across all keys", kvRevisions},
+		{"a range returns the keys with the prefix, sorted", kvRange},
+		{"a watch returns the changes after its revision, in order", kvWatch},
+		{"a watch without changes ends after its wait time", kvWatchEmpty},
+		{"a waiting watch returns a change at once", kvWatchWaits},
+		{"a watch from before a compaction reports the compaction", kvCompaction},
+		{"a key is deleted with its lease", kvLease},
 		{"a swap with an unknown lease is refused and writes nothing", kvNoLease},
-		{"a body that is no request is refused", kvMalformed},
-		{"values are bytes", kvBytes},
+		{"a malformed request is refused", kvMalformed},
+		{"values are arbitrary bytes", kvBytes},
 	})
 }
 
@@ -46,8 +46,8 @@
 	return post[wire.KVSwapReply](t, sv.url(wire.RouteKVSwap), rq)
 }
 
-// write puts a value whatever stands, and gives the new revision.
-func (sv KVService) write(t *testing.T, key, value string) uint64 {
+// put writes a value over the current one and returns the new revision.
+func (sv KVService) put(t *testing.T, key, value string) uint64 {
 	t.Helper()
 	rp := sv.swap(t, wire.KVSwapRequest{Key: key, Value: []byte(value), Expect: sv.revisionOf(t, key)})
 	is.New(t).True(rp.Swapped)
@@ -82,29 +82,29 @@
 
 func kvSwap(t *testing.T, sv KVService) {
 	key := kvPrefix + "swap"
-	first := sv.write(t, key, "1")
+	first := sv.put(t, key, "1")
 	cases := []struct {
 		name    string
 		key     string
 		expect  uint64
 		swapped bool
-		stands  bool
+		exists  bool
 	}{
-		{"the key must be absent and is not", key, 0, false, true},
-		{"an older revision", key, first - 1, false, true},
-		{"a revision that never was", key, first + 1000, false, true},
-		{"an absent key has no revision", kvPrefix + "none", first, false, false},
-		{"the revision that stands", key, first, true, true},
-		{"the same once more", key, first, false, true},
+		{"key expected absent but present", key, 0, false, true},
+		{"older revision", key, first - 1, false, true},
+		{"future revision", key, first + 1000, false, true},
+		{"revision of an absent key", kvPrefix + "none", first, false, false},
+		{"current revision", key, first, true, true},
+		{"same revision again", key, first, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			rp := sv.swap(t, wire.KVSwapRequest{Key: tc.key, Value: []byte("2"), Expect: tc.expect})
 			is.Equal(rp.Swapped, tc.swapped)
-			is.Equal(rp.Current != nil, tc.stands)
+			is.Equal(rp.Current != nil, tc.exists)
 			if rp.Current != nil {
-				is.Equal(rp.Current.Revision, sv.revisionOf(t, tc.key)) // the reply shows what stands
+				is.Equal(rp.Current.Revision, sv.revisionOf(t, tc.key)) // the reply has the current revision
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 	is := is.New(t)
 	last := uint64(0)
 	for _, key := range []string{"a", "b", "a", "c", "b"} {
-		revision := sv.write(t, kvPrefix+key, "x")
+		revision := sv.put(t, kvPrefix+key, "x")
 		is.True(revision > last)
 		last = revision
 	}
@@ -124,7 +124,7 @@
 func kvRange(t *testing.T, sv KVService) {
 	is := is.New(t)
 	for _, key := range []string{"r/b", "r/a", "s"} {
-		sv.write(t, kvPrefix+key, key)
+		sv.put(t, kvPrefix+key, key)
 	}
 	rp := post[wire.KVRangeReply](t, sv.url(wire.RouteKVRange), wire.KVRangeRequest{Prefix: kvPrefix + "r/"})
 	is.Equal(len(rp.Pairs), 2)
@@ -135,20 +135,20 @@
 
 func kvWatch(t *testing.T, sv KVService) {
 	is := is.New(t)
-	from := sv.write(t, kvPrefix+"w", "0")
-	first := sv.write(t, kvPrefix+"w", "1")
-	second := sv.write(t, kvPrefix+"v", "2")
+	from := sv.put(t, kvPrefix+"w", "0")
+	first := sv.put(t, kvPrefix+"w", "1")
+	second := sv.put(t, kvPrefix+"v", "2")
 	rp := sv.watch(t, from, 0)
 	is.Equal(len(rp.Events), 2)
 	is.Equal(rp.Events[0].Revision, first)
 	is.Equal(rp.Events[1].Revision, second)
 	is.True(rp.Revision >= second)
-	is.Equal(len(sv.watch(t, rp.Revision, 0).Events), 0) // nothing comes twice
+	is.Equal(len(sv.watch(t, rp.Revision, 0).Events), 0) // no event is repeated
 }
 
 func kvWatchEmpty(t *testing.T, sv KVService) {
 	is := is.New(t)
-	from := sv.write(t, kvPrefix+"w", "0")
+	from := sv.put(t, kvPrefix+"w", "0")
 	rp := sv.watch(t, from, time.Millisecond)
 	is.Equal(len(rp.Events), 0)
 	is.Equal(rp.Compacted, false)
@@ -157,10 +157,10 @@
 
 func kvWatchWaits(t *testing.T, sv KVService) {
 	is := is.New(t)
-	from := sv.write(t, kvPrefix+"w", "0")
+	from := sv.put(t, kvPrefix+"w", "0")
 	got := make(chan wire.KVWatchReply, 1)
-	go func() { got <- sv.watch(t, from, patience/2) }()
-	second := sv.write(t, kvPrefix+"w", "1")
+	go func() { got <- sv.watch(t, from, testTimeout/2) }()
+	second := sv.put(t, kvPrefix+"w", "1")
 	rp := <-got
 	is.Equal(len(rp.Events), 1)
 	is.Equal(rp.Events[0].Revision, second)
@@ -171,12 +171,12 @@
 		t.Skip("the service offers no way to compact")
 	}
 	is := is.New(t)
-	from := sv.write(t, kvPrefix+"w", "0")
-	sv.write(t, kvPrefix+"w", "1")
+	from := sv.put(t, kvPrefix+"w", "0")
+	sv.put(t, kvPrefix+"w", "1")
 	sv.Compact()
 	is.True(sv.watch(t, from, 0).Compacted)
 	now := sv.get(t, kvPrefix+"w").Revision
-	is.Equal(sv.watch(t, now, 0).Compacted, false) // from the present it goes on
+	is.Equal(sv.watch(t, now, 0).Compacted, false) // a watch from the current revision works
 }
 
 func kvLease(t *testing.T, sv KVService) {
@@ -192,7 +192,7 @@
 	from := sv.get(t, key).Revision
 	rp := send(t, http.MethodPost, sv.url(wire.RouteKVSwap), nil, wire.KVSwapRequest{Key: kvPrefix + "brief", Lease: short.ID})
 	if rp.status != http.StatusOK {
-		return // it lapsed before the swap, which said so
+		return // the lease expired before the swap, which was refused
 	}
 	for gone := false; !gone; {
 		for _, ev := range sv.watch(t, from, time.Second).Events {
@@ -201,14 +201,14 @@
 	}
 	is.Equal(len(sv.get(t, kvPrefix+"brief").Pairs), 0)
 	is.Equal(post[wire.KVLeaseReply](t, sv.url(wire.RouteKVKeepAlive), wire.KVLeaseRequest{ID: short.ID}).TTLMs, int64(0))
-	is.Equal(len(sv.get(t, key).Pairs), 1) // another lease's key stays
+	is.Equal(len(sv.get(t, key).Pairs), 1) // the other lease's key remains
 }
 
 func kvNoLease(t *testing.T, sv KVService) {
 	is := is.New(t)
 	key := kvPrefix + "noLease"
 	rp := send(t, http.MethodPost, sv.url(wire.RouteKVSwap), nil, wire.KVSwapRequest{Key: key, Lease: 1 << 40})
-	is.True(rp.status >= 400 && rp.status < 500) // the client takes that for "nothing was written"
+	is.True(rp.status >= 400 && rp.status < 500) // for the client this means that nothing was written
 	is.Equal(len(sv.get(t, key).Pairs), 0)
 }
 
--- a/io/contr/operators.go
+++ b/io/contr/operators.go
@@ -14,14 +14,14 @@
 	"laburnumvane/io/wire"
 )
 
-// OperatorListener is a VM's listener for operators; one of several VMs with one
-// configuration.
+// OperatorListener is a VM's listener for operators under test. The VM may be one of several that
+// share a configuration.
 type OperatorListener struct {
 	Addr string
 	Team string
-	// Token is sent as a bearer token; empty where none is needed.
+	// Token is sent as a bearer token unless it is empty.
 	Token string
-	// Edit makes another valid document of one.
+	// Edit returns a different valid document made from a valid one.
 	Edit func(t *testing.T, doc json.RawMessage) json.RawMessage
 }
 
@@ -50,8 +50,8 @@
 	rp := op.get(t, wire.RouteConfig)
 	is := is.New(t)
 	is.Equal(rp.status, http.StatusOK)
-	cr := as[wire.ConfigReply](t, rp)
-	is.Equal(rp.header.Get("ETag"), tagOf(cr.Revision))
+	cr := decodeBody[wire.ConfigReply](t, rp)
+	is.Equal(rp.header.Get("ETag"), etagOf(cr.Revision))
 	return cr
 }
 
@@ -60,53 +60,53 @@
 	return send(t, http.MethodPut, op.url(wire.RouteConfig)+query, op.header(ifMatch), string(doc))
 }
 
-func tagOf(revision uint64) string {
+func etagOf(revision uint64) string {
 	return strconv.Quote(strconv.FormatUint(revision, 10))
 }
 
-// Operators holds a listener to what operators rely on: an accepted change is
-// in force and in the history, and none is overwritten unseen.
+// Operators checks what operators rely on: an accepted change comes into force and is in the
+// history, and no change overwrites another that its author has not seen.
 func Operators(t *testing.T, start func(t *testing.T) OperatorListener) {
 	t.Helper()
-	run(t, start, []clause[OperatorListener]{
+	runClauses(t, start, []clause[OperatorListener]{
 		{"an accepted change is in force and in the history", opAccept},
-		{"a change made from an older revision is shown the other", opConflict},
+		{"a change from an older revision gets a conflict with the current change", opConflict},
 		{"a dry run changes nothing", opDryRun},
-		{"a change that names no revision is refused", opNoRevision},
-		{"a faulty document is refused and changes nothing", opInvalid},
-		{"of two changes from one revision one is accepted", opRace},
+		{"a change without an expected revision is refused", opNoRevision},
+		{"an invalid document is refused and changes nothing", opInvalid},
+		{"one of two concurrent changes is accepted", opRace},
 		{"a team without a document is not found", func(t *testing.T, op OperatorListener) {
 			op.Team = "no-such-team"
 			is.New(t).Equal(op.get(t, wire.RouteConfig).status, http.StatusNotFound)
 		}},
-		{"status and metrics can be read", opStatus},
-		{"the log level can be changed", opLogLevel},
+		{"status and metrics are readable", opStatus},
+		{"the log level is changeable", opLogLevel},
 	})
 }
 
 func opAccept(t *testing.T, op OperatorListener) {
 	is := is.New(t)
 	before := op.config(t)
-	rp := op.put(t, "?id=contract-accept", tagOf(before.Revision), op.Edit(t, before.Document))
+	rp := op.put(t, "?id=contract-accept", etagOf(before.Revision), op.Edit(t, before.Document))
 	is.Equal(rp.status, http.StatusOK)
-	cr := as[wire.ChangeReply](t, rp)
+	cr := decodeBody[wire.ChangeReply](t, rp)
 	is.Equal(cr.Result, wire.ChangeAccepted)
 	is.Equal(cr.ChangeID, "contract-accept")
 	is.True(cr.Revision > before.Revision)
 	op.awaitInForce(t, "contract-accept")
 	is.True(op.config(t).Revision >= cr.Revision)
-	hr := as[wire.HistoryReply](t, op.get(t, wire.RouteHistory))
+	hr := decodeBody[wire.HistoryReply](t, op.get(t, wire.RouteHistory))
 	is.Equal(hr.Entries[0].ChangeID, "contract-accept") // newest first
 	is.Equal(hr.Entries[0].Revision, cr.Revision)
 }
 
-// awaitInForce returns when every VM has the change.
+// awaitInForce waits until the change is in force on every VM.
 func (op OperatorListener) awaitInForce(t *testing.T, id string) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for {
-		st := as[wire.ChangeStatus](t, op.get(t, strings.Replace(wire.RouteChange, ":id", id, 1)))
+		st := decodeBody[wire.ChangeStatus](t, op.get(t, strings.Replace(wire.RouteChange, ":id", id, 1)))
 		everywhere := st.Known && len(st.VMs) > 0
 		for _, vm := range st.VMs {
 			everywhere = everywhere && vm.InForce
@@ -126,10 +126,10 @@
 	is := is.New(t)
 	seen := op.config(t)
 	mine := op.Edit(t, seen.Document)
-	is.Equal(op.put(t, "?id=contract-first", tagOf(seen.Revision), mine).status, http.StatusOK)
-	rp := op.put(t, "?id=contract-second", tagOf(seen.Revision), op.Edit(t, mine))
+	is.Equal(op.put(t, "?id=contract-first", etagOf(seen.Revision), mine).status, http.StatusOK)
+	rp := op.put(t, "?id=contract-second", etagOf(seen.Revision), op.Edit(t, mine))
 	is.Equal(rp.status, http.StatusPreconditionFailed)
-	cr := as[wire.ChangeReply](t, rp)
+	cr := decodeBody[wire.ChangeReply](t, rp)
 	is.Equal(cr.Result, wire.ChangeConflict)
 	is.True(cr.Current != nil)
 	is.Equal(cr.Current.ChangeID, "contract-first")
@@ -139,10 +139,10 @@
 func opDryRun(t *testing.T, op OperatorListener) {
 	is := is.New(t)
 	before := op.config(t)
-	rp := op.put(t, "?dryRun=true", tagOf(before.Revision), op.Edit(t, before.Document))
+	rp := op.put(t, "?dryRun=true", etagOf(before.Revision), op.Edit(t, before.Document))
 	is.Equal(rp.status, http.StatusOK)
-	is.Equal(as[wire.ChangeReply](t, rp).Result, wire.ChangeDryRun)
-	hr := as[wire.HistoryReply](t, op.get(t, wire.RouteHistory))
+	is.Equal(decodeBody[wire.ChangeReply](t, rp).Result, wire.ChangeDryRun)
+	hr := decodeBody[wire.HistoryReply](t, op.get(t, wire.RouteHistory))
 	is.Equal(hr.Entries[0].Revision, before.Revision)
 }
 
@@ -151,18 +151,18 @@
 	before := op.config(t)
 	rp := op.put(t, "", "", op.Edit(t, before.Document))
 	is.Equal(rp.status, http.StatusPreconditionRequired)
-	is.Equal(as[wire.HistoryReply](t, op.get(t, wire.RouteHistory)).Entries[0].Revision, before.Revision)
+	is.Equal(decodeBody[wire.HistoryReply](t, op.get(t, wire.RouteHistory)).Entries[0].Revision, before.Revision)
 }
 
 func opInvalid(t *testing.T, op OperatorListener) {
 	before := op.config(t)
 	for _, doc := range []string{`{`, `[]`, `{}`, `{"colour":"red"}`, `null`} {
 		is := is.New(t)
-		rp := op.put(t, "", tagOf(before.Revision), json.RawMessage(doc))
+		rp := op.put(t, "", etagOf(before.Revision), json.RawMessage(doc))
 		is.Equal(rp.status, http.StatusBadRequest)
-		is.True(as[wire.ErrorReply](t, rp).Error != "")
+		is.True(decodeBody[wire.ErrorReply](t, rp).Error != "")
 	}
-	is.New(t).Equal(as[wire.HistoryReply](t, op.get(t, wire.RouteHistory)).Entries[0].Revision, before.Revision)
+	is.New(t).Equal(decodeBody[wire.HistoryReply](t, op.get(t, wire.RouteHistory)).Entries[0].Revision, before.Revision)
 }
 
 func opRace(t *testing.T, op OperatorListener) {
@@ -171,14 +171,14 @@
 	one, two := op.Edit(t, seen.Document), op.Edit(t, op.Edit(t, seen.Document))
 	replies := make(chan reply, 2)
 	for id, doc := range map[string]json.RawMessage{"contract-one": one, "contract-two": two} {
-		go func() { replies <- op.put(t, "?id="+id, tagOf(seen.Revision), doc) }()
+		go func() { replies <- op.put(t, "?id="+id, etagOf(seen.Revision), doc) }()
 	}
 	accepted := ""
 	for range 2 {
 		rp := <-replies
-		cr := as[wire.ChangeReply](t, rp)
+		cr := decodeBody[wire.ChangeReply](t, rp)
 		if cr.Result == wire.ChangeAccepted {
-			is.Equal(accepted, "") // both were told that theirs is accepted
+			is.Equal(accepted, "") // only one change may be accepted
 			accepted = cr.ChangeID
 			continue
 		}
@@ -190,11 +190,11 @@
 
 func opStatus(t *testing.T, op OperatorListener) {
 	is := is.New(t)
-	st := as[wire.Status](t, op.get(t, wire.RouteStatus))
+	st := decodeBody[wire.Status](t, op.get(t, wire.RouteStatus))
 	is.True(st.VM != "" && st.DataCentre != "" && st.Incarnation != 0)
 	is.Equal(st.Phase, "serving")
 	is.True(len(st.Teams) > 0 && len(st.Upstreams) > 0)
-	mt := as[map[string]float64](t, op.get(t, wire.RouteMetrics))
+	mt := decodeBody[map[string]float64](t, op.get(t, wire.RouteMetrics))
 	_, ok := mt["outcome.complete"]
 	is.True(ok)
 }
--- a/io/contr/peer.go
+++ b/io/contr/peer.go
@@ -15,7 +15,7 @@
 	"laburnumvane/io/inner"
 )
 
-// PeerVM is a VM as other VMs see it.
+// PeerVM is a VM under test with a client of its inner protocol.
 type PeerVM struct {
 	Addr   string
 	Client inner.Peer
@@ -23,16 +23,16 @@
 	Team string
 }
 
-// Peer holds a VM to the inner protocol: versions that it does not read are
-// refused by each call, and what it holds can be had.
+// Peer checks the inner protocol of a VM: each call refuses versions that the VM does not support,
+// and the VM returns the configuration that it holds.
 func Peer(t *testing.T, start func(t *testing.T) PeerVM) {
 	t.Helper()
-	run(t, start, []clause[PeerVM]{
-		{"a version that is not read is refused", peerVersions},
-		{"a beat is answered by the VM itself", peerBeat},
-		{"pull gives what the asker lacks", peerPull},
-		{"pull in brief gives revisions only", peerPullBrief},
-		{"a search without this VM's ticket is void", peerRunVoid},
+	runClauses(t, start, []clause[PeerVM]{
+		{"an unsupported version is refused", peerVersions},
+		{"a heartbeat is answered with the VM's own identity", peerBeat},
+		{"a pull returns what the caller lacks", peerPull},
+		{"a brief pull returns revisions only", peerPullBrief},
+		{"a search without a ticket of this VM is void", peerRunVoid},
 	})
 }
 
@@ -102,10 +102,10 @@
 		Held:    []*inner.TeamRevision{{Team: tc.GetTeam(), Revision: tc.GetRevision(), ChangeId: tc.GetChangeId()}},
 	})
 	is.NoErr(err)
-	is.Equal(len(rp.GetTeams()), 0) // it has that already
+	is.Equal(len(rp.GetTeams()), 0) // the caller holds it already
 }
 
-// documentOf gives the document, which may come deflated.
+// documentOf returns the document, inflated if necessary.
 func documentOf(t *testing.T, tc *inner.TeamConfig) []byte {
 	t.Helper()
 	if len(tc.GetDeflated()) == 0 {
--- a/io/contr/platform_test.go
+++ b/io/contr/platform_test.go
@@ -27,10 +27,10 @@
 	goleak.VerifyTestMain(m, contr.LibraryGoroutines()...)
 }
 
-// patience ends a test that hangs; no verdict depends on it.
-const patience = 30 * time.Second
+// testTimeout ends a test that hangs. No passing test depends on its value.
+const testTimeout = 30 * time.Second
 
-func TestStandInKV(t *testing.T) {
+func TestEmulatedKV(t *testing.T) {
 	contr.KV(t, func(t *testing.T) contr.KVService {
 		kv := emul.NewKV(emul.KVConfig{Sweep: time.Millisecond})
 		is.New(t).NoErr(kv.Start())
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestStandInVMList(t *testing.T) {
+func TestEmulatedVMList(t *testing.T) {
 	contr.VMList(t, func(t *testing.T) contr.VMListService {
 		vs := emul.NewVMs(emul.VMsConfig{})
 		is.New(t).NoErr(vs.Start())
@@ -48,53 +48,53 @@
 	})
 }
 
-func TestStandInUpstream(t *testing.T) {
+func TestEmulatedUpstream(t *testing.T) {
 	contr.Upstream(t, func(t *testing.T) contr.UpstreamServer {
 		is := is.New(t)
 		rg, err := emul.SampleRegister("members", 1, 40)
 		is.NoErr(err)
 		sn, err := rg.Snapshot(4)
 		is.NoErr(err)
-		st := &stall{}
-		up := emul.NewUpstream(emul.UpstreamConfig{Slots: 1, Queue: 1, Service: st.service})
+		st := &blockableService{}
+		up := emul.NewUpstream(emul.UpstreamConfig{Slots: 1, Queue: 1, Service: st.serviceTime})
 		is.NoErr(up.Start())
 		t.Cleanup(up.Close)
 		up.Hold(sn, []int{0, 2})
 		return contr.UpstreamServer{
 			Addr: up.Addr(), Register: "members", Snapshot: sn.Version, Shards: 4, Held: 2, NotHeld: 1,
-			All: json.RawMessage(`{}`), SetState: up.SetState, Runs: up.Runs,
-			Busy: func(t *testing.T) func() { return busy(t, up, st, sn.Version) },
+			MatchAll: json.RawMessage(`{}`), SetState: up.SetState, Runs: up.Runs,
+			Saturate: func(t *testing.T) func() { return saturate(t, up, st, sn.Version) },
 		}
 	})
 }
 
-// stall makes sub-requests last until they are cancelled, while it is set.
-type stall struct{ on atomic.Bool }
+// blockableService makes sub-requests last until they are cancelled, while blocked is set.
+type blockableService struct{ blocked atomic.Bool }
 
-func (st *stall) service(*rand.Rand) time.Duration {
-	if st.on.Load() {
+func (st *blockableService) serviceTime(*rand.Rand) time.Duration {
+	if st.blocked.Load() {
 		return time.Hour
 	}
 	return 0
 }
 
-// busy fills the one slot and the one place in the queue.
-func busy(t *testing.T, up *emul.Upstream, st *stall, snapshot uint64) func() {
+// saturate fills the server's only slot and its only place in the queue.
+func saturate(t *testing.T, up *emul.Upstream, st *blockableService, snapshot uint64) func() {
 	t.Helper()
 	is := is.New(t)
-	st.on.Store(true)
-	cl := upst.New(upst.Config{Addr: up.Addr(), MaxConns: 4, DialTimeout: patience})
+	st.blocked.Store(true)
+	cl := upst.New(upst.Config{Addr: up.Addr(), MaxConns: 4, DialTimeout: testTimeout})
 	var waiting sync.WaitGroup
 	for i := range 2 {
 		waiting.Add(1)
 		go func() {
 			defer waiting.Done()
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			// How it ends is no matter here.
+			// The result does not matter here.
 			_, _ = cl.Search(ctx, wire.ShardRequest{
 				ID: fmt.Sprintf("busy.%d", i), Register: "members", Shard: 2, Snapshot: snapshot,
-				DeadlineMs: patience.Milliseconds(), Query: json.RawMessage(`{}`), Limit: 1,
+				DeadlineMs: testTimeout.Milliseconds(), Query: json.RawMessage(`{}`), Limit: 1,
 			})
 		}()
 	}
@@ -102,9 +102,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	return func() {
-		st.on.Store(false)
-		// The client's own Cancel waits for an idle connection: there may be
-		// none while both are busy.
+		st.blocked.Store(false)
+		// The client's own Cancel waits for an idle connection, and there may be none while both
+		// are in use.
 		for _, id := range []string{"busy.0", "busy.1"} {
 			body := strings.NewReader(`{"id":"` + id + `"}`)
 			rq, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+up.Addr()+wire.RouteShardCancel, body)
@@ -122,11 +122,11 @@
 func TestUpstreamClient(t *testing.T) {
 	contr.UpstreamClient(t, contr.UpstreamClientConfig{
 		New: func(t *testing.T, addr string) contr.UpstreamCaller {
-			sv := upst.New(upst.Config{Addr: addr, MaxConns: 4, DialTimeout: patience})
+			sv := upst.New(upst.Config{Addr: addr, MaxConns: 4, DialTimeout: testTimeout})
 			t.Cleanup(sv.Close)
 			return sv
 		},
-		Sent: func(err error) bool {
+		MayHaveSent: func(err error) bool {
 			var ue *upst.Error
 			return !errors.As(err, &ue) || ue.Sent
 		},
--- a/io/contr/site_test.go
+++ b/io/contr/site_test.go
@@ -17,7 +17,7 @@
 	"laburnumvane/io/site"
 )
 
-// startSite starts two VMs over whole upstreams.
+// startSite starts two VMs with upstream servers for all shards.
 func startSite(t *testing.T) *site.Site {
 	t.Helper()
 	is := is.New(t)
@@ -34,24 +34,24 @@
 	})
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
 	return st
 }
 
-func TestVMForCallers(t *testing.T) {
+func TestCallerListener(t *testing.T) {
 	st := startSite(t)
 	contr.Callers(t, func(*testing.T) contr.CallerListener {
 		return contr.CallerListener{
 			Addr: st.Nodes()[0].Addrs().Caller, Team: "wash", Search: "kiosk", Once: "renewal",
-			Query: json.RawMessage(`{"member":"m000007"}`), Other: json.RawMessage(`{"member":"m000008"}`),
+			Query: json.RawMessage(`{"member":"m000007"}`), OtherQuery: json.RawMessage(`{"member":"m000008"}`),
 			Runs: st.Fleet().Runs,
 		}
 	})
 }
 
-func TestVMForOperators(t *testing.T) {
+func TestOperatorListener(t *testing.T) {
 	st := startSite(t)
 	contr.Operators(t, func(*testing.T) contr.OperatorListener {
 		return contr.OperatorListener{Addr: st.Nodes()[1].Addrs().Operator, Team: "wash", Edit: editLimit}
@@ -72,7 +72,7 @@
 	return out
 }
 
-func TestVMForPeers(t *testing.T) {
+func TestPeerProtocol(t *testing.T) {
 	st := startSite(t)
 	contr.Peer(t, func(t *testing.T) contr.PeerVM {
 		cl := peer.NewClient(peer.ClientConfig{Timeout: time.Second})
--- a/io/contr/talk.go
+++ b/io/contr/talk.go
@@ -13,22 +13,22 @@
 	"go.uber.org/goleak"
 )
 
-// patience ends a test that hangs; no verdict depends on it.
-const patience = 30 * time.Second
+// testTimeout ends a test that hangs. No passing test depends on its value.
+const testTimeout = 30 * time.Second
 
-// Step is one move of a raw conversation.
+// Step is one step of a raw conversation with a server.
 type Step struct {
-	// Send is written as it is.
+	// Send is sent unchanged.
 	Send string
-	// Until is read up to and including this text; empty reads to the end of
-	// the stream.
+	// Until is the text up to which, and including which, the reply is read. If it is empty,
+	// the reply is read to the end of the stream.
 	Until string
 	// Hang closes the sending side after Send.
 	Hang bool
 }
 
-// Talk opens a connection, makes the moves and gives what the server said, with
-// the date masked.
+// Talk opens a connection, performs the steps and returns everything that the server sent, with the
+// Date header masked.
 func Talk(tb testing.TB, addr string, steps ...Step) string {
 	tb.Helper()
 	is := is.New(tb)
@@ -36,22 +36,22 @@
 	nc, err := dl.DialContext(tb.Context(), "tcp", addr)
 	is.NoErr(err)
 	defer nc.Close()
-	is.NoErr(nc.SetDeadline(time.Now().Add(patience)))
-	said := ""
+	is.NoErr(nc.SetDeadline(time.Now().Add(testTimeout)))
+	received := ""
 	for _, st := range steps {
 		if _, err := io.WriteString(nc, st.Send); err != nil {
-			// A server that has refused may close before all is sent.
+			// A server that refuses the request may close before everything is sent.
 			tb.Logf("send: %v", err)
 		}
 		if st.Hang {
 			is.NoErr(nc.(*net.TCPConn).CloseWrite())
 		}
-		said += hear(tb, nc, st.Until)
+		received += readUntil(tb, nc, st.Until)
 	}
-	return maskDate(said)
+	return maskDate(received)
 }
 
-func hear(tb testing.TB, nc net.Conn, until string) string {
+func readUntil(tb testing.TB, nc net.Conn, until string) string {
 	tb.Helper()
 	var sb strings.Builder
 	buf := make([]byte, 1)
@@ -63,7 +63,7 @@
 		}
 		var ne net.Error
 		if errors.As(err, &ne) && ne.Timeout() {
-			tb.Fatalf("the server neither went on nor closed; it said %q", sb.String())
+			tb.Fatalf("the server neither sent more nor closed the connection; it sent %q", sb.String())
 		}
 		if err != nil {
 			return sb.String()
@@ -75,34 +75,33 @@
 	return regexp.MustCompile(`Date: [^\r\n]*`).ReplaceAllString(text, "Date: *")
 }
 
-// Transcript writes a conversation down so that it can be read in a file: what
-// went out behind >, what came back behind <, line ends shown only where they
-// are not the usual ones.
-func Transcript(name string, steps []Step, said string) string {
+// Transcript formats a conversation for a golden file. Lines that were sent start with >, lines
+// that were received with <. Line ends are shown only if they are not CR LF.
+func Transcript(name string, steps []Step, received string) string {
 	var sb strings.Builder
 	sb.WriteString("== " + name + "\n")
 	for _, st := range steps {
-		quote(&sb, "> ", st.Send)
+		writeLines(&sb, "> ", st.Send)
 		if st.Hang {
 			sb.WriteString("> (end of sending)\n")
 		}
 	}
-	quote(&sb, "< ", said)
+	writeLines(&sb, "< ", received)
 	return sb.String() + "\n"
 }
 
-func quote(sb *strings.Builder, mark, text string) {
-	const most = 400
+func writeLines(sb *strings.Builder, mark, text string) {
+	const maxLen = 400
 	for line := range strings.SplitSeq(strings.TrimSuffix(text, "\r\n"), "\r\n") {
-		if len(line) > most {
-			line = line[:most] + "..."
+		if len(line) > maxLen {
+			line = line[:maxLen] + "..."
 		}
 		sb.WriteString(strings.TrimRight(mark+strings.ToValidUTF8(line, `\x`), " ") + "\n")
 	}
 }
 
-// LibraryGoroutines are those that libraries start once for a process and never
-// end; a check for leaks must not count them.
+// LibraryGoroutines returns the options that exclude from a leak check the goroutines that
+// libraries start once for a process and never end.
 func LibraryGoroutines() []goleak.Option {
 	return []goleak.Option{
 		goleak.IgnoreAnyFunction("github.com/cloudwego/hertz/pkg/protocol.UpdateServerDate.func1"),
--- a/io/contr/upstream.go
+++ b/io/contr/upstream.go
@@ -11,34 +11,34 @@
 	"laburnumvane/io/wire"
 )
 
-// UpstreamServer is an upstream server under test, in state serving.
+// UpstreamServer is an upstream server under test. It must be in state serving.
 type UpstreamServer struct {
 	Addr     string
 	Register string
 	Snapshot uint64
 	Shards   int
-	// Held is a shard that the server holds with at least two members, and
-	// NotHeld one of the snapshot that it does not hold.
+	// Held is a shard with at least two members that the server holds, and NotHeld one of the
+	// same snapshot that it does not hold.
 	Held, NotHeld int
-	// All finds all members of a shard.
-	All json.RawMessage
-	// SetState changes the state; nil skips the clauses that need it.
+	// MatchAll is a query that finds all members of a shard.
+	MatchAll json.RawMessage
+	// SetState changes the server's state. If it is nil, the clauses that need it are skipped.
 	SetState func(wire.UpstreamState)
-	// Busy takes all slots and the queue until the function that it gives is
-	// called; nil skips the clauses that need it.
-	Busy func(t *testing.T) (free func())
+	// Saturate fills all slots and the queue until the returned function is called. If it is
+	// nil, the clauses that need it are skipped.
+	Saturate func(t *testing.T) (free func())
 	// Runs counts the sub-requests that the server has run.
 	Runs func() uint64
 }
 
-const longMs = 10_000
+const searchDeadlineMs = 10_000
 
 func (us UpstreamServer) url(route string) string { return "http://" + us.Addr + route }
 
 func (us UpstreamServer) request(id string) wire.ShardRequest {
 	return wire.ShardRequest{
 		ID: id, Register: us.Register, Shard: us.Held, Snapshot: us.Snapshot,
-		DeadlineMs: longMs, Query: us.All, Limit: 1000,
+		DeadlineMs: searchDeadlineMs, Query: us.MatchAll, Limit: 1000,
 	}
 }
 
@@ -47,19 +47,19 @@
 	return post[wire.ShardReply](t, us.url(wire.RouteShardSearch), rq)
 }
 
-// Upstream holds an upstream server to what VMs rely on. Above all: a refusal
-// is the server's word that nothing ran.
+// Upstream checks what VMs rely on from an upstream server. Most important: a refused sub-request
+// has not run.
 func Upstream(t *testing.T, start func(t *testing.T) UpstreamServer) {
 	t.Helper()
-	run(t, start, []clause[UpstreamServer]{
-		{"a reply names its request, shard, snapshot and shards", upEcho},
-		{"a limit cuts, and says so", upLimit},
-		{"what did not run is refused by name", upRefusals},
-		{"a full server sheds and says when to come back", upShed},
-		{"a cancellation of what is unknown is no error", upCancel},
-		{"load and health tell incarnation, state and holdings", upLoad},
-		{"fields that are not known are ignored", upUnknownField},
-		{"a request that cannot be read is refused by status", upMalformed},
+	runClauses(t, start, []clause[UpstreamServer]{
+		{"a reply has its request's id, shard and snapshot, and the shard count", upEcho},
+		{"a limit truncates the hits and reports it", upLimit},
+		{"a request that did not run is refused with its reason", upRefusals},
+		{"a full server sheds and gives a retry time", upShed},
+		{"cancelling an unknown request is not an error", upCancel},
+		{"load and health show incarnation, state and holdings", upLoad},
+		{"unknown fields are ignored", upUnknownField},
+		{"a malformed request is refused by status", upMalformed},
 	})
 }
 
@@ -78,7 +78,7 @@
 	members := map[string]bool{}
 	for _, hit := range rp.Hits {
 		is.True(hit.Member != "")
-		is.True(!members[hit.Member+"\x00"+hit.Key]) // shown twice
+		is.True(!members[hit.Member+"\x00"+hit.Key]) // no hit appears twice
 		members[hit.Member+"\x00"+hit.Key] = true
 	}
 }
@@ -125,17 +125,17 @@
 			is.Equal(rp.Refusal, tc.want)
 			is.Equal(rp.ID, rq.ID)
 			is.Equal(len(rp.Hits), 0)
-			is.Equal(us.Runs(), before) // what was refused has not run
+			is.Equal(us.Runs(), before) // a refused request has not run
 		})
 	}
 }
 
 func upShed(t *testing.T, us UpstreamServer) {
-	if us.Busy == nil {
+	if us.Saturate == nil {
 		t.Skip("the server cannot be made busy")
 	}
 	is := is.New(t)
-	free := us.Busy(t)
+	free := us.Saturate(t)
 	defer free()
 	before := us.Runs()
 	rp := us.search(t, us.request("s.1"))
@@ -151,7 +151,7 @@
 
 func upLoad(t *testing.T, us UpstreamServer) {
 	is := is.New(t)
-	st := as[wire.UpstreamStatus](t, send(t, http.MethodGet, us.url(wire.RouteUpLoad), nil, nil))
+	st := decodeBody[wire.UpstreamStatus](t, send(t, http.MethodGet, us.url(wire.RouteUpLoad), nil, nil))
 	is.True(st.Incarnation != 0)
 	is.Equal(st.State, wire.UpstreamServing)
 	is.True(st.Slots > 0)
--- a/io/contr/vmlist.go
+++ b/io/contr/vmlist.go
@@ -13,22 +13,22 @@
 // VMListService is a VM list under test.
 type VMListService struct {
 	Addr string
-	// Set and Remove change the list, without any lag.
+	// Set and Remove change the list at once.
 	Set    func(vm wire.VM)
 	Remove func(addr string)
 }
 
-// VMList holds a VM list to what VMs rely on.
+// VMList checks what VMs rely on from a VM list.
 func VMList(t *testing.T, start func(t *testing.T) VMListService) {
 	t.Helper()
 	read := func(t *testing.T, sv VMListService) []wire.VM {
 		t.Helper()
 		rp := send(t, http.MethodGet, "http://"+sv.Addr+wire.RouteVMs, nil, nil)
 		is.New(t).Equal(rp.status, http.StatusOK)
-		return as[wire.VMList](t, rp).VMs
+		return decodeBody[wire.VMList](t, rp).VMs
 	}
-	run(t, start, []clause[VMListService]{
-		{"an empty list is a list", func(t *testing.T, sv VMListService) {
+	runClauses(t, start, []clause[VMListService]{
+		{"an empty list is an empty array", func(t *testing.T, sv VMListService) {
 			is.New(t).Equal(len(read(t, sv)), 0)
 		}},
 		{"each VM has an address, a data centre and a state", func(t *testing.T, sv VMListService) {
@@ -44,7 +44,7 @@
 				is.True(vm.State == wire.VMLive || vm.State == wire.VMLeaving)
 			}
 		}},
-		{"an address stands once", func(t *testing.T, sv VMListService) {
+		{"an address is listed once", func(t *testing.T, sv VMListService) {
 			is := is.New(t)
 			sv.Set(wire.VM{Addr: "10.0.0.1:7703", DataCentre: "east", State: wire.VMLive})
 			sv.Set(wire.VM{Addr: "10.0.0.1:7703", DataCentre: "east", State: wire.VMLeaving})
@@ -52,7 +52,7 @@
 			is.Equal(len(vms), 1)
 			is.Equal(vms[0].State, wire.VMLeaving)
 		}},
-		{"a removed VM is gone", func(t *testing.T, sv VMListService) {
+		{"a removed VM is no longer listed", func(t *testing.T, sv VMListService) {
 			sv.Set(wire.VM{Addr: "10.0.0.1:7703", DataCentre: "east", State: wire.VMLive})
 			sv.Remove("10.0.0.1:7703")
 			is.New(t).Equal(len(read(t, sv)), 0)
