--- a/io/peer/client.go
+++ b/io/peer/client.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	idlePerPeer = 4
-	idleClose   = time.Minute
-	// maxPeers bounds the peers remembered; VMs are replaced all day, mostly at
-	// new addresses.
+	maxIdleConnsPerPeer = 4
+	idleConnTimeout     = time.Minute
+	// maxPeers bounds the stored peers: VMs are replaced all the time, mostly with new
+	// addresses.
 	maxPeers = 1024
 	// maxReplyBytes bounds a peer's reply.
 	maxReplyBytes = 64 << 20
 )
 
-// ClientConfig sets the client of all peers.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// Self is told to peers with each message.
+	// Self is sent as the origin of forwarded searches.
 	Self *inner.VM
 	// Timeout bounds the opening of a connection.
 	Timeout time.Duration
@@ -35,66 +35,66 @@
 
 // Client calls other VMs.
 type Client struct {
-	cfg ClientConfig
-	mu  sync.Mutex
-	to  map[string]*remote
+	cfg   ClientConfig
+	mu    sync.Mutex
+	peers map[string]*peerClient
 }
 
-// remote is one peer with connections of its own.
-type remote struct {
+// peerClient is the client of one peer, with connections of its own.
+type peerClient struct {
 	stub inner.Peer
 	tr   *http.Transport
 }
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, to: make(map[string]*remote)}
+	return &Client{cfg: cfg, peers: make(map[string]*peerClient)}
 }
 
-// To returns the stub for a VM's inner address.
+// To returns the stub of the VM with an inner address.
 func (cl *Client) To(addr string) inner.Peer {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	rm, ok := cl.to[addr]
+	pc, ok := cl.peers[addr]
 	if !ok {
-		if len(cl.to) >= maxPeers {
-			cl.forget()
+		if len(cl.peers) >= maxPeers {
+			cl.dropAll()
 		}
-		rm = cl.dialTo(addr)
-		cl.to[addr] = rm
+		pc = cl.newPeerClient(addr)
+		cl.peers[addr] = pc
 	}
-	return rm.stub
+	return pc.stub
 }
 
-func (cl *Client) dialTo(addr string) *remote {
+func (cl *Client) newPeerClient(addr string) *peerClient {
 	tr := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: cl.cfg.Timeout}).DialContext,
-		MaxIdleConnsPerHost: idlePerPeer,
-		IdleConnTimeout:     idleClose,
-		// Messages are small; offering compression only makes them longer.
+		MaxIdleConnsPerHost: maxIdleConnsPerPeer,
+		IdleConnTimeout:     idleConnTimeout,
+		// Messages are small; the header that offers compression would only make them longer.
 		DisableCompression: true,
 	}
-	hc := &http.Client{Transport: &wary{tr: tr}}
-	return &remote{stub: inner.NewPeerProtobufClient("http://"+addr, hc), tr: tr}
+	hc := &http.Client{Transport: &resettingTransport{tr: tr}}
+	return &peerClient{stub: inner.NewPeerProtobufClient("http://"+addr, hc), tr: tr}
 }
 
-// Close closes idle connections.
+// Close closes idle connections. The client can still be used.
 func (cl *Client) Close() {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	cl.forget()
+	cl.dropAll()
 }
 
-// forget drops all peers; calls under way end as they would have.
-func (cl *Client) forget() {
-	for _, rm := range cl.to {
-		rm.tr.CloseIdleConnections()
+// dropAll drops all peers. Calls in flight are not affected.
+func (cl *Client) dropAll() {
+	for _, pc := range cl.peers {
+		pc.tr.CloseIdleConnections()
 	}
-	clear(cl.to)
+	clear(cl.peers)
 }
 
-// Run forwards a search to the VM that issued its ticket. The deadline passed on
-// is what ctx leaves of it.
+// Run forwards a search to the VM that issued its ticket. The forwarded deadline is the search's,
+// or the time until ctx ends if that is shorter.
 func (cl *Client) Run(ctx context.Context, to ticket.Issuer, rq wire.SearchRequest) (wire.SearchAnswer, error) {
 	var an wire.SearchAnswer
 	if at, ok := ctx.Deadline(); ok {
--- a/io/peer/client_test.go
+++ b/io/peer/client_test.go
@@ -18,49 +18,49 @@
 	"laburnumvane/io/wire"
 )
 
-// patience ends a test that hangs; brief bounds a call that must fail.
+// testTimeout ends a test that hangs; shortTimeout bounds a call that must time out.
 const (
-	patience = 30 * time.Second
-	brief    = 50 * time.Millisecond
+	testTimeout  = 30 * time.Second
+	shortTimeout = 50 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
 
-// fake answers what the tests ask; the rest is not implemented.
-type fake struct {
+// fakePeer implements the calls that the tests make.
+type fakePeer struct {
 	inner.Peer
 	mu     sync.Mutex
 	run    *inner.RunRequest
 	answer string
 	void   bool
-	// both is closed when two beats are there at once.
-	beats atomic.Int64
-	both  chan struct{}
+	// twoBeats is closed when two heartbeats have arrived. Heartbeats wait for it.
+	beats    atomic.Int64
+	twoBeats chan struct{}
 }
 
-func (fk *fake) Beat(_ context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
+func (fk *fakePeer) Beat(_ context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
 	if fk.beats.Add(1) == 2 {
-		close(fk.both)
+		close(fk.twoBeats)
 	}
-	<-fk.both
+	<-fk.twoBeats
 	return &inner.BeatReply{Version: inner.Version, Sequence: rq.GetSequence()}, nil
 }
 
-func (fk *fake) Run(_ context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
+func (fk *fakePeer) Run(_ context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
 	fk.mu.Lock()
 	defer fk.mu.Unlock()
 	fk.run = rq
 	return &inner.RunReply{Version: inner.Version, Answer: []byte(fk.answer), Void: fk.void}, nil
 }
 
-func startPeer(t *testing.T) (*fake, string) {
+func startPeer(t *testing.T) (*fakePeer, string) {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	fk := &fake{both: make(chan struct{})}
+	fk := &fakePeer{twoBeats: make(chan struct{})}
 	sr := peer.NewServer(peer.ServerConfig{Listener: ln, Service: fk})
 	ended := make(chan error, 1)
 	go func() { ended <- sr.Serve() }()
@@ -71,21 +71,21 @@
 	return fk, ln.Addr().String()
 }
 
-// relay passes bytes on, until it forgets the connections that are open: they
-// stay open and nothing comes through any more. New ones work.
-type relay struct {
-	addr   string
-	mu     sync.Mutex
-	lost   []*atomic.Bool
-	opened atomic.Int64
+// silentProxy is a TCP proxy that can silence its open connections: they stay open and forward
+// nothing any more. New connections work.
+type silentProxy struct {
+	addr     string
+	mu       sync.Mutex
+	silenced []*atomic.Bool
+	opened   atomic.Int64
 }
 
-func startRelay(t *testing.T, to string) *relay {
+func startSilentProxy(t *testing.T, to string) *silentProxy {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	rl := &relay{addr: ln.Addr().String()}
+	sp := &silentProxy{addr: ln.Addr().String()}
 	var copying sync.WaitGroup
 	done := make(chan struct{})
 	go func() {
@@ -95,19 +95,19 @@
 			if err != nil {
 				return
 			}
-			rl.opened.Add(1)
-			far, err := net.Dial("tcp", to)
+			sp.opened.Add(1)
+			backend, err := net.Dial("tcp", to)
 			if err != nil {
 				nc.Close()
 				continue
 			}
-			lost := &atomic.Bool{}
-			rl.mu.Lock()
-			rl.lost = append(rl.lost, lost)
-			rl.mu.Unlock()
+			silenced := &atomic.Bool{}
+			sp.mu.Lock()
+			sp.silenced = append(sp.silenced, silenced)
+			sp.mu.Unlock()
 			copying.Add(2)
-			go pass(&copying, nc, far, lost)
-			go pass(&copying, far, nc, lost)
+			go forward(&copying, nc, backend, silenced)
+			go forward(&copying, backend, nc, silenced)
 		}
 	}()
 	t.Cleanup(func() {
@@ -115,10 +115,10 @@
 		<-done
 		copying.Wait()
 	})
-	return rl
+	return sp
 }
 
-func pass(copying *sync.WaitGroup, to, from net.Conn, lost *atomic.Bool) {
+func forward(copying *sync.WaitGroup, to, from net.Conn, silenced *atomic.Bool) {
 	defer copying.Done()
 	defer to.Close()
 	buf := make([]byte, 4096)
@@ -127,7 +127,7 @@
 		if err != nil {
 			return
 		}
-		if lost.Load() {
+		if silenced.Load() {
 			continue
 		}
 		if _, err := to.Write(buf[:n]); err != nil {
@@ -136,53 +136,52 @@
 	}
 }
 
-func (rl *relay) forget() {
-	rl.mu.Lock()
-	defer rl.mu.Unlock()
-	for _, lost := range rl.lost {
-		lost.Store(true)
+func (sp *silentProxy) silenceOpen() {
+	sp.mu.Lock()
+	defer sp.mu.Unlock()
+	for _, silenced := range sp.silenced {
+		silenced.Store(true)
 	}
 }
 
-// Two VMs have several connections open when something between them loses track
-// of all. The first call may run into its timeout; the next must go out on a new
-// connection and not wait for the others to prove silent one by one.
+// All open connections between two VMs become silent. The first call may time out, but the next
+// must use a new connection instead of timing out on the other idle connections one by one.
 func TestSilentConnections(t *testing.T) {
 	is := is.New(t)
 	_, addr := startPeer(t)
-	rl := startRelay(t, addr)
-	cl := peer.NewClient(peer.ClientConfig{Timeout: patience})
+	sp := startSilentProxy(t, addr)
+	cl := peer.NewClient(peer.ClientConfig{Timeout: testTimeout})
 	defer cl.Close()
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			_, err := cl.To(rl.addr).Beat(context.Background(), &inner.BeatRequest{Version: inner.Version})
+			_, err := cl.To(sp.addr).Beat(context.Background(), &inner.BeatRequest{Version: inner.Version})
 			is.NoErr(err)
 		}()
 	}
 	wg.Wait()
-	is.True(rl.opened.Load() >= 2)
+	is.True(sp.opened.Load() >= 2)
 
-	rl.forget()
-	ctx, cancel := context.WithTimeout(context.Background(), brief)
+	sp.silenceOpen()
+	ctx, cancel := context.WithTimeout(context.Background(), shortTimeout)
 	defer cancel()
-	_, err := cl.To(rl.addr).Beat(ctx, &inner.BeatRequest{Version: inner.Version})
+	_, err := cl.To(sp.addr).Beat(ctx, &inner.BeatRequest{Version: inner.Version})
 	is.True(err != nil)
 
-	ctx, cancel = context.WithTimeout(context.Background(), patience)
+	ctx, cancel = context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	rp, err := cl.To(rl.addr).Beat(ctx, &inner.BeatRequest{Version: inner.Version, Sequence: 3})
+	rp, err := cl.To(sp.addr).Beat(ctx, &inner.BeatRequest{Version: inner.Version, Sequence: 3})
 	is.NoErr(err)
 	is.Equal(rp.GetSequence(), uint64(3))
 }
 
-// A caller comes to a VM with another one's ticket. The issuer must be told how
-// much time is left, and whatever is no answer must not be taken for one.
+// A search is forwarded to the VM that issued its ticket. The issuer must receive the time that is
+// left, and a reply that is not an answer must be an error.
 func TestRun(t *testing.T) {
 	fk, addr := startPeer(t)
-	cl := peer.NewClient(peer.ClientConfig{Timeout: patience, Self: &inner.VM{Addr: "me"}})
+	cl := peer.NewClient(peer.ClientConfig{Timeout: testTimeout, Self: &inner.VM{Addr: "me"}})
 	defer cl.Close()
 	const good = `{"id":"r1","outcome":"complete","hits":[]}`
 	cases := []struct {
@@ -194,8 +193,8 @@
 		deadline func(got int64) bool
 	}{
 		{"no deadline", good, 0, 0, true, func(got int64) bool { return got == 0 }},
-		{"the caller's deadline", good, 250, 0, true, func(got int64) bool { return got == 250 }},
-		{"less is left", good, 3_600_000, patience, true, func(got int64) bool { return got > 0 && got <= patience.Milliseconds() }},
+		{"caller's deadline", good, 250, 0, true, func(got int64) bool { return got == 250 }},
+		{"less time left", good, 3_600_000, testTimeout, true, func(got int64) bool { return got > 0 && got <= testTimeout.Milliseconds() }},
 		{"no answer", "", 250, 0, false, nil},
 		{"answer without an outcome", "{}", 250, 0, false, nil},
 		{"not an answer", "[]", 250, 0, false, nil},
@@ -224,14 +223,14 @@
 	}
 }
 
-// VMs are replaced all day, mostly at new addresses. What a VM remembers of its
-// peers must not grow with them, and a forgotten one can be called again.
+// VMs are replaced all the time, mostly with new addresses. The number of stored peers must be
+// bounded, and a dropped peer must still be callable.
 func TestPeersAreBounded(t *testing.T) {
 	is := is.New(t)
 	fk, addr := startPeer(t)
-	close(fk.both)
+	close(fk.twoBeats)
 	fk.beats.Store(10)
-	cl := peer.NewClient(peer.ClientConfig{Timeout: patience})
+	cl := peer.NewClient(peer.ClientConfig{Timeout: testTimeout})
 	defer cl.Close()
 	first := cl.To(addr)
 	for i := range 1024 {
--- a/io/peer/doc.go
+++ b/io/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer carries the inner protocol between VMs over twirp.
+// Package peer has the client and the server of the inner protocol between VMs, over twirp.
 //
 // # Usage
 //
@@ -7,5 +7,5 @@
 //	cl := peer.NewClient(peer.ClientConfig{Timeout: time.Second})
 //	reply, err := cl.To(addr).Pull(ctx, request)
 //
-// The listener is net/http's, which twirp is made for.
+// The server uses net/http, for which twirp is made.
 package peer
--- a/io/peer/headers.go
+++ b/io/peer/headers.go
@@ -2,20 +2,20 @@
 
 import "net/http"
 
-// lean leaves out the headers that neither side reads. A heartbeat goes out
-// several times a second on every VM, and most of its bytes were these.
-func lean(rq *http.Request) *http.Request {
-	slim := *rq
-	slim.Header = http.Header{
+// withMinimalHeaders returns the request without the headers that neither side reads. Every VM
+// sends several heartbeats a second, and these headers were most of their bytes.
+func withMinimalHeaders(rq *http.Request) *http.Request {
+	trimmed := *rq
+	trimmed.Header = http.Header{
 		"Content-Type": rq.Header["Content-Type"],
-		// Empty keeps net/http from sending its own.
+		// An empty value keeps net/http from sending its default.
 		"User-Agent": {""},
 	}
-	return &slim
+	return &trimmed
 }
 
-// undated serves without the Date header, which no VM reads.
-func undated(next http.Handler) http.Handler {
+// withoutDate serves without the Date header, which no VM reads.
+func withoutDate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, rq *http.Request) {
 		rw.Header()["Date"] = nil
 		next.ServeHTTP(rw, rq)
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -19,7 +19,7 @@
 	maxBodyBytes  = 8 << 20
 )
 
-// ServerConfig sets the inner listener.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Listener net.Listener
 	Service  inner.Peer
@@ -32,11 +32,11 @@
 	http *http.Server
 }
 
-// NewServer makes a server; Serve starts it.
+// NewServer returns a server, which Serve starts.
 func NewServer(cfg ServerConfig) *Server {
 	tw := inner.NewPeerServer(cfg.Service)
 	mux := http.NewServeMux()
-	mux.Handle(tw.PathPrefix(), undated(http.MaxBytesHandler(tw, maxBodyBytes)))
+	mux.Handle(tw.PathPrefix(), withoutDate(http.MaxBytesHandler(tw, maxBodyBytes)))
 	return &Server{
 		cfg: cfg,
 		ln:  accept.New(cfg.Listener),
@@ -48,7 +48,7 @@
 	}
 }
 
-// Serve serves until Shutdown or Close.
+// Serve serves until Shutdown, Abort or Close, and returns nil then.
 func (sr *Server) Serve() error {
 	err := sr.http.Serve(sr.ln)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -57,27 +57,27 @@
 	return fault.Wrap(err, "peer.Serve")
 }
 
-// Shutdown stops taking requests and waits for those under way. Idle
-// connections are closed here: net/http waits 5 s for one that was opened and
-// has carried nothing yet, and its own client leaves such ones behind.
+// Shutdown stops accepting requests and waits for those in flight. It closes idle connections
+// itself, because net/http waits 5 s for a connection that was opened and never used, and
+// net/http's client leaves such connections behind.
 func (sr *Server) Shutdown(ctx context.Context) error {
 	sr.ln.Drain()
 	return fault.Wrap(sr.http.Shutdown(ctx), "peer.Shutdown")
 }
 
-// Bytes is what was read and written so far.
+// Bytes returns the number of bytes read and written so far.
 func (sr *Server) Bytes() (in, out int64) {
 	return sr.ln.Bytes()
 }
 
-// Abort cuts off everything, as when the VM dies.
+// Abort closes the listener and all connections, as if the VM was killed.
 func (sr *Server) Abort() {
 	sr.ln.Abort()
-	// The listener is closed already.
+	// The listener is already closed, so an error does not matter.
 	_ = sr.http.Close()
 }
 
-// Close cuts everything off.
+// Close closes the listener and all connections.
 func (sr *Server) Close() error {
 	return fault.Wrap(sr.http.Close(), "peer.Close")
 }
--- a/io/peer/transport.go
+++ b/io/peer/transport.go
@@ -8,20 +8,20 @@
 	"github.com/go-faster/errors"
 )
 
-// wary is a transport that mistrusts a peer's connections once one was silent.
-// Something between two VMs may lose track of all their open connections while
-// new ones work; with each call that takes an idle one the peer would look dead
-// for another timeout.
-type wary struct {
+// resettingTransport is a transport that closes a peer's idle connections after a timeout. A
+// network device between two VMs may lose all their open connections while new ones work. Without
+// the reset, each call on another idle connection would run into a timeout, as if the peer was
+// down.
+type resettingTransport struct {
 	tr *http.Transport
 }
 
-// RoundTrip makes one exchange, with a bounded reply.
-func (wa *wary) RoundTrip(rq *http.Request) (*http.Response, error) {
-	rs, err := wa.tr.RoundTrip(lean(rq))
+// RoundTrip sends a request and bounds the size of its reply.
+func (rt *resettingTransport) RoundTrip(rq *http.Request) (*http.Response, error) {
+	rs, err := rt.tr.RoundTrip(withMinimalHeaders(rq))
 	if err != nil {
 		if isTimeout(err) {
-			wa.tr.CloseIdleConnections()
+			rt.tr.CloseIdleConnections()
 		}
 		return nil, err
 	}
