--- a/io/node/change.go
+++ b/io/node/change.go
@@ -179,7 +179,7 @@
 // proves that it has not.
 func mayHaveApplied(err error) bool {
 	var pe *plat.Error
-	return !errors.As(err, &pe) || pe.Doubtful
+	return !errors.As(err, &pe) || pe.MayHaveApplied
 }
 
 func (nd *Node) logChange(pl change.Proposal, oc change.Outcome) {
--- a/io/node/config_test.go
+++ b/io/node/config_test.go
@@ -161,10 +161,10 @@
 		faults emul.KVFaults
 		want   wire.ChangeResult
 	}{
-		{"none", emul.KVFaults{}, wire.ChangeAccepted},
+		{"no fault", emul.KVFaults{}, wire.ChangeAccepted},
 		{"slow", emul.KVFaults{Slow: 300 * time.Millisecond}, wire.ChangeAccepted},
-		{"answers lost", emul.KVFaults{LoseSwaps: true}, wire.ChangeAccepted},
-		{"answers from the past", emul.KVFaults{Past: true}, wire.ChangeAccepted},
+		{"replies lost", emul.KVFaults{LoseSwaps: true}, wire.ChangeAccepted},
+		{"stale reads", emul.KVFaults{Past: true}, wire.ChangeAccepted},
 		{"watches silent", emul.KVFaults{SilentWatches: true}, wire.ChangeAccepted},
 	}
 	st := startWash(t, 2)
--- a/io/node/control_test.go
+++ b/io/node/control_test.go
@@ -11,10 +11,10 @@
 	"laburnumvane/io/setup"
 )
 
-// The VM is killed while its control goroutine fills in a status. If onControl returned at once, its
-// caller would read the status while it is written: the operator would get an incomplete status, or
-// the VM would crash. A stop does not end a running function, so onControl has to wait until the
-// control goroutine has ended.
+// The VM is killed while its control goroutine fills in a status. If onControl returned at once,
+// its caller would read the status while it is written: the operator would get an incomplete
+// status, or the VM would crash. A stop does not end a running function, so onControl has to wait
+// until the control goroutine has ended.
 func TestOnControlWaitsForItsFunction(t *testing.T) {
 	is := is.New(t)
 	set := setup.Defaults()
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -96,8 +96,9 @@
 	})
 }
 
-// A VM is killed, and its address stays on the VM list. The other VMs of its data centre must detect
-// it by missing heartbeats, and those of other data centres must learn of it through their relays.
+// A VM is killed, and its address stays on the VM list. The other VMs of its data centre must
+// detect it by missing heartbeats, and those of other data centres must learn of it through their
+// relays.
 func TestVMsKnowEachOther(t *testing.T) {
 	st := startSite(t, 9, 0)
 	waitForStates(t, st, map[string]int{"live": 9})
--- a/io/node/kv_test.go
+++ b/io/node/kv_test.go
@@ -25,12 +25,12 @@
 		doubtful bool
 		effect   bool
 	}{
-		{"none", emul.KVFaults{}, false, false, true},
+		{"no fault", emul.KVFaults{}, false, false, true},
 		{"connection refused", emul.KVFaults{Refuse: true}, true, true, false},
 		{"status 500", emul.KVFaults{Fail: true}, true, true, false},
-		{"answer lost", emul.KVFaults{LoseSwaps: true}, true, true, true},
+		{"reply lost", emul.KVFaults{LoseSwaps: true}, true, true, true},
 		{"slower than the timeout", emul.KVFaults{Slow: time.Second}, true, true, true},
-		{"reads from the past", emul.KVFaults{Past: true}, false, false, true},
+		{"stale reads", emul.KVFaults{Past: true}, false, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			is.Equal(err != nil, tc.fails)
 			var pe *plat.Error
 			if errors.As(err, &pe) {
-				is.Equal(pe.Doubtful, tc.doubtful)
+				is.Equal(pe.MayHaveApplied, tc.doubtful)
 			}
 			eventually(t, "the swap took effect or never will", func() bool { return kv.Counts().Swap == 1 || tc.faults.Refuse })
 			kv.SetFaults(emul.KVFaults{})
@@ -76,7 +76,7 @@
 	_, err := cl.Swap(context.Background(), wire.KVSwapRequest{Key: "k"})
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
-	is.True(!pe.Doubtful)
+	is.True(!pe.MayHaveApplied)
 }
 
 func TestChangeOutlastsAnOutage(t *testing.T) {
--- a/io/node/rolling_test.go
+++ b/io/node/rolling_test.go
@@ -230,9 +230,9 @@
 }
 
 // All nine VMs are replaced, one of each data centre at a time, as for a new version, while callers
-// search and renew. Each stopping VM waits for the balancer's lag, answers the requests in flight and
-// runs until its tickets have expired. The configuration's second revision must pass from the old VMs
-// to the new ones. The callers must not see any error.
+// search and renew. Each stopping VM waits for the balancer's lag, answers the requests in flight
+// and runs until its tickets have expired. The configuration's second revision must pass from the
+// old VMs to the new ones. The callers must not see any error.
 func TestRollingReplacement(t *testing.T) {
 	is := is.New(t)
 	before := goleak.IgnoreCurrent()
--- a/io/node/shares_test.go
+++ b/io/node/shares_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// A team's limit must not depend on the number of VMs. Three new VMs, which know each other from the
-// list and by heartbeats, must have equal shares; when a fourth boots, all four must. Shares are
-// computed from the known VMs, not from those whose demand has arrived.
+// A team's limit must not depend on the number of VMs. Three new VMs, which know each other from
+// the list and by heartbeats, must have equal shares; when a fourth boots, all four must. Shares
+// are computed from the known VMs, not from those whose demand has arrived.
 func TestTeamSharesAreEven(t *testing.T) {
 	st := startSite(t, 3, 0)
 	even := func(n int) func() bool {
--- a/io/node/stop_test.go
+++ b/io/node/stop_test.go
@@ -41,9 +41,9 @@
 	return answers
 }
 
-// The platform sends SIGTERM while a search is in flight, and again because the stop takes long. The
-// second signal must not cut the search off: both stops must wait for the same end, and the caller
-// must get a complete answer.
+// The platform sends SIGTERM while a search is in flight, and again because the stop takes long.
+// The second signal must not cut the search off: both stops must wait for the same end, and the
+// caller must get a complete answer.
 func TestStopTwiceAnswersWhatIsInFlight(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 3, 50*time.Millisecond, withServiceTime(500*time.Millisecond))
@@ -61,8 +61,8 @@
 	is.NoErr(<-second)
 }
 
-// A search takes longer than the grace period. When the period ends, the connection is cut. The stop
-// must report that by its error, from which exit code 1 follows, and must not wait any longer.
+// A search takes longer than the grace period. When the period ends, the connection is cut. The
+// stop must report that by its error, from which exit code 1 follows, and must not wait any longer.
 func TestSearchLongerThanGrace(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 3, 50*time.Millisecond, withServiceTime(8*time.Second), func(cfg *site.Config) { cfg.StopGrace = 300 * time.Millisecond })
@@ -78,8 +78,8 @@
 	is.True(an.Reason != "")
 }
 
-// SIGTERM arrives while the VM boots and no client has ever connected. The stop must not wait for the
-// balancer's lag, which is longer than the test's timeout here.
+// SIGTERM arrives while the VM boots and no client has ever connected. The stop must not wait for
+// the balancer's lag, which is longer than the test's timeout here.
 func TestStopDuringBoot(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 3, 0)
@@ -119,8 +119,8 @@
 	return func() bool { return tr.complete.Load() >= searches && tr.renewals.Load() >= tickets }
 }
 
-// A VM that is leaving must not issue tickets that become void before they can be used. It has another
-// VM issue them, and the caller must not notice.
+// A VM that is leaving must not issue tickets that become void before they can be used. It has
+// another VM issue them, and the caller must not notice.
 func TestTicketsOfLeavingVM(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, 9, 700*time.Millisecond)
--- a/io/plat/call.go
+++ b/io/plat/call.go
@@ -13,16 +13,16 @@
 	"github.com/go-faster/errors"
 )
 
-// call is one exchange with the service.
+// call is one request to the service.
 type call struct {
 	op     string
 	method string
 	path   string
 	body   []byte
-	// wait is what the service may take beside the timeout.
-	wait time.Duration
-	// effect is set if the call changes what the service holds.
-	effect bool
+	// extraTime is added to the timeout.
+	extraTime time.Duration
+	// modifies is set if the call changes data of the service.
+	modifies bool
 }
 
 func (cl *Client) post(ctx context.Context, ca call, in, out any) error {
@@ -31,55 +31,55 @@
 		return &Error{Op: ca.op, Kind: KindDecode, Err: err}
 	}
 	ca.method, ca.body = http.MethodPost, body
-	return cl.run(ctx, ca, out)
+	return cl.callAny(ctx, ca, out)
 }
 
-// run tries one address after the other while none could even be asked. After
-// that it is for the caller to decide: a second address may hold the effect of
-// the first attempt.
-func (cl *Client) run(ctx context.Context, ca call, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, cl.cfg.Timeout+ca.wait)
+// callAny tries one address after the other until it gets a connection. A call that fails on a
+// connection is not tried at the next address, since it may have taken effect; the caller has to
+// decide.
+func (cl *Client) callAny(ctx context.Context, ca call, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, cl.cfg.Timeout+ca.extraTime)
 	defer cancel()
 	for tries := 1; ; tries++ {
-		from := cl.next.Load()
-		asked, err := cl.once(ctx, ca, int(from)%len(cl.cfg.Addrs), out)
+		from := cl.nextAddr.Load()
+		connected, err := cl.callAddr(ctx, ca, int(from)%len(cl.cfg.Addrs), out)
 		if err == nil {
 			return nil
 		}
-		// Of several calls that fail together, one moves on.
-		cl.next.CompareAndSwap(from, from+1)
-		if asked || tries >= len(cl.cfg.Addrs) || ctx.Err() != nil {
+		// If several calls fail concurrently, only one advances the address.
+		cl.nextAddr.CompareAndSwap(from, from+1)
+		if connected || tries >= len(cl.cfg.Addrs) || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
-// once makes the call at one address; asked tells whether it had a connection.
-func (cl *Client) once(ctx context.Context, ca call, addr int, out any) (asked bool, err error) {
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { asked = true }}
+// callAddr makes the call at one address. Connected reports whether it got a connection.
+func (cl *Client) callAddr(ctx context.Context, ca call, addr int, out any) (connected bool, err error) {
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	rq, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), ca.method,
 		"http://"+cl.cfg.Addrs[addr]+ca.path, bytes.NewReader(ca.body))
 	if err != nil {
 		return false, &Error{Op: ca.op, Kind: KindUnreachable, Err: err}
 	}
-	// Without GetBody the standard client cannot send a request a second
-	// time by itself: a swap that was lost would otherwise run twice.
+	// Without GetBody net/http cannot resend the request on its own; a swap whose reply was lost
+	// could otherwise run twice.
 	rq.GetBody = nil
 	rq.Header.Set("Content-Type", "application/json")
 	rs, err := cl.http.Do(rq)
 	if err != nil {
 		if kindOf(err) == KindTimeout {
-			// The other idle connections may be as silent as this one was;
-			// each would cost a call its whole timeout.
+			// The other idle connections may be silent too, and each of them would cost a call its
+			// whole timeout.
 			cl.http.CloseIdleConnections()
 		}
-		return asked, &Error{Op: ca.op, Kind: kindOf(err), Doubtful: asked && ca.effect, Err: err}
+		return connected, &Error{Op: ca.op, Kind: kindOf(err), MayHaveApplied: connected && ca.modifies, Err: err}
 	}
 	defer rs.Body.Close()
 	if err := cl.read(rs, out); err != nil {
 		err.Op = ca.op
-		// A status of the 400s is the service's word that it did not do it.
-		err.Doubtful = ca.effect && !isRefusal(rs.StatusCode)
+		// With a 4xx status the service says that it has not performed the call.
+		err.MayHaveApplied = ca.modifies && !isRefusal(rs.StatusCode)
 		return true, err
 	}
 	return true, nil
--- a/io/plat/client_test.go
+++ b/io/plat/client_test.go
@@ -22,10 +22,10 @@
 	"laburnumvane/io/wire"
 )
 
-// patience bounds calls that must succeed; brief those that must not.
+// testTimeout bounds calls that must succeed, shortTimeout calls that must time out.
 const (
-	patience = 30 * time.Second
-	brief    = 50 * time.Millisecond
+	testTimeout  = 30 * time.Second
+	shortTimeout = 50 * time.Millisecond
 )
 
 func TestMain(m *testing.M) {
@@ -47,8 +47,8 @@
 	return cl
 }
 
-// closedPort is an address at which nothing listens.
-func closedPort(t *testing.T) string {
+// unusedAddr returns an address at which nothing listens.
+func unusedAddr(t *testing.T) string {
 	t.Helper()
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,8 +57,8 @@
 	return ln.Addr().String()
 }
 
-// script is a service that does the same to each connection.
-func script(t *testing.T, do func(nc net.Conn)) string {
+// serveConns starts a server that handles each connection with the same function.
+func serveConns(t *testing.T, handle func(nc net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
@@ -70,7 +70,7 @@
 			if err != nil {
 				return
 			}
-			do(nc)
+			handle(nc)
 			nc.Close()
 		}
 	}()
@@ -81,56 +81,55 @@
 	return ln.Addr().String()
 }
 
-func answering(text string) func(net.Conn) {
+func replyWith(text string) func(net.Conn) {
 	return func(nc net.Conn) {
 		buf := make([]byte, 4096)
-		// The request fits into one read, or the answer comes early; either
-		// will do.
+		// If the request needs more than one read, the reply comes early, which does not
+		// matter here.
 		_, _ = nc.Read(buf)
 		_, _ = io.WriteString(nc, text)
 	}
 }
 
-// An operator's change is written by a swap whose answer may get lost. What the
-// VM says next depends on one bit: may the write have taken effect? To say no
-// where it has is to tell the operator a lie, and to say yes where it cannot
-// have is to leave every outage in doubt.
+// An operator's change is written by a swap whose reply may get lost. The VM's answer to the
+// operator depends on whether the write may have taken effect. A wrong no would give the operator a
+// false result, and a wrong yes would leave the result unknown in every outage.
 func TestDoubt(t *testing.T) {
 	kv := startKV(t)
 	cases := []struct {
-		name     string
-		addr     func(t *testing.T) string
-		faults   emul.KVFaults
-		kind     plat.Kind
-		doubtful bool
+		name           string
+		addr           func(t *testing.T) string
+		faults         emul.KVFaults
+		kind           plat.Kind
+		mayHaveApplied bool
 	}{
-		{"nothing listens", closedPort, emul.KVFaults{}, plat.KindUnreachable, false},
-		{"closed before it was read", func(t *testing.T) string { return script(t, func(net.Conn) {}) }, emul.KVFaults{}, plat.KindUnreachable, true},
-		{"closed after it was read", func(t *testing.T) string { return script(t, answering("")) }, emul.KVFaults{}, plat.KindUnreachable, true},
-		{"written, answer lost", nil, emul.KVFaults{LoseSwaps: true}, plat.KindUnreachable, true},
-		{"slow", nil, emul.KVFaults{Slow: patience}, plat.KindTimeout, true},
-		{"fails", nil, emul.KVFaults{Fail: true}, plat.KindStatus, true},
-		{"refuses connections after accepting", nil, emul.KVFaults{Refuse: true}, plat.KindUnreachable, true},
-		{"says it is wrong", func(t *testing.T) string {
-			return script(t, answering("HTTP/1.1 400 Bad Request\r\nContent-Length: 2\r\n\r\n{}"))
+		{"connection refused", unusedAddr, emul.KVFaults{}, plat.KindUnreachable, false},
+		{"closed before the request was read", func(t *testing.T) string { return serveConns(t, func(net.Conn) {}) }, emul.KVFaults{}, plat.KindUnreachable, true},
+		{"closed after the request was read", func(t *testing.T) string { return serveConns(t, replyWith("")) }, emul.KVFaults{}, plat.KindUnreachable, true},
+		{"written, reply lost", nil, emul.KVFaults{LoseSwaps: true}, plat.KindUnreachable, true},
+		{"slow", nil, emul.KVFaults{Slow: testTimeout}, plat.KindTimeout, true},
+		{"status 500", nil, emul.KVFaults{Fail: true}, plat.KindStatus, true},
+		{"closes accepted connections", nil, emul.KVFaults{Refuse: true}, plat.KindUnreachable, true},
+		{"status 400", func(t *testing.T) string {
+			return serveConns(t, replyWith("HTTP/1.1 400 Bad Request\r\nContent-Length: 2\r\n\r\n{}"))
 		}, emul.KVFaults{}, plat.KindStatus, false},
-		{"answer cut short", func(t *testing.T) string {
-			return script(t, answering("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"swapped\":"))
+		{"reply truncated", func(t *testing.T) string {
+			return serveConns(t, replyWith("HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"swapped\":"))
 		}, emul.KVFaults{}, plat.KindUnreachable, true},
-		{"answer is not JSON", func(t *testing.T) string {
-			return script(t, answering("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"))
+		{"reply not JSON", func(t *testing.T) string {
+			return serveConns(t, replyWith("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno"))
 		}, emul.KVFaults{}, plat.KindDecode, true},
-		{"answer is not HTTP", func(t *testing.T) string { return script(t, answering("hello\r\n\r\n")) }, emul.KVFaults{}, plat.KindUnreachable, true},
+		{"reply not HTTP", func(t *testing.T) string { return serveConns(t, replyWith("hello\r\n\r\n")) }, emul.KVFaults{}, plat.KindUnreachable, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			addr, timeout := kv.Addr(), patience
+			addr, timeout := kv.Addr(), testTimeout
 			if tc.addr != nil {
 				addr = tc.addr(t)
 			}
 			if tc.kind == plat.KindTimeout {
-				timeout = brief
+				timeout = shortTimeout
 			}
 			key := strings.ReplaceAll(tc.name, " ", "-")
 			kv.SetFaults(tc.faults)
@@ -138,35 +137,35 @@
 			var pe *plat.Error
 			is.True(errors.As(err, &pe))
 			is.Equal(pe.Kind, tc.kind)
-			is.Equal(pe.Doubtful, tc.doubtful)
+			is.Equal(pe.MayHaveApplied, tc.mayHaveApplied)
 			is.Equal(pe.Op, "plat.Swap")
 			_, _, err = newClient(t, timeout, addr).Get(t.Context(), key)
 			if errors.As(err, &pe) {
-				is.Equal(pe.Doubtful, false) // a read has no effect
+				is.Equal(pe.MayHaveApplied, false) // a read has no effect
 			}
 			kv.SetFaults(emul.KVFaults{})
-			_, held, err := newClient(t, patience, kv.Addr()).Get(t.Context(), key)
+			_, held, err := newClient(t, testTimeout, kv.Addr()).Get(t.Context(), key)
 			is.NoErr(err)
-			is.True(!held || tc.doubtful) // it took effect, and the error denies it
+			is.True(!held || tc.mayHaveApplied) // an applied write must be reported as possible
 		})
 	}
 }
 
-// The caller of Swap is cancelled before it begins, or while the service thinks.
+// A swap is cancelled before it starts, or while the service processes it.
 func TestCancelled(t *testing.T) {
 	is := is.New(t)
 	kv := startKV(t)
-	cl := newClient(t, patience, kv.Addr())
+	cl := newClient(t, testTimeout, kv.Addr())
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	_, err := cl.Swap(ctx, wire.KVSwapRequest{Key: "a"})
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
-	is.Equal(pe.Doubtful, false)
+	is.Equal(pe.MayHaveApplied, false)
 
 	asked := make(chan struct{})
-	slow := script(t, func(nc net.Conn) {
-		answering("")(nc)
+	slow := serveConns(t, func(nc net.Conn) {
+		replyWith("")(nc)
 		close(asked)
 		_, _ = nc.Read(make([]byte, 1))
 	})
@@ -176,17 +175,17 @@
 		<-asked
 		cancel()
 	}()
-	_, err = newClient(t, patience, slow).Swap(ctx, wire.KVSwapRequest{Key: "a"})
+	_, err = newClient(t, testTimeout, slow).Swap(ctx, wire.KVSwapRequest{Key: "a"})
 	is.True(errors.As(err, &pe))
-	is.Equal(pe.Doubtful, true)
+	is.Equal(pe.MayHaveApplied, true)
 }
 
-// One address of the service is dead. Calls must go on at the next one at once,
-// stay there, and not send a swap twice where the first may have run.
+// One address of the service is down. Calls must move on to the next address at once and stay
+// there, and a swap that may have run must not be sent to a second address.
 func TestAddresses(t *testing.T) {
 	is := is.New(t)
 	kv := startKV(t)
-	cl := newClient(t, patience, closedPort(t), kv.Addr())
+	cl := newClient(t, testTimeout, unusedAddr(t), kv.Addr())
 	for range 3 {
 		_, err := cl.Range(t.Context(), "")
 		is.NoErr(err)
@@ -199,43 +198,42 @@
 	var second atomic.Int64
 	other := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { second.Add(1) }))
 	defer other.Close()
-	lost := newClient(t, patience, kv.Addr(), strings.TrimPrefix(other.URL, "http://"))
+	lost := newClient(t, testTimeout, kv.Addr(), strings.TrimPrefix(other.URL, "http://"))
 	kv.SetFaults(emul.KVFaults{LoseSwaps: true})
 	_, err = lost.Swap(t.Context(), wire.KVSwapRequest{Key: "b"})
 	is.True(err != nil)
 	is.Equal(second.Load(), int64(0))
 
-	none := newClient(t, patience, closedPort(t), closedPort(t))
+	none := newClient(t, testTimeout, unusedAddr(t), unusedAddr(t))
 	_, err = none.Range(t.Context(), "")
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
 	is.Equal(pe.Kind, plat.KindUnreachable)
 }
 
-// A watch is answered by nothing at all, as when something between the two ends
-// has lost track of the connection. It must end by itself, and the next one must
-// work.
+// A watch gets no reply at all, as when a network device has lost the connection. It must time out,
+// and the next watch must work.
 func TestSilentWatch(t *testing.T) {
 	is := is.New(t)
 	kv := startKV(t)
-	cl := newClient(t, brief, kv.Addr())
+	cl := newClient(t, shortTimeout, kv.Addr())
 	kv.SetFaults(emul.KVFaults{SilentWatches: true})
-	_, err := cl.Watch(t.Context(), "", 0, brief)
+	_, err := cl.Watch(t.Context(), "", 0, shortTimeout)
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
 	is.Equal(pe.Kind, plat.KindTimeout)
-	is.Equal(pe.Doubtful, false)
+	is.Equal(pe.MayHaveApplied, false)
 	kv.SetFaults(emul.KVFaults{})
-	rp, err := newClient(t, patience, kv.Addr()).Watch(t.Context(), "", 0, 0)
+	rp, err := newClient(t, testTimeout, kv.Addr()).Watch(t.Context(), "", 0, 0)
 	is.NoErr(err)
 	is.Equal(len(rp.Events), 0)
 }
 
-// A reply that never ends must not fill the VM's memory.
+// An endless reply must not fill the VM's memory.
 func TestReplyLimit(t *testing.T) {
 	is := is.New(t)
 	kv := startKV(t)
-	cl := plat.New(plat.Config{Addrs: []string{kv.Addr()}, Timeout: patience, MaxReply: 200})
+	cl := plat.New(plat.Config{Addrs: []string{kv.Addr()}, Timeout: testTimeout, MaxReply: 200})
 	defer cl.Close()
 	_, err := cl.Swap(t.Context(), wire.KVSwapRequest{Key: "a", Value: make([]byte, 10)})
 	is.NoErr(err)
@@ -243,9 +241,9 @@
 	is.NoErr(err)
 	_, err = cl.Swap(t.Context(), wire.KVSwapRequest{Key: "b", Value: make([]byte, 1000)})
 	var pe *plat.Error
-	is.True(errors.As(err, &pe)) // the reply shows the pair
+	is.True(errors.As(err, &pe)) // the reply contains the pair
 	is.Equal(pe.Kind, plat.KindTooLarge)
-	is.Equal(pe.Doubtful, true)
+	is.Equal(pe.MayHaveApplied, true)
 	_, err = cl.Range(t.Context(), "")
 	is.True(errors.As(err, &pe))
 	is.Equal(pe.Kind, plat.KindTooLarge)
@@ -254,7 +252,7 @@
 func TestLeases(t *testing.T) {
 	is := is.New(t)
 	kv := startKV(t)
-	cl := newClient(t, patience, kv.Addr())
+	cl := newClient(t, testTimeout, kv.Addr())
 	le, err := cl.Lease(t.Context(), time.Hour)
 	is.NoErr(err)
 	is.True(le.ID != 0)
@@ -264,9 +262,9 @@
 	is.Equal(ttl, time.Hour)
 	_, held, err = cl.KeepAlive(t.Context(), le.ID+1)
 	is.NoErr(err)
-	is.True(!held) // lapsed, or never granted
+	is.True(!held) // expired or never granted
 	_, err = cl.Swap(t.Context(), wire.KVSwapRequest{Key: "a", Lease: le.ID + 1})
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
-	is.Equal(pe.Doubtful, false) // the service says that the lease is gone
+	is.Equal(pe.MayHaveApplied, false) // the service refused it for the unknown lease
 }
--- a/io/plat/doc.go
+++ b/io/plat/doc.go
@@ -1,4 +1,4 @@
-// Package plat talks to the platform: its key-value service and its VM list.
+// Package plat is a client of the platform's key-value service and VM list.
 //
 // # Usage
 //
@@ -6,10 +6,10 @@
 //	pairs, err := kv.Range(ctx, "teams/")
 //
 //	var pe *plat.Error
-//	if _, err := kv.Swap(ctx, request); errors.As(err, &pe) && pe.Doubtful {
-//		// read the key: the write may stand
+//	if _, err := kv.Swap(ctx, request); errors.As(err, &pe) && pe.MayHaveApplied {
+//		// read the key: the write may have taken effect
 //	}
 //
-// Nothing here tries a call again that may have had an effect; a call that got no
-// connection goes on to the next address.
+// A call that may have taken effect is never retried. A call that got no connection is retried at
+// the next address.
 package plat
--- a/io/plat/error.go
+++ b/io/plat/error.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Kind says how a call failed.
+// Kind is the class of an Error.
 type Kind string
 
 // Kinds of errors.
@@ -18,12 +18,12 @@
 type Error struct {
 	Op   string
 	Kind Kind
-	// Doubtful is set if the call may have taken effect; never for a read.
-	Doubtful bool
-	Err      error
+	// MayHaveApplied is set if the call may have taken effect. It is never set for a read.
+	MayHaveApplied bool
+	Err            error
 }
 
-// Error gives operation and kind on one line.
+// Error returns the operation, kind and cause on one line.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s: %v", e.Op, e.Kind, e.Err)
 }
