--- a/io/wire/decode.go
+++ b/io/wire/decode.go
@@ -6,23 +6,22 @@
 	"github.com/bytedance/sonic"
 )
 
-// Decode reads JSON that crossed the wire into out. It accepts what
-// encoding/json accepts and gives the same values, in about half the time.
-// Nothing in out refers to raw afterwards: a buffer of the HTTP library is
-// recycled while the hits are still shown.
+// Decode decodes received JSON into out. It accepts the same input as encoding/json with the same
+// result, in about half the time. Out keeps no reference to raw, because the HTTP library reuses
+// its buffer while the hits are still in use.
 //
-// The fast decoder skips members that it does not know without a look at their
-// escapes. A broken one inside a hit would pass through to the caller and make
-// the whole answer unreadable, so validity is the standard library's to judge.
+// The fast decoder skips unknown members without checking their escape sequences. An invalid one
+// inside a hit would be passed to the caller and make the whole answer undecodable, so the standard
+// library checks the input first.
 func Decode(raw []byte, out any) error {
 	if !json.Valid(raw) {
-		return json.Unmarshal(raw, out) // says what is wrong, and where
+		return json.Unmarshal(raw, out) // returns an error with the offset
 	}
 	return sonic.ConfigStd.Unmarshal(raw, out)
 }
 
-// Warm compiles the decoder of what comes most, which takes about 10 ms, so that
-// the first search of a new VM does not wait for it.
+// Warm compiles the decoder of the most frequent message, which takes about 10 ms, so that the
+// first search of a new VM does not wait for it.
 func Warm() error {
 	var rp ShardReply
 	return Decode([]byte("{}"), &rp)
--- a/io/wire/decode_test.go
+++ b/io/wire/decode_test.go
@@ -13,7 +13,7 @@
 	"laburnumvane/io/wire"
 )
 
-// replyOf is a shard's reply with members of the usual size.
+// replyOf returns a shard's reply with a number of hits of the usual size.
 func replyOf(hits int) wire.ShardReply {
 	rp := wire.ShardReply{
 		ID:       "1x2y3z.17.270",
@@ -32,12 +32,10 @@
 	return rp
 }
 
-// What a caller sees: the hits of its own search, and never those of another.
-// A reply is decoded out of a buffer that the HTTP library gives to the next
-// exchange, whose reply then overwrites it. A decoder that keeps parts of its
-// input, as fast ones do, would show the second search's members in the first
-// search's answer.
-func TestDecodeKeepsNothingOfItsInput(t *testing.T) {
+// The HTTP library reuses the buffer of a reply for the next exchange, whose reply overwrites it. A
+// decoder that keeps references to its input, as fast ones do, would return members of the second
+// search in the answer of the first.
+func TestDecodeCopiesItsInput(t *testing.T) {
 	is := is.New(t)
 	want := replyOf(20)
 	raw, err := json.Marshal(want)
@@ -50,8 +48,8 @@
 	is.Equal(got, want)
 }
 
-// FuzzDecode holds Decode against the standard library: what one refuses the
-// other refuses, and what both accept they read alike.
+// FuzzDecode compares Decode with the standard library: both must accept the same input with the
+// same result.
 func FuzzDecode(f *testing.F) {
 	for _, seed := range []string{
 		`{"id":"a","id":"b"}`,
@@ -96,7 +94,7 @@
 	})
 }
 
-// The decoding of one reply, with the standard library's as the baseline.
+// BenchmarkDecode measures the decoding of one reply, with the standard library as the baseline.
 func BenchmarkDecode(b *testing.B) {
 	for _, hits := range []int{0, 1, 10, 100} {
 		raw, err := json.Marshal(replyOf(hits))
--- a/io/wire/doc.go
+++ b/io/wire/doc.go
@@ -1,7 +1,7 @@
-// Package wire holds the JSON messages that cross the borders of a VM: those of
-// callers, operators, upstreams and the platform. It has no behaviour of its
-// own beyond naming the routes and refusing what would harm whoever decodes it, so that clients, servers and stand-ins cannot
-// drift apart.
+// Package wire has the JSON messages and routes of a VM's external interfaces: those to callers,
+// operators, upstream servers and the platform. Clients, servers and emulated services share them,
+// so that they cannot diverge. Apart from that the package only rejects input that would harm its
+// decoder.
 //
 // # Usage
 //
@@ -9,7 +9,6 @@
 //
 //	body, err := json.Marshal(wire.SearchRequest{Team: "wash", Search: "kiosk"})
 //
-// Durations on the wire are whole milliseconds and end in Ms. Field names are
-// camelCase. Receivers ignore fields they do not know, except where a document
-// of the operators is read, which is strict.
+// Durations are whole milliseconds, in fields whose names end in Ms. Field names are camelCase.
+// Receivers ignore unknown fields, except in the operators' documents.
 package wire
--- a/io/wire/holding.go
+++ b/io/wire/holding.go
@@ -6,9 +6,9 @@
 	"github.com/go-faster/errors"
 )
 
-// UnmarshalJSON refuses a holding that cannot be true. Whoever builds a map from
-// one makes room for all its shards: a server that claims two thousand million
-// of them, or fewer than none, would end the VM.
+// UnmarshalJSON rejects an impossible holding. The maps made from a holding allocate space for all
+// its shards, so a server that claims two thousand million shards, or a negative number, would
+// crash the VM.
 func (sh *ShardHolding) UnmarshalJSON(raw []byte) error {
 	type plain ShardHolding
 	var pl plain
--- a/io/wire/limits.go
+++ b/io/wire/limits.go
@@ -1,24 +1,24 @@
 package wire
 
-// LimitsOfVM is what a VM lets start, and what holds it back.
+// LimitsOfVM has the limits and queues that decide which searches start on a VM.
 type LimitsOfVM struct {
 	Teams  []TeamLimit `json:"teams"`
 	Queues []QueueOfVM `json:"queues"`
-	// ExtraLeft is the tokens left for hedges and retries of all searches
-	// together, below 0 in debt; Budgets are those of each search alone.
+	// ExtraLeft is the number of tokens left for hedges and retries of all searches together,
+	// which may be below 0. Budgets has the budgets of each search.
 	ExtraLeft int           `json:"extraLeft"`
 	Budgets   []ExtraBudget `json:"budgets"`
 }
 
-// TeamLimit is this VM's part of a team's limits.
+// TeamLimit is this VM's share of a team's limits.
 type TeamLimit struct {
 	Team string `json:"team"`
-	// Share is this VM's part, 0 to 1. Held is set while it may fall and not
-	// rise: the VM is new, misses another, or knows of one that does.
+	// Share is this VM's share, 0 to 1. Held is set while it may decrease but not increase: the
+	// VM is new, misses another VM, or knows of a VM that does.
 	Share float64 `json:"share"`
 	Held  bool    `json:"held"`
-	// SearchesPerSecond and Concurrent are the team's limits over all VMs, 0
-	// where there is none; the parts are what this VM has of them.
+	// SearchesPerSecond and Concurrent are the team's limits over all VMs, 0 without a limit.
+	// SearchesPerSecondPart and ConcurrentPart are this VM's shares of them.
 	SearchesPerSecond     float64 `json:"searchesPerSecond"`
 	SearchesPerSecondPart float64 `json:"searchesPerSecondPart"`
 	Concurrent            int     `json:"concurrent"`
@@ -26,7 +26,7 @@
 	InFlight              int     `json:"inFlight"`
 }
 
-// QueueOfVM is the searches of one register under way and waiting, by class.
+// QueueOfVM has the number of searches of one register in flight, and of those queued by class.
 type QueueOfVM struct {
 	Register    string `json:"register"`
 	InFlight    int    `json:"inFlight"`
@@ -35,8 +35,7 @@
 	Batch       int    `json:"batch"`
 }
 
-// ExtraBudget is the tokens left for one search's hedges and retries, below 0
-// in debt.
+// ExtraBudget has the tokens left for one search's hedges and retries, which may be below 0.
 type ExtraBudget struct {
 	Search  string `json:"search"`
 	Hedges  int    `json:"hedges"`
--- a/io/wire/operator.go
+++ b/io/wire/operator.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Routes of the operators' listener. {team} and {id} are path parameters.
+// Routes of the operator listener. :team and :id are path parameters.
 const (
 	RouteConfig  = "/v1/teams/:team/config"
 	RouteHistory = "/v1/teams/:team/history"
@@ -12,7 +12,7 @@
 	RouteLog     = "/v1/log"
 )
 
-// ChangeResult says what became of an operator's change.
+// ChangeResult is the result of an operator's change.
 type ChangeResult string
 
 // Results of a change.
@@ -21,7 +21,7 @@
 	ChangeConflict ChangeResult = "conflict"
 	ChangeUnknown  ChangeResult = "unknown"
 	ChangeDryRun   ChangeResult = "dryRun"
-	// ChangeRefused: nothing was written, and nothing will be.
+	// ChangeRefused means that nothing was written and nothing will be.
 	ChangeRefused ChangeResult = "refused"
 )
 
@@ -40,7 +40,7 @@
 	ChangeID string       `json:"changeId"`
 	Revision uint64       `json:"revision,omitempty"`
 	Message  string       `json:"message,omitempty"`
-	// Current is the other change, where Result is conflict.
+	// Current is the change in force, if Result is conflict.
 	Current *ConfigReply `json:"current,omitempty"`
 }
 
@@ -50,7 +50,7 @@
 	Entries []HistoryEntry `json:"entries"`
 }
 
-// HistoryEntry is one accepted change with the document it brought.
+// HistoryEntry is one accepted change with its document.
 type HistoryEntry struct {
 	Revision uint64          `json:"revision"`
 	ChangeID string          `json:"changeId"`
@@ -59,19 +59,18 @@
 	Document json.RawMessage `json:"document,omitempty"`
 }
 
-// ChangeStatus tells where a change is in force.
+// ChangeStatus says where a change is in force.
 type ChangeStatus struct {
 	ChangeID string `json:"changeId"`
 	Team     string `json:"team,omitempty"`
 	Revision uint64 `json:"revision,omitempty"`
 	Known    bool   `json:"known"`
-	// DataCentres sums up VMs.
+	// DataCentres summarises VMs.
 	DataCentres []ChangeStatusOfDataCentre `json:"dataCentres"`
 	VMs         []ChangeStatusOfVM         `json:"vms"`
 }
 
-// ChangeStatusOfDataCentre sums up a data centre. Reachable is false where no VM
-// of it answered.
+// ChangeStatusOfDataCentre summarises a data centre. Reachable is false if no VM of it answered.
 type ChangeStatusOfDataCentre struct {
 	DataCentre string `json:"dataCentre"`
 	Reachable  bool   `json:"reachable"`
@@ -79,7 +78,7 @@
 	InForce    int    `json:"inForce"`
 }
 
-// ChangeStatusOfVM tells the team's revision on one VM.
+// ChangeStatusOfVM is the team's revision on one VM.
 type ChangeStatusOfVM struct {
 	Addr       string `json:"addr"`
 	DataCentre string `json:"dataCentre"`
@@ -88,7 +87,7 @@
 	Reachable  bool   `json:"reachable"`
 }
 
-// Status is one VM's view of itself, its peers and its upstreams.
+// Status is one VM's status with its view of the other VMs and the upstream servers.
 type Status struct {
 	VM          string           `json:"vm"`
 	DataCentre  string           `json:"dataCentre"`
@@ -110,7 +109,8 @@
 	ChangeID string `json:"changeId"`
 }
 
-// RegisterStatus is the snapshot that new searches of a register pin.
+// RegisterStatus describes the snapshot that new searches of a register pin. Live is the number of
+// its shards with a server that is not leaving.
 type RegisterStatus struct {
 	Register string `json:"register"`
 	Snapshot uint64 `json:"snapshot"`
@@ -118,10 +118,10 @@
 	Live     int    `json:"live"`
 }
 
-// UpstreamOfVM is a server as this VM sees it, with the reason for its state.
-// InFlight and Limit are sub-requests of this VM, Connections its open ones and
-// ConnectionPlan how many it may open now. A Limit of 0 means that no search has
-// met the server yet.
+// UpstreamOfVM is this VM's view of an upstream server. Why is the reason for State. InFlight and
+// Limit count sub-requests of this VM; a Limit of 0 means that no search has used the server yet.
+// Connections is the number of open connections, and ConnectionPlan the number that this VM may
+// have now.
 type UpstreamOfVM struct {
 	Addr           string  `json:"addr"`
 	DataCentre     string  `json:"dataCentre"`
@@ -136,7 +136,7 @@
 	LatencyMs      float64 `json:"latencyMs"`
 }
 
-// VMStatus is a VM as this one sees it.
+// VMStatus is one VM's view of another VM.
 type VMStatus struct {
 	Addr        string `json:"addr"`
 	DataCentre  string `json:"dataCentre"`
--- a/io/wire/platform.go
+++ b/io/wire/platform.go
@@ -17,7 +17,7 @@
 	Value    []byte `json:"value"`
 	Revision uint64 `json:"revision"`
 	Lease    uint64 `json:"lease,omitempty"`
-	// Deleted is set on the watch event of a key that is gone.
+	// Deleted is set on the watch event of a deleted key.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -31,7 +31,7 @@
 	Prefix string `json:"prefix"`
 }
 
-// KVRangeReply answers a get or a range: Pairs is empty where nothing is held.
+// KVRangeReply is the reply to a get or a range. Pairs is empty if there is no such key.
 type KVRangeReply struct {
 	Revision uint64   `json:"revision"`
 	Pairs    []KVPair `json:"pairs"`
@@ -46,7 +46,7 @@
 	Lease  uint64 `json:"lease,omitempty"`
 }
 
-// KVSwapReply answers a swap. Current is the pair that stands after the call.
+// KVSwapReply is the reply to a swap. Current is the pair after the call, nil if the key is absent.
 type KVSwapReply struct {
 	Swapped bool    `json:"swapped"`
 	Current *KVPair `json:"current,omitempty"`
@@ -63,24 +63,24 @@
 type KVWatchReply struct {
 	Revision uint64   `json:"revision"`
 	Events   []KVPair `json:"events"`
-	// Compacted means that changes after From are no longer known: read the
-	// range anew and watch from its revision.
+	// Compacted means that changes after From are no longer available. The client has to read
+	// the range again and watch from its revision.
 	Compacted bool `json:"compacted,omitempty"`
 }
 
-// KVLeaseRequest grants or keeps a lease.
+// KVLeaseRequest requests a new lease or renews one.
 type KVLeaseRequest struct {
 	ID    uint64 `json:"id,omitempty"`
 	TTLMs int64  `json:"ttlMs,omitempty"`
 }
 
-// KVLeaseReply tells the lease and how long it still holds; 0 means lapsed.
+// KVLeaseReply has the lease and its remaining time; 0 means that it has expired.
 type KVLeaseReply struct {
 	ID    uint64 `json:"id"`
 	TTLMs int64  `json:"ttlMs"`
 }
 
-// VMState is what the platform's list says of a VM; it lags.
+// VMState is a VM's state on the platform's list, which lags.
 type VMState string
 
 // States in the VM list.
--- a/io/wire/refusal.go
+++ b/io/wire/refusal.go
@@ -1,8 +1,7 @@
 package wire
 
-// UnmarshalText takes a refusal that is not known for RefusalOther: its word that
-// nothing ran counts all the same, but its text goes into answers, logs and
-// counters, and a server may write anything there, at any length.
+// UnmarshalText decodes an unknown refusal as RefusalOther. It still guarantees that nothing ran,
+// but a server may send any text of any length, which must not get into answers, logs and metrics.
 func (rf *Refusal) UnmarshalText(text []byte) error {
 	switch known := Refusal(text); known {
 	case "", RefusalShed, RefusalDraining, RefusalSnapshotGone, RefusalCold, RefusalExpired, RefusalNotHeld:
--- a/io/wire/upstream.go
+++ b/io/wire/upstream.go
@@ -14,10 +14,10 @@
 // MaxShards bounds the shards of a snapshot.
 const MaxShards = 1 << 16
 
-// Refusal is an upstream's own word that a sub-request did not run.
+// Refusal is the reason why an upstream server did not run a sub-request.
 type Refusal string
 
-// Refusals of an upstream. Each promises that no work was done.
+// Refusals of an upstream server. Each guarantees that no work was done.
 const (
 	RefusalShed         Refusal = "shed"
 	RefusalDraining     Refusal = "draining"
@@ -25,11 +25,11 @@
 	RefusalCold         Refusal = "cold"
 	RefusalExpired      Refusal = "expired"
 	RefusalNotHeld      Refusal = "notHeld"
-	// RefusalOther stands for any that this VM does not know.
+	// RefusalOther stands for all refusals that this VM does not know.
 	RefusalOther Refusal = "otherRefusal"
 )
 
-// UpstreamState is what a server says of itself; it may lag or mislead.
+// UpstreamState is the state that a server reports. It may be out of date or wrong.
 type UpstreamState string
 
 // States that a server reports.
@@ -41,11 +41,11 @@
 
 // ShardRequest is one sub-request: one search on one shard.
 type ShardRequest struct {
-	// ID is unique over the life of the sending process.
+	// ID is unique for the lifetime of the sending process.
 	ID       string `json:"id"`
 	Register string `json:"register"`
 	Shard    int    `json:"shard"`
-	// Snapshot is a wish; the reply's field of that name is the fact.
+	// Snapshot is the wanted snapshot. The reply's Snapshot is the one that was searched.
 	Snapshot uint64 `json:"snapshot"`
 	// DeadlineMs is the time left, counted from the request's arrival.
 	DeadlineMs int64           `json:"deadlineMs"`
@@ -58,23 +58,23 @@
 	ID       string `json:"id"`
 	Shard    int    `json:"shard"`
 	Snapshot uint64 `json:"snapshot"`
-	// Shards is the number of shards in that snapshot's map.
+	// Shards is the number of the snapshot's shards.
 	Shards int `json:"shards"`
-	// Refusal is set where the sub-request did not run.
+	// Refusal is set if the sub-request did not run.
 	Refusal      Refusal `json:"refusal,omitempty"`
 	RetryAfterMs int64   `json:"retryAfterMs,omitempty"`
 	Hits         []Hit   `json:"hits,omitempty"`
-	// More is set where the server had more hits than the limit.
+	// More is set if the server had more hits than the limit.
 	More bool         `json:"more,omitempty"`
 	Load UpstreamLoad `json:"load"`
 }
 
-// CancelRequest gives up a sub-request by its id.
+// CancelRequest cancels a sub-request by its id.
 type CancelRequest struct {
 	ID string `json:"id"`
 }
 
-// UpstreamLoad is a server's account of its own load, on each reply.
+// UpstreamLoad is the load that a server reports with each reply.
 type UpstreamLoad struct {
 	Incarnation uint64        `json:"incarnation"`
 	State       UpstreamState `json:"state"`
@@ -82,7 +82,7 @@
 	Queued      int           `json:"queued"`
 }
 
-// UpstreamStatus is the reply of GET /v1/load: a hint that may lag.
+// UpstreamStatus is the reply of GET /v1/load. It may be out of date.
 type UpstreamStatus struct {
 	UpstreamLoad
 	Slots       int            `json:"slots"`
@@ -90,8 +90,8 @@
 	Holdings    []ShardHolding `json:"holdings"`
 }
 
-// ShardHolding says which shards of one snapshot a server holds. One that claims
-// no shard, or more than MaxShards, cannot be decoded.
+// ShardHolding says which shards of one snapshot a server holds. A holding with fewer than 1 or
+// more than MaxShards shards cannot be decoded.
 type ShardHolding struct {
 	Register string `json:"register"`
 	Snapshot uint64 `json:"snapshot"`
--- a/io/wire/wire_test.go
+++ b/io/wire/wire_test.go
@@ -10,9 +10,8 @@
 	"laburnumvane/io/wire"
 )
 
-// A server's account of itself comes from outside. One that claims more shards
-// than there can be must be refused where it is read: the maps made from it
-// would take all of the VM's memory, or end it.
+// A server's status is not trusted. A status with an impossible number of shards must be rejected
+// by the decoder: the maps made from it would use up the VM's memory or crash it.
 func TestHoldingBounds(t *testing.T) {
 	cases := []struct {
 		body string
@@ -42,8 +41,8 @@
 	}
 }
 
-// A server's refusal becomes the reason in a caller's answer, in the log and in
-// the counters.
+// A server's refusal becomes the reason in a caller's answer, in the log and in metrics, so an
+// unknown refusal must be replaced.
 func TestUnknownRefusal(t *testing.T) {
 	is := is.New(t)
 	for text, want := range map[string]wire.Refusal{
@@ -66,7 +65,7 @@
 	is.Equal(rp.Refusal, wire.Refusal(""))
 }
 
-// FuzzStatus reads what a server says of itself.
+// FuzzStatus decodes arbitrary bytes as a server's status.
 func FuzzStatus(f *testing.F) {
 	f.Add([]byte(`{"incarnation":1,"state":"serving","slots":3,"holdings":[{"register":"a","snapshot":1,"shards":2,"held":[0,1]}]}`))
 	f.Add([]byte(`{"holdings":[{"shards":2147483647}]}`))
