--- a/io/oper/auth.go
+++ b/io/oper/auth.go
@@ -9,8 +9,8 @@
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 )
 
-// authorize lets a request pass that carries the operators' token, or a team's
-// token where nothing but that team's subtree is changed.
+// authorize admits a request with the operators' token, or with a team's token if the request
+// changes nothing outside the team's subtree.
 func (op *Oper) authorize(ctx context.Context, rc *app.RequestContext) {
 	if op.cfg.Token == "" {
 		rc.Next(ctx)
@@ -28,7 +28,7 @@
 }
 
 func (op *Oper) authorizeTeam(ctx context.Context, rc *app.RequestContext, token string) {
-	team, ok := op.teamOf(token)
+	team, ok := op.teamByToken(token)
 	if !ok {
 		refuse(rc, consts.StatusUnauthorized, ReasonUnauthorized, "the bearer token is not known")
 		return
@@ -41,16 +41,15 @@
 	refuse(rc, consts.StatusForbidden, ReasonOtherTeam, "the token changes only team "+team)
 }
 
-// bearer gives the token of an Authorization header; the scheme's case does not
-// matter.
+// bearer returns the token of an Authorization header. The scheme is case-insensitive.
 func bearer(header string) (string, bool) {
 	scheme, token, ok := strings.Cut(header, " ")
 	return token, ok && strings.EqualFold(scheme, "Bearer")
 }
 
-func (op *Oper) teamOf(token string) (string, bool) {
+func (op *Oper) teamByToken(token string) (string, bool) {
 	found := ""
-	// Every token is compared, so that the time taken tells nothing.
+	// Every token is compared, so that the duration reveals nothing.
 	for team, want := range op.cfg.TeamTokens {
 		if equal(token, want) {
 			found = team
--- a/io/oper/change.go
+++ b/io/oper/change.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	headerActor = "X-Actor"
-	maxNameLen  = 128
+	headerActor  = "X-Actor"
+	maxNameBytes = 128
 )
 
 func (op *Oper) putConfig(ctx context.Context, rc *app.RequestContext) {
-	pr, ok := proposalOf(rc)
+	pr, ok := parseProposal(rc)
 	if !ok {
 		return
 	}
-	// A client that goes away must not break off the write half-way: its
-	// change would then be in doubt where it need not be.
+	// A client that disconnects must not cancel the write, since the change's result would be
+	// unknown without need.
 	reply, err := op.cfg.Operator.Change(context.WithoutCancel(ctx), pr)
 	if err != nil {
 		refuse(rc, consts.StatusBadRequest, ReasonInvalid, err.Error())
@@ -34,8 +34,8 @@
 	rc.JSON(statusOf(reply.Result), reply)
 }
 
-// proposalOf reads a change; where it is no good, it has refused it.
-func proposalOf(rc *app.RequestContext) (Proposal, bool) {
+// parseProposal reads a change. If the change is invalid, it refuses the request and returns false.
+func parseProposal(rc *app.RequestContext) (Proposal, bool) {
 	body, er := guard.Body(rc)
 	if er != nil {
 		guard.Refuse(rc, consts.StatusUnsupportedMediaType, *er)
@@ -45,7 +45,7 @@
 		ID:    rc.Query("id"),
 		Team:  rc.Param("team"),
 		Actor: string(rc.GetHeader(headerActor)),
-		// The library recycles the body's buffer.
+		// The library reuses the body's buffer.
 		Document: append([]byte(nil), body...),
 	}
 	for _, nm := range []struct{ path, value string }{{"id", pr.ID}, {headerActor, pr.Actor}} {
@@ -55,8 +55,7 @@
 		}
 	}
 	var err error
-	// Anything else taken for false would make a change that was meant as a
-	// trial.
+	// If other values meant false, a misspelt dry run would be a real change.
 	if raw := rc.Query("dryRun"); raw != "" {
 		if pr.DryRun, err = strconv.ParseBool(raw); err != nil {
 			guard.Refuse(rc, consts.StatusBadRequest, *guard.BadField("dryRun", "must be true or false"))
@@ -67,7 +66,7 @@
 }
 
 func isName(s string) bool {
-	if len(s) > maxNameLen {
+	if len(s) > maxNameBytes {
 		return false
 	}
 	for _, c := range []byte(s) {
@@ -78,7 +77,8 @@
 	return true
 }
 
-// setExpect reads the revision that the operator saw.
+// setExpect reads the expected revision. If it is missing or invalid, it refuses the request and
+// returns false.
 func setExpect(rc *app.RequestContext, pr *Proposal) bool {
 	header := string(rc.GetHeader("If-Match"))
 	if header == "" {
@@ -86,7 +86,7 @@
 			`name the revision that the change was made from, as in If-Match: "12", or "0" where there is none yet`)
 		return false
 	}
-	expect, err := ifMatch(header)
+	expect, err := parseIfMatch(header)
 	if err != nil {
 		guard.Refuse(rc, consts.StatusBadRequest, *guard.BadField("If-Match", err.Error()))
 		return false
@@ -99,9 +99,9 @@
 	return strconv.Quote(strconv.FormatUint(revision, 10))
 }
 
-// ifMatch reads a revision; nil means any. Quotes may be left out, for shells
-// eat them; weak tags and lists are refused.
-func ifMatch(header string) (*uint64, error) {
+// parseIfMatch reads a revision; nil means any. The quotes may be missing, since shells remove
+// them. Weak tags and lists are refused.
+func parseIfMatch(header string) (*uint64, error) {
 	if header == "*" {
 		return nil, nil
 	}
--- a/io/oper/oper.go
+++ b/io/oper/oper.go
@@ -1,5 +1,5 @@
-// Package oper is the operators' listener: configuration, the state of changes,
-// status and metrics of a VM.
+// Package oper is the operators' listener of a VM. It serves configuration, the status of changes,
+// the VM's status and metrics, and the log level.
 //
 // # Usage
 //
@@ -7,12 +7,12 @@
 //	go op.Serve()
 //	op.Shutdown(ctx)
 //
-// With a token set every call but the health check needs it as a bearer token; a
-// team's own token reads everything and changes that team's configuration only.
+// If a token is set, every call but the health check needs a bearer token: the operators' token, or
+// a team's own token, which may read everything and change only that team's configuration.
 //
-// A change names the revision that it was made from in If-Match, as GET gave it
-// in ETag; "*" overwrites whatever is in force. Without If-Match it is refused
-// with 428, and where another change came first, with 412 and that change.
+// A change has the revision that it was made from in If-Match, as returned by GET in ETag; "*"
+// overwrites any revision. A change without If-Match is refused with 428. If another change came
+// first, the change is refused with 412, and the reply has the other change.
 package oper
 
 import (
@@ -31,47 +31,48 @@
 
 // Proposal is an operator's change.
 type Proposal struct {
-	// ID names the change; empty lets the VM choose.
+	// ID identifies the change. If it is empty, the VM generates one.
 	ID       string
 	Team     string
 	Document []byte
 	Actor    string
-	// Expect is the revision that the operator saw; nil means any.
+	// Expect is the revision that the change was made from; nil means any.
 	Expect *uint64
 	DryRun bool
 }
 
-// Operator is what the listener asks of the VM.
+// Operator is the VM's side of the operators' interface.
 type Operator interface {
 	Config(team string) (wire.ConfigReply, bool)
-	// Change proposes; the error tells what is wrong with the document.
+	// Change proposes a change. The error says what is wrong with the proposal.
 	Change(ctx context.Context, pr Proposal) (wire.ChangeReply, error)
 	History(ctx context.Context, team string) (wire.HistoryReply, error)
 	ChangeStatus(ctx context.Context, id string) wire.ChangeStatus
 	Status() wire.Status
 	Metrics() map[string]float64
-	// SetLogLevel fails for a level that does not exist.
+	// SetLogLevel returns an error for an unknown level.
 	SetLogLevel(level string) error
 	Leaving() bool
 }
 
-// Config sets the listener.
+// Config configures the listener.
 type Config struct {
 	Listener net.Listener
 	Operator Operator
-	// Token is the operators' bearer token; empty only on loopback.
+	// Token is the operators' bearer token. If it is empty, no call needs a token, so it must
+	// only be empty on loopback.
 	Token string
 	// TeamTokens are the teams' own tokens, by team.
 	TeamTokens  map[string]string
 	MaxBody     int
 	ReadTimeout time.Duration
-	// Refused is told of each refusal, with its reason; it may be nil.
+	// Refused is called with the reason of each refusal; it may be nil.
 	Refused func(reason string)
-	// Panicked is told of each panic of a handler; it may be nil.
+	// Panicked is called for each panic of a handler; it may be nil.
 	Panicked func(value any, stack []byte)
 }
 
-// Reasons of this listener's refusals, beside those of package guard.
+// Reasons of this listener's refusals, in addition to those of package guard.
 const (
 	ReasonUnauthorized = "unauthorized"
 	ReasonOtherTeam    = "otherTeam"
@@ -79,8 +80,8 @@
 	ReasonInvalid      = "invalid"
 	ReasonPlatform     = "platform"
 	ReasonLeaving      = "leaving"
-	// ReasonNoRevision refuses a change that does not say which revision it
-	// was made from: it would overwrite one that its operator has not seen.
+	// ReasonNoRevision is the reason for refusing a change without the revision that it was
+	// made from: it could overwrite a change that its operator has not seen.
 	ReasonNoRevision = "preconditionRequired"
 )
 
@@ -90,11 +91,11 @@
 	cfg Config
 }
 
-// New makes the listener; Serve starts it.
+// New returns the listener, which Serve starts.
 func New(cfg Config) *Oper {
 	gc := guard.Config{MaxBody: cfg.MaxBody, RequestTime: cfg.ReadTimeout, Refused: cfg.Refused, Panicked: cfg.Panicked}
 	op := &Oper{Door: guard.Open("oper", cfg.Listener, gc), cfg: cfg}
-	op.Routes.Use(op.busy)
+	op.Routes.Use(op.trackRequest)
 	op.Routes.GET(wire.RouteHealth, op.health)
 	op.Routes.Use(op.authorize)
 	op.Routes.GET(wire.RouteConfig, op.getConfig)
@@ -107,9 +108,9 @@
 	return op
 }
 
-// busy keeps a connection from being taken for idle while its request runs, and
-// closes it with the answer once the VM is leaving.
-func (op *Oper) busy(ctx context.Context, rc *app.RequestContext) {
+// trackRequest marks a connection as in use while its request runs. If the VM is leaving, it closes
+// the connection after the answer.
+func (op *Oper) trackRequest(ctx context.Context, rc *app.RequestContext) {
 	defer accept.Begin(ctx)()
 	rc.Next(ctx)
 	if op.cfg.Operator.Leaving() {
