--- a/io/inner/inner.twirp.go
+++ b/io/inner/inner.twirp.go
@@ -31,22 +31,22 @@
 
 // Peer is served by every VM to every other.
 type Peer interface {
-	// Beat carries a heartbeat with what rides on it.
+	// Beat exchanges heartbeats with the data piggybacked on them.
 	Beat(context.Context, *BeatRequest) (*BeatReply, error)
 
-	// Probe asks a VM to try another on the caller's behalf.
+	// Probe asks a VM to send a heartbeat to a third VM on the caller's behalf.
 	Probe(context.Context, *ProbeRequest) (*ProbeReply, error)
 
-	// Push hands over configuration deltas.
+	// Push sends configuration updates.
 	Push(context.Context, *PushRequest) (*PushReply, error)
 
-	// Pull asks for the deltas after what the caller has.
+	// Pull requests the configuration updates that the caller lacks.
 	Pull(context.Context, *PullRequest) (*PullReply, error)
 
-	// Run executes a forwarded search on the VM that issued its ticket.
+	// Run runs a forwarded search on the VM that issued its ticket.
 	Run(context.Context, *RunRequest) (*RunReply, error)
 
-	// Issue asks for tickets on behalf of a caller of a VM that is leaving.
+	// Issue requests tickets on behalf of a caller of a VM that is leaving.
 	Issue(context.Context, *IssueRequest) (*IssueReply, error)
 }
 
--- a/io/inner/inner_test.go
+++ b/io/inner/inner_test.go
@@ -16,8 +16,8 @@
 	"laburnumvane/io/inner"
 )
 
-// kinds are all messages of the protocol.
-func kinds() []protoreflect.MessageDescriptor {
+// messages returns the descriptors of all messages of inner.proto.
+func messages() []protoreflect.MessageDescriptor {
 	var out []protoreflect.MessageDescriptor
 	all := inner.File_io_inner_inner_proto.Messages()
 	for i := range all.Len() {
@@ -26,26 +26,26 @@
 	return out
 }
 
-// full sets every field of a message, to a value made from the field's number.
-func full(md protoreflect.MessageDescriptor) *dynamicpb.Message {
+// filled returns a message with every field set, to values made from the field's number or name.
+func filled(md protoreflect.MessageDescriptor) *dynamicpb.Message {
 	msg := dynamicpb.NewMessage(md)
 	for i := range md.Fields().Len() {
-		set(msg, md.Fields().Get(i))
+		setField(msg, md.Fields().Get(i))
 	}
 	return msg
 }
 
-func set(msg *dynamicpb.Message, fd protoreflect.FieldDescriptor) {
+func setField(msg *dynamicpb.Message, fd protoreflect.FieldDescriptor) {
 	if fd.IsList() {
 		list := msg.NewField(fd).List()
-		list.Append(value(fd))
+		list.Append(fieldValue(fd))
 		msg.Set(fd, protoreflect.ValueOfList(list))
 		return
 	}
-	msg.Set(fd, value(fd))
+	msg.Set(fd, fieldValue(fd))
 }
 
-func value(fd protoreflect.FieldDescriptor) protoreflect.Value {
+func fieldValue(fd protoreflect.FieldDescriptor) protoreflect.Value {
 	num := int64(fd.Number())
 	switch fd.Kind() {
 	case protoreflect.BoolKind:
@@ -71,18 +71,18 @@
 	}
 }
 
-// VMs of two versions talk to each other while the fleet is replaced. A field
-// must keep its number, its type and so its bytes for ever; a new one may come
-// to the file with -update, and no line of it may change or go.
-func TestBytesStay(t *testing.T) {
+// During a rolling replacement VMs of two versions exchange messages. A field must therefore keep
+// its number and type, and so its encoding, for ever. New fields may be added to the golden file by
+// -update, but no line of it may change or be removed.
+func TestFieldEncodingIsStable(t *testing.T) {
 	is := is.New(t)
 	now := map[string]bool{}
 	var sb strings.Builder
-	for _, md := range kinds() {
+	for _, md := range messages() {
 		for i := range md.Fields().Len() {
 			fd := md.Fields().Get(i)
 			msg := dynamicpb.NewMessage(md)
-			set(msg, fd)
+			setField(msg, fd)
 			raw, err := proto.Marshal(msg)
 			is.NoErr(err)
 			line := fmt.Sprintf("%s.%s %s", md.Name(), fd.Name(), hex.EncodeToString(raw))
@@ -92,20 +92,20 @@
 	}
 	for line := range strings.Lines(golden.Want(t, "fields", sb.String())) {
 		if line = strings.TrimSpace(line); !now[line] {
-			t.Errorf("older VMs know the field as %s", line)
+			t.Errorf("field changed or removed; older VMs encode it as %s", line)
 		}
 	}
 }
 
-// A newer VM sends a field that this one does not know, within a message that
-// this one passes on. The third VM must get the field.
+// A newer VM sends a message with a field that this VM does not know, and this VM passes the
+// message on. The third VM must receive the field.
 func TestUnknownFieldsSurvive(t *testing.T) {
 	const newField, text = 900, "from a newer VM"
 	unknown := protowire.AppendString(protowire.AppendTag(nil, newField, protowire.BytesType), text)
-	for _, md := range kinds() {
+	for _, md := range messages() {
 		t.Run(string(md.Name()), func(t *testing.T) {
 			is := is.New(t)
-			raw, err := proto.Marshal(full(md))
+			raw, err := proto.Marshal(filled(md))
 			is.NoErr(err)
 			relayed := dynamicpb.NewMessage(md)
 			is.NoErr(proto.Unmarshal(append(raw, unknown...), relayed))
@@ -122,10 +122,10 @@
 	is.NoErr(proto.Unmarshal(nested, &push))
 	onward, err := proto.Marshal(&inner.PushRequest{Version: 1, Teams: push.GetTeams(), Hops: 1})
 	is.NoErr(err)
-	is.True(strings.Contains(string(onward), text)) // a team passed on within another message
+	is.True(strings.Contains(string(onward), text)) // also within a nested message
 }
 
-// generated are messages of the generated types.
+// generated returns a message of each generated type of inner.proto.
 func generated() []proto.Message {
 	return []proto.Message{
 		&inner.BeatRequest{}, &inner.BeatReply{}, &inner.ProbeRequest{}, &inner.ProbeReply{}, &inner.PushRequest{},
@@ -134,11 +134,11 @@
 	}
 }
 
-// Whatever bytes come, they are decoded or refused, and what was decoded can be
-// passed on as it came.
+// Arbitrary bytes must be decoded or refused, and a decoded message must be encoded again without a
+// change.
 func FuzzMessages(f *testing.F) {
 	for i, msg := range generated() {
-		raw, err := proto.Marshal(full(msg.ProtoReflect().Descriptor()))
+		raw, err := proto.Marshal(filled(msg.ProtoReflect().Descriptor()))
 		if err != nil {
 			f.Fatal(err)
 		}
