--- a/io/contr/operators.go
+++ b/io/contr/operators.go
@@ -125,9 +125,9 @@
 func opConflict(t *testing.T, op OperatorListener) {
 	is := is.New(t)
 	seen := op.config(t)
-	mine := op.Edit(t, seen.Document)
-	is.Equal(op.put(t, "?id=contract-first", etagOf(seen.Revision), mine).status, http.StatusOK)
-	rp := op.put(t, "?id=contract-second", etagOf(seen.Revision), op.Edit(t, mine))
+	edited := op.Edit(t, seen.Document)
+	is.Equal(op.put(t, "?id=contract-first", etagOf(seen.Revision), edited).status, http.StatusOK)
+	rp := op.put(t, "?id=contract-second", etagOf(seen.Revision), op.Edit(t, edited))
 	is.Equal(rp.status, http.StatusPreconditionFailed)
 	cr := decodeBody[wire.ChangeReply](t, rp)
 	is.Equal(cr.Result, wire.ChangeConflict)
--- a/io/contr/upstream.go
+++ b/io/contr/upstream.go
@@ -26,7 +26,7 @@
 	SetState func(wire.UpstreamState)
 	// Saturate fills all slots and the queue until the returned function is called. If it is
 	// nil, the clauses that need it are skipped.
-	Saturate func(t *testing.T) (free func())
+	Saturate func(t *testing.T) (release func())
 	// Runs counts the sub-requests that the server has run.
 	Runs func() uint64
 }
@@ -135,8 +135,8 @@
 		t.Skip("the server cannot be made busy")
 	}
 	is := is.New(t)
-	free := us.Saturate(t)
-	defer free()
+	release := us.Saturate(t)
+	defer release()
 	before := us.Runs()
 	rp := us.search(t, us.request("s.1"))
 	is.Equal(rp.Refusal, wire.RefusalShed)
--- a/io/drive/drive_test.go
+++ b/io/drive/drive_test.go
@@ -74,7 +74,7 @@
 // and counted, and its sub-request must have been cancelled by its id.
 func TestReplyAfterAnswer(t *testing.T) {
 	is := is.New(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	var mu sync.Mutex
 	asked, cancelled := "", ""
 	up := &upstream{
@@ -83,7 +83,7 @@
 				mu.Lock()
 				asked = rq.ID
 				mu.Unlock()
-				<-free
+				<-unblock
 			}
 			return reply(rq, shards), nil
 		},
@@ -98,7 +98,7 @@
 	an := fx.dr.Search(context.Background(), searchRequest())
 	is.Equal(an.Outcome, wire.OutcomePartial)
 	is.Equal(an.Coverage.Answered, 3)
-	close(free)
+	close(unblock)
 	fx.dr.Wait()
 	is.Equal(fx.mt.Value(meter.Dropped, "afterAnswer"), int64(1))
 	mu.Lock()
--- a/io/drive/queue.go
+++ b/io/drive/queue.go
@@ -90,9 +90,9 @@
 	case <-ctx.Done():
 		reason = ReasonCallerGone
 	}
-	left := false
-	aq.update(dr, func(mc *machine) { left = mc.Withdraw(dr.now(), de.Handle) })
-	if !left {
+	withdrawn := false
+	aq.update(dr, func(mc *machine) { withdrawn = mc.Withdraw(dr.now(), de.Handle) })
+	if !withdrawn {
 		// The verdict came at the same moment.
 		return <-wt.ready
 	}
--- a/io/drive/ticket_test.go
+++ b/io/drive/ticket_test.go
@@ -217,11 +217,11 @@
 // shard must run the search once.
 func TestAttemptsMeet(t *testing.T) {
 	is := is.New(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	var runs atomic.Int64
 	up := &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) {
 		runs.Add(1)
-		<-free
+		<-unblock
 		return reply(rq, shards), nil
 	}}
 	fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketConfig("vm1")})
@@ -232,9 +232,9 @@
 	for runs.Load() < shards {
 		time.Sleep(time.Millisecond)
 	}
-	hasty := withTicket(token)
-	hasty.DeadlineMs = 20
-	an := fx.dr.Search(context.Background(), hasty)
+	short := withTicket(token)
+	short.DeadlineMs = 20
+	an := fx.dr.Search(context.Background(), short)
 	is.Equal(an.Outcome, wire.OutcomeUnknown)
 	is.Equal(an.Reason, drive.ReasonTicketRunning)
 	leave()
@@ -242,7 +242,7 @@
 	is.Equal(an.Reason, drive.ReasonTicketRunning)
 	fourth := make(chan wire.SearchAnswer, 1)
 	go func() { fourth <- fx.dr.Search(context.Background(), withTicket(token)) }()
-	close(free)
+	close(unblock)
 	is.Equal((<-fourth).Outcome, wire.OutcomeComplete)
 	is.Equal((<-first).Outcome, wire.OutcomeComplete)
 	is.Equal(runs.Load(), int64(shards))
@@ -252,11 +252,11 @@
 // return before that, so that the issuer does not end while its record of the ticket is needed.
 func TestStopWaitsForFirstRun(t *testing.T) {
 	is := is.New(t)
-	free := make(chan struct{})
+	unblock := make(chan struct{})
 	var runs atomic.Int64
 	up := &upstream{answer: func(rq wire.ShardRequest) (wire.ShardReply, error) {
 		runs.Add(1)
-		<-free
+		<-unblock
 		return reply(rq, shards), nil
 	}}
 	fx := newFixture(t, fixtureConfig{shards: shards, workers: 64, up: up, search: renewal(), tickets: ticketConfig("vm1")})
@@ -275,7 +275,7 @@
 		is.Fail() // Wait returned too early
 	default:
 	}
-	close(free)
+	close(unblock)
 	<-idle
 	is.Equal((<-answered).Outcome, wire.OutcomeComplete)
 }
--- a/io/node/change_status.go
+++ b/io/node/change_status.go
@@ -46,9 +46,9 @@
 	out.Known, out.Team, out.Revision = true, rv.GetTeam(), rv.GetRevision()
 	rows := nd.surveyDataCentres(ctx, tb, out.Team)
 	for _, dc := range tb.DataCentres() {
-		left := missingFrom(tb.Members(dc), rows[dc])
-		if len(rows[dc]) > 0 && len(left) <= maxMissing {
-			rows[dc] = append(rows[dc], nd.surveyVMs(ctx, left, []string{out.Team})...)
+		missing := missingFrom(tb.Members(dc), rows[dc])
+		if len(rows[dc]) > 0 && len(missing) <= maxMissing {
+			rows[dc] = append(rows[dc], nd.surveyVMs(ctx, missing, []string{out.Team})...)
 		}
 		sum, vms := summary(dc, tb.Members(dc), rows[dc], out.Revision)
 		out.DataCentres = append(out.DataCentres, sum)
--- a/io/node/demand_bytes_test.go
+++ b/io/node/demand_bytes_test.go
@@ -40,14 +40,14 @@
 func BenchmarkDemandBytes(b *testing.B) {
 	for _, fl := range []struct{ vms, centres int }{{9, 3}, {100, 3}, {1000, 13}, {4300, 13}} {
 		cells := int(math.Round(math.Sqrt(float64(fl.vms))))
-		for _, way := range []struct {
+		for _, layout := range []struct {
 			name   string
 			groups int
 		}{{"flat", 1}, {"centres", fl.centres}, {"cells", cells}} {
-			b.Run(fmt.Sprintf("vms=%d/%s", fl.vms, way.name), func(b *testing.B) {
+			b.Run(fmt.Sprintf("vms=%d/%s", fl.vms, layout.name), func(b *testing.B) {
 				once, spread := 0.0, 0.0
 				for b.Loop() {
-					once, spread = bytesPerSecond(fl.vms, way.groups)
+					once, spread = bytesPerSecond(fl.vms, layout.groups)
 				}
 				b.ReportMetric(once, "once_B/s")
 				b.ReportMetric(spread, "spread_B/s")
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -62,8 +62,8 @@
 // eventually waits until a condition holds, and fails the test if it does not within testTimeout.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > testTimeout {
+	for start := time.Now(); !holds(); time.Sleep(10 * time.Millisecond) {
+		if time.Since(start) > testTimeout {
 			t.Fatalf("condition not met in time: %s", what)
 		}
 	}
--- a/io/node/members_riders.go
+++ b/io/node/members_riders.go
@@ -134,12 +134,12 @@
 	received func(*inner.Sign)
 }
 
-func newSigns(ms *members, heard func(*inner.Sign)) *signs {
+func newSigns(ms *members, received func(*inner.Sign)) *signs {
 	return &signs{
 		ms:       ms,
 		queue:    member.NewQueue[string, *inner.Sign](maxQueuedSigns),
 		known:    make(map[string]*inner.Sign),
-		received: heard,
+		received: received,
 	}
 }
 
--- a/io/node/members_service.go
+++ b/io/node/members_service.go
@@ -24,7 +24,7 @@
 			ev.answered <- rp
 		},
 	)
-	if _, left := ms.pending[tag]; left {
+	if _, unanswered := ms.pending[tag]; unanswered {
 		// The state machine answers a heartbeat in the same step, unless the heartbeat names no
 		// sender.
 		delete(ms.pending, tag)
--- a/io/node/upstreams_bench_test.go
+++ b/io/node/upstreams_bench_test.go
@@ -86,12 +86,12 @@
 			b.ReportMetric(heap, "heapMB")
 		})
 		b.Run("place/"+name, func(b *testing.B) {
-			whole, less := teamOf(0, size.services), teamOf(0, size.services)
-			sc := less.Registers["members"].Services["s0"]
+			full, reduced := teamOf(0, size.services), teamOf(0, size.services)
+			sc := reduced.Registers["members"].Services["s0"]
 			sc.Servers = sc.Servers[1:]
-			less.Registers["members"].Services["s0"] = sc
+			reduced.Registers["members"].Services["s0"] = sc
 			for i := range b.N {
-				ct.updateServers([]team.Document{less, whole}[i%2])
+				ct.updateServers([]team.Document{reduced, full}[i%2])
 			}
 		})
 		b.Run("state/"+name, func(b *testing.B) {
--- a/io/wire/decode_test.go
+++ b/io/wire/decode_test.go
@@ -101,15 +101,15 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for _, way := range []struct {
+		for _, decoder := range []struct {
 			name   string
 			decode func([]byte, any) error
 		}{{"wire", wire.Decode}, {"standard", json.Unmarshal}} {
-			b.Run(fmt.Sprintf("%s/hits=%d", way.name, hits), func(b *testing.B) {
+			b.Run(fmt.Sprintf("%s/hits=%d", decoder.name, hits), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
 					var rp wire.ShardReply
-					if err := way.decode(raw, &rp); err != nil {
+					if err := decoder.decode(raw, &rp); err != nil {
 						b.Fatal(err)
 					}
 				}
