--- a/io/node/stop.go
+++ b/io/node/stop.go
@@ -27,7 +27,7 @@
 
 // Kinds of errors.
 const (
-	// KindCut: the grace ended while requests were in flight.
+	// KindCut means that the grace period ended while requests were in flight.
 	KindCut Kind = "cutOff"
 )
 
