--- a/io/node/kv_test.go
+++ b/io/node/kv_test.go
@@ -15,8 +15,8 @@
 )
 
 func TestSwapContract(t *testing.T) {
-	// What a change relies on: an error that is not doubtful means that the
-	// swap has not taken effect and never will; any other may go either way.
+	// A change relies on two properties. An error that is not doubtful means that the swap has
+	// not taken effect and never will; after any other error it may or may not take effect.
 	// Two swaps that expect the same revision never both succeed.
 	cases := []struct {
 		name     string
@@ -25,12 +25,12 @@
 		doubtful bool
 		effect   bool
 	}{
-		{"none", emul.KVFaults{}, false, false, true},
+		{"no fault", emul.KVFaults{}, false, false, true},
 		{"connection refused", emul.KVFaults{Refuse: true}, true, true, false},
 		{"status 500", emul.KVFaults{Fail: true}, true, true, false},
-		{"answer lost", emul.KVFaults{LoseSwaps: true}, true, true, true},
+		{"reply lost", emul.KVFaults{LoseSwaps: true}, true, true, true},
 		{"slower than the timeout", emul.KVFaults{Slow: time.Second}, true, true, true},
-		{"reads from the past", emul.KVFaults{Past: true}, false, false, true},
+		{"stale reads", emul.KVFaults{Past: true}, false, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			is.Equal(err != nil, tc.fails)
 			var pe *plat.Error
 			if errors.As(err, &pe) {
-				is.Equal(pe.Doubtful, tc.doubtful)
+				is.Equal(pe.MayHaveApplied, tc.doubtful)
 			}
 			eventually(t, "the swap took effect or never will", func() bool { return kv.Counts().Swap == 1 || tc.faults.Refuse })
 			kv.SetFaults(emul.KVFaults{})
@@ -63,9 +63,9 @@
 	}
 }
 
-func TestSwapNobodyListens(t *testing.T) {
-	// Nothing listens at the service's address: the one failure that proves
-	// that nothing was written.
+func TestSwapConnectionRefused(t *testing.T) {
+	// Nothing listens at the service's address. This is the only failure that proves that
+	// nothing was written.
 	is := is.New(t)
 	kv := emul.NewKV(emul.KVConfig{})
 	is.NoErr(kv.Start())
@@ -76,18 +76,18 @@
 	_, err := cl.Swap(context.Background(), wire.KVSwapRequest{Key: "k"})
 	var pe *plat.Error
 	is.True(errors.As(err, &pe))
-	is.True(!pe.Doubtful)
+	is.True(!pe.MayHaveApplied)
 }
 
 func TestChangeOutlastsAnOutage(t *testing.T) {
-	// An operator changes the team while the service is down. The VM goes on
-	// trying, and the change is accepted once the service is back.
+	// An operator changes the team while the key-value service is down. The VM keeps retrying,
+	// and the change is accepted once the service is available again.
 	is := is.New(t)
 	st := startWash(t, 2)
 	st.KV().SetFaults(emul.KVFaults{Refuse: true})
 	nd := st.Nodes()[0]
 	expect := uint64(1)
-	raw := document(t, st, 5)
+	raw := documentWith(t, st, 5)
 	done := make(chan wire.ChangeReply, 1)
 	go func() {
 		reply, err := nd.Change(context.Background(), oper.Proposal{Team: wash, Document: raw, Expect: &expect})
@@ -100,5 +100,5 @@
 	st.KV().SetFaults(emul.KVFaults{})
 	reply := <-done
 	is.Equal(reply.Result, wire.ChangeAccepted)
-	inForceOn(t, st.Nodes(), 2)
+	waitForRevision(t, st.Nodes(), 2)
 }
