--- a/io/edge/poison.go
+++ b/io/edge/poison.go
@@ -11,7 +11,7 @@
 // serverEnded handles a server's crash under requests.
 func (eg *Edge) serverEnded(pr origin.Process, requests []string) {
 	eg.meter.Count(meter.Connection, "serverEnded")
-	eg.cfg.Log.Warn().Str("server", pr.ID).Str("addr", pr.Addr).Strs("requests", requests).Msg("server crashed under requests")
+	eg.cfg.Log.Warn().Str("server", pr.ID).Str("addr", pr.Addr).Strs("requests", requests).Msg("server ended under requests")
 	eg.entry.ServerEnded(pr)
 }
 
--- a/io/edge/poisonwriter.go
+++ b/io/edge/poisonwriter.go
@@ -115,7 +115,7 @@
 				fails++
 				bo := retry.Backoff{First: minPoisonRetryWait, Most: maxPoisonRetryWait, Jitter: 1}
 				wait = bo.Wait(fails, rand.Float64())
-				pw.eg.cfg.Log.Warn().Err(err).Int("records", len(ups)).Int("fails", fails).Msg("writing records of requests under which servers crashed failed")
+				pw.eg.cfg.Log.Warn().Err(err).Int("records", len(ups)).Int("fails", fails).Msg("could not write records of requests under which servers ended")
 			} else {
 				fails = 0
 			}
