--- a/cmd/laburnumvane/api_test.go
+++ b/cmd/laburnumvane/api_test.go
@@ -21,7 +21,7 @@
 
 const apiPage = "../../docs/API.md"
 
-// exchange is one request of the page and the reply printed below it.
+// exchange is one request on the API page and the reply printed below it.
 type exchange struct {
 	line     int
 	operator bool
@@ -29,8 +29,8 @@
 	reply    string
 }
 
-// The page's examples are what callers write their clients by. Each is sent to
-// real VMs, and the reply must have the status, headers and fields printed.
+// Users write their clients from the examples on the API page. Each example is sent to real VMs,
+// and the reply must have the status, headers and fields that the page shows.
 func TestAPI_Examples(t *testing.T) {
 	is := is.New(t)
 	st, err := site.Start(apiSite(t))
@@ -54,7 +54,8 @@
 	}
 }
 
-// apiSite is the demonstration's, with time enough for the slowest machine.
+// apiSite returns the demo's configuration with deadlines of 10 s, so that no search times out on a
+// slow machine.
 func apiSite(t *testing.T) site.Config {
 	t.Helper()
 	rg, err := emul.SampleRegister(demoRegister, demoSeed, demoMembers)
@@ -90,12 +91,13 @@
 	if printed == "" {
 		return
 	}
-	if msg := differs("", []byte(printed), body, vals); msg != "" {
+	if msg := mismatch("", []byte(printed), body, vals); msg != "" {
 		t.Fatalf("%s\nbody %s", msg, body)
 	}
 }
 
-// requestOf builds a request, with values of earlier replies in place of names.
+// requestOf builds a request. It replaces "$name" in the body by the value that an earlier reply
+// had there.
 func requestOf(t *testing.T, ex exchange, addr string, vals map[string]json.RawMessage) *http.Request {
 	t.Helper()
 	is := is.New(t)
@@ -114,9 +116,10 @@
 	return out
 }
 
-// differs says where a reply lacks what is printed, or "". Objects may have
-// more fields than printed; a printed "$name" takes any value and keeps it.
-func differs(at string, printed, got []byte, vals map[string]json.RawMessage) string {
+// mismatch describes the first difference between the printed reply and the one received, or returns
+// "". Objects may have more fields than printed. A printed "$name" matches any value, which is stored
+// in vals.
+func mismatch(path string, printed, got []byte, vals map[string]json.RawMessage) string {
 	var name string
 	if json.Unmarshal(printed, &name) == nil && strings.HasPrefix(name, "$") {
 		vals[name] = got
@@ -125,41 +128,42 @@
 	var want, have map[string]json.RawMessage
 	if json.Unmarshal(printed, &want) == nil && want != nil {
 		if err := json.Unmarshal(got, &have); err != nil {
-			return at + ": " + err.Error()
+			return path + ": " + err.Error()
 		}
 		for key, sub := range want {
 			if _, ok := have[key]; !ok {
-				return at + "." + key + ": is absent"
+				return path + "." + key + ": is absent"
 			}
-			if msg := differs(at+"."+key, sub, have[key], vals); msg != "" {
+			if msg := mismatch(path+"."+key, sub, have[key], vals); msg != "" {
 				return msg
 			}
 		}
 		return ""
 	}
-	return differsPlain(at, printed, got, vals)
+	return mismatchNonObject(path, printed, got, vals)
 }
 
-func differsPlain(at string, printed, got []byte, vals map[string]json.RawMessage) string {
+// mismatchNonObject is mismatch for arrays, strings, numbers, booleans and null.
+func mismatchNonObject(path string, printed, got []byte, vals map[string]json.RawMessage) string {
 	var want, have []json.RawMessage
 	if json.Unmarshal(printed, &want) == nil && want != nil {
 		if err := json.Unmarshal(got, &have); err != nil || len(have) != len(want) {
-			return fmt.Sprintf("%s: is %s, the page says %s", at, got, printed)
+			return fmt.Sprintf("%s: is %s, the page says %s", path, got, printed)
 		}
 		for i := range want {
-			if msg := differs(fmt.Sprintf("%s[%d]", at, i), want[i], have[i], vals); msg != "" {
+			if msg := mismatch(fmt.Sprintf("%s[%d]", path, i), want[i], have[i], vals); msg != "" {
 				return msg
 			}
 		}
 		return ""
 	}
 	if !bytes.Equal(bytes.TrimSpace(printed), bytes.TrimSpace(got)) {
-		return fmt.Sprintf("%s: is %s, the page says %s", at, got, printed)
+		return fmt.Sprintf("%s: is %s, the page says %s", path, got, printed)
 	}
 	return ""
 }
 
-// exchanges reads the page: each request is followed by its reply.
+// exchanges reads the examples from the page, where each request is followed by its reply.
 func exchanges(t *testing.T) []exchange {
 	t.Helper()
 	is := is.New(t)
@@ -184,7 +188,7 @@
 	return exs
 }
 
-// crlf turns an example into what goes over the wire.
+// crlf converts an example to HTTP wire format, with CRLF line ends in the head.
 func crlf(text string) string {
 	head, body, _ := strings.Cut(text, "\n\n")
 	return strings.ReplaceAll(head, "\n", "\r\n") + "\r\n\r\n" + body
--- a/cmd/laburnumvane/check.go
+++ b/cmd/laburnumvane/check.go
@@ -15,35 +15,35 @@
 
 // checkReply is what check prints with --json.
 type checkReply struct {
-	OK       bool         `json:"ok"`
-	Settings *checkedPart `json:"settings,omitempty"`
-	Files    []checkedDoc `json:"files"`
+	OK       bool            `json:"ok"`
+	Settings *settingsResult `json:"settings,omitempty"`
+	Files    []fileResult    `json:"files"`
 }
 
-// checkedPart is the verdict on the settings of serve.
-type checkedPart struct {
-	OK     bool             `json:"ok"`
-	Faults []checkedSetting `json:"faults,omitempty"`
+// settingsResult is the result of checking the settings of serve.
+type settingsResult struct {
+	OK     bool           `json:"ok"`
+	Faults []settingFault `json:"faults,omitempty"`
 }
 
-// checkedSetting is one wrong setting.
-type checkedSetting struct {
+// settingFault is one invalid setting.
+type settingFault struct {
 	Kind     setup.Kind `json:"kind"`
 	Flag     string     `json:"flag"`
 	Variable string     `json:"variable"`
 	Message  string     `json:"message"`
 }
 
-// checkedDoc is the verdict on one configuration file.
-type checkedDoc struct {
-	File   string         `json:"file"`
-	Team   string         `json:"team,omitempty"`
-	OK     bool           `json:"ok"`
-	Faults []checkedFault `json:"faults,omitempty"`
+// fileResult is the result of checking one configuration file.
+type fileResult struct {
+	File   string      `json:"file"`
+	Team   string      `json:"team,omitempty"`
+	OK     bool        `json:"ok"`
+	Faults []fileFault `json:"faults,omitempty"`
 }
 
-// checkedFault is one fault of a file.
-type checkedFault struct {
+// fileFault is one fault in a configuration file.
+type fileFault struct {
 	Kind    team.Kind `json:"kind"`
 	Path    string    `json:"path,omitempty"`
 	Message string    `json:"message"`
@@ -80,7 +80,7 @@
 }
 
 func checkAction(_ context.Context, cmd *cli.Command) error {
-	rep := checkReply{OK: true, Files: []checkedDoc{}}
+	rep := checkReply{OK: true, Files: []fileResult{}}
 	if !cmd.Args().Present() || anySetting(cmd) {
 		rep.Settings = checkSettings(cmd)
 		rep.OK = rep.Settings.OK
@@ -90,15 +90,15 @@
 		if err != nil {
 			return err
 		}
-		chk := checkDocument(name, cmd.String("team"), raw)
-		rep.Files = append(rep.Files, chk)
-		rep.OK = rep.OK && chk.OK
+		res := checkDocument(name, cmd.String("team"), raw)
+		rep.Files = append(rep.Files, res)
+		rep.OK = rep.OK && res.OK
 	}
 	if err := printCheck(cmd, rep); err != nil {
 		return err
 	}
 	if !rep.OK {
-		return silent(cmd.FullName(), KindUsage)
+		return silentError(cmd.FullName(), KindUsage)
 	}
 	return nil
 }
@@ -112,24 +112,25 @@
 	return false
 }
 
-func checkSettings(cmd *cli.Command) *checkedPart {
+func checkSettings(cmd *cli.Command) *settingsResult {
 	_, err := setup.FromCommand(cmd)
-	part := &checkedPart{OK: err == nil}
-	for _, one := range unjoin(err) {
+	res := &settingsResult{OK: err == nil}
+	for _, one := range splitJoined(err) {
 		var flt *setup.Error
 		if !errors.As(one, &flt) {
-			part.Faults = append(part.Faults, checkedSetting{Message: one.Error()})
+			res.Faults = append(res.Faults, settingFault{Message: one.Error()})
 			continue
 		}
-		part.Faults = append(part.Faults, checkedSetting{
+		res.Faults = append(res.Faults, settingFault{
 			Kind: flt.Kind, Flag: flt.Flag, Variable: setup.Variable(flt.Flag), Message: flt.Msg,
 		})
 	}
-	return part
+	return res
 }
 
-// unjoin gives the errors that were joined into one.
-func unjoin(err error) []error {
+// splitJoined returns the errors that were joined into err, or err alone if it is not a joined
+// error.
+func splitJoined(err error) []error {
 	if err == nil {
 		return nil
 	}
@@ -139,21 +140,21 @@
 	return []error{err}
 }
 
-func checkDocument(file, name string, raw []byte) checkedDoc {
-	chk := checkedDoc{File: file, Team: name}
-	if chk.Team == "" {
-		chk.Team = teamNamedIn(raw)
+func checkDocument(file, name string, raw []byte) fileResult {
+	res := fileResult{File: file, Team: name}
+	if res.Team == "" {
+		res.Team = teamNamedIn(raw)
 	}
-	_, err := team.Parse(chk.Team, raw)
+	_, err := team.Parse(res.Team, raw)
 	for _, flt := range team.Faults(err) {
-		chk.Faults = append(chk.Faults, checkedFault{Kind: flt.Kind, Path: flt.Path, Message: flt.Msg})
+		res.Faults = append(res.Faults, fileFault{Kind: flt.Kind, Path: flt.Path, Message: flt.Msg})
 	}
-	chk.OK = err == nil
-	return chk
+	res.OK = err == nil
+	return res
 }
 
-// teamNamedIn is the team that a document says it is for, or "" where it cannot
-// be read; the strict reading then says why.
+// teamNamedIn returns the team named in a document, or "" if the document cannot be decoded.
+// team.Parse then reports the reason.
 func teamNamedIn(raw []byte) string {
 	var head struct {
 		Team string `json:"team"`
@@ -172,22 +173,22 @@
 	if rep.Settings != nil {
 		printSettings(out, rep.Settings)
 	}
-	for _, chk := range rep.Files {
-		if chk.OK {
-			fmt.Fprintf(out, "%s: ok, team %s\n", chk.File, chk.Team)
+	for _, doc := range rep.Files {
+		if doc.OK {
+			fmt.Fprintf(out, "%s: ok, team %s\n", doc.File, doc.Team)
 		}
-		for _, flt := range chk.Faults {
-			fmt.Fprintln(out, faultLine(chk.File, &team.Error{Path: flt.Path, Msg: flt.Message}))
+		for _, flt := range doc.Faults {
+			fmt.Fprintln(out, faultLine(doc.File, &team.Error{Path: flt.Path, Msg: flt.Message}))
 		}
 	}
 	return nil
 }
 
-func printSettings(out io.Writer, part *checkedPart) {
-	if part.OK {
+func printSettings(out io.Writer, res *settingsResult) {
+	if res.OK {
 		fmt.Fprintln(out, "settings: ok")
 	}
-	for _, flt := range part.Faults {
+	for _, flt := range res.Faults {
 		fmt.Fprintf(out, "settings: --%s (%s): %s\n", flt.Flag, flt.Variable, flt.Message)
 	}
 }
--- a/cmd/laburnumvane/config.go
+++ b/cmd/laburnumvane/config.go
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// configAt reads a revision of a team's document; 0 means the one in force.
+// configAt reads a revision of a team's document; revision 0 means the one in force.
 func configAt(ctx context.Context, cmd *cli.Command, opr *client.Operator, rev uint64) (wire.ConfigReply, error) {
 	team := cmd.String("team")
 	if rev == 0 {
@@ -99,7 +99,8 @@
 	return wire.ConfigReply{Team: team, Revision: ent.Revision, ChangeID: ent.ChangeID, Document: ent.Document}, nil
 }
 
-// entryAt finds a revision whose document the history still holds.
+// entryAt returns the history entry of a revision. It fails if the history has no such entry or no
+// longer holds its document.
 func entryAt(op string, hist wire.HistoryReply, rev uint64) (wire.HistoryEntry, error) {
 	for _, ent := range hist.Entries {
 		if ent.Revision != rev {
@@ -113,26 +114,25 @@
 	return wire.HistoryEntry{}, &Error{Op: op, Kind: KindFailure, Msg: fmt.Sprintf("the history holds no revision %d", rev)}
 }
 
-// printChange prints what became of a change, and ends the command with the
-// code that goes with it.
-func printChange(cmd *cli.Command, offered json.RawMessage, rep wire.ChangeReply) error {
+// printChange prints the result of a change and returns the error whose exit code matches it.
+func printChange(cmd *cli.Command, submitted json.RawMessage, rep wire.ChangeReply) error {
 	if cmd.Bool("json") {
 		if err := printJSON(cmd, rep); err != nil {
 			return err
 		}
-	} else if err := printChangeText(cmd, offered, rep); err != nil {
+	} else if err := printChangeText(cmd, submitted, rep); err != nil {
 		return failure(cmd.FullName(), err)
 	}
 	switch rep.Result {
 	case wire.ChangeConflict, wire.ChangeRefused:
-		return silent(cmd.FullName(), KindNotAccepted)
+		return silentError(cmd.FullName(), KindNotAccepted)
 	case wire.ChangeUnknown:
-		return silent(cmd.FullName(), KindUnknown)
+		return silentError(cmd.FullName(), KindUnknown)
 	}
 	return nil
 }
 
-func printChangeText(cmd *cli.Command, offered json.RawMessage, rep wire.ChangeReply) error {
+func printChangeText(cmd *cli.Command, submitted json.RawMessage, rep wire.ChangeReply) error {
 	out := cmd.Root().Writer
 	tbl := newTable(out)
 	tbl.row("result", string(rep.Result))
@@ -150,17 +150,17 @@
 	case rep.Result == wire.ChangeUnknown:
 		fmt.Fprintf(out, "\nAsk later: laburnumvane config status %s\n", rep.ChangeID)
 	case rep.Result == wire.ChangeConflict && rep.Current != nil:
-		return printConflict(out, offered, *rep.Current)
+		return printConflict(out, submitted, *rep.Current)
 	}
 	return nil
 }
 
-// printConflict shows where the offered document would change what is in force
-// now: documents can be long, and the operator knows one of the two.
-func printConflict(out io.Writer, offered json.RawMessage, current wire.ConfigReply) error {
-	text, err := unified(
-		side{label: fmt.Sprintf("revision %d", current.Revision), text: indented(current.Document)},
-		side{label: "offered", text: indented(offered)},
+// printConflict prints the difference between the document in force and the submitted one. It
+// prints no whole document: documents can be long, and the operator knows the submitted one.
+func printConflict(out io.Writer, submitted json.RawMessage, current wire.ConfigReply) error {
+	text, err := unifiedDiff(
+		diffDoc{label: fmt.Sprintf("revision %d", current.Revision), text: indented(current.Document)},
+		diffDoc{label: "offered", text: indented(submitted)},
 	)
 	if err != nil {
 		return err
@@ -174,8 +174,8 @@
 	return nil
 }
 
-// indented gives a document in a form that two documents can be compared in:
-// keys sorted, numbers as they were written, one value a line.
+// indented formats a document so that two documents can be compared line by line: sorted keys,
+// numbers as written, one value per line. A document that is not JSON is returned unchanged.
 func indented(doc json.RawMessage) string {
 	val, err := decodeAny(doc)
 	if err != nil {
--- a/cmd/laburnumvane/config_diff.go
+++ b/cmd/laburnumvane/config_diff.go
@@ -53,18 +53,18 @@
 	}
 }
 
-// side is one of the two documents of a diff.
-type side struct {
+// diffDoc is one of the two documents that a diff compares, in normalised form.
+type diffDoc struct {
 	label string
 	text  string
 }
 
 func configDiffAction(ctx context.Context, cmd *cli.Command) error {
-	from, to, err := diffSides(ctx, cmd)
+	from, to, err := diffDocs(ctx, cmd)
 	if err != nil {
 		return err
 	}
-	text, err := unified(from, to)
+	text, err := unifiedDiff(from, to)
 	if err != nil {
 		return failure(cmd.FullName(), err)
 	}
@@ -73,13 +73,13 @@
 		return err
 	}
 	if cmd.Bool("exit-code") && !rep.Same {
-		return silent(cmd.FullName(), KindFailure)
+		return silentError(cmd.FullName(), KindFailure)
 	}
 	return nil
 }
 
-// unified is the difference of two documents, or "".
-func unified(from, to side) (string, error) {
+// unifiedDiff returns the difference of two documents as a unified diff, or "" if they are equal.
+func unifiedDiff(from, to diffDoc) (string, error) {
 	return difflib.GetUnifiedDiffString(difflib.UnifiedDiff{
 		A: difflib.SplitLines(from.text), FromFile: from.label,
 		B: difflib.SplitLines(to.text), ToFile: to.label,
@@ -99,7 +99,7 @@
 	return nil
 }
 
-func diffSides(ctx context.Context, cmd *cli.Command) (from, to side, err error) {
+func diffDocs(ctx context.Context, cmd *cli.Command) (from, to diffDoc, err error) {
 	op := cmd.FullName()
 	if cmd.Args().Len() > 1 {
 		return from, to, usageError(op, "takes one FILE, and got %d", cmd.Args().Len())
@@ -115,37 +115,37 @@
 	if err != nil {
 		return from, to, err
 	}
-	if from, err = revisionSide(ctx, cmd, opr, cmd.Uint64("from")); err != nil {
+	if from, err = revisionDoc(ctx, cmd, opr, cmd.Uint64("from")); err != nil {
 		return from, to, err
 	}
 	if file == "" {
-		to, err = revisionSide(ctx, cmd, opr, cmd.Uint64("to"))
+		to, err = revisionDoc(ctx, cmd, opr, cmd.Uint64("to"))
 		return from, to, err
 	}
-	to, err = fileSide(cmd, file)
+	to, err = fileDoc(cmd, file)
 	return from, to, err
 }
 
-func revisionSide(ctx context.Context, cmd *cli.Command, opr *client.Operator, rev uint64) (side, error) {
+func revisionDoc(ctx context.Context, cmd *cli.Command, opr *client.Operator, rev uint64) (diffDoc, error) {
 	cfg, err := configAt(ctx, cmd, opr, rev)
 	if err != nil {
-		return side{}, err
+		return diffDoc{}, err
 	}
-	return side{label: fmt.Sprintf("revision %d", cfg.Revision), text: indented(cfg.Document)}, nil
+	return diffDoc{label: fmt.Sprintf("revision %d", cfg.Revision), text: indented(cfg.Document)}, nil
 }
 
-func fileSide(cmd *cli.Command, file string) (side, error) {
+func fileDoc(cmd *cli.Command, file string) (diffDoc, error) {
 	raw, err := readInput(cmd, file)
 	if err != nil {
-		return side{}, err
+		return diffDoc{}, err
 	}
 	if _, err := decodeAny(raw); err != nil {
-		return side{}, &Error{Op: cmd.FullName(), Kind: KindUsage, Msg: file, Err: err}
+		return diffDoc{}, &Error{Op: cmd.FullName(), Kind: KindUsage, Msg: file, Err: err}
 	}
-	return side{label: file, text: indented(raw)}, nil
+	return diffDoc{label: file, text: indented(raw)}, nil
 }
 
-// decodeAny reads exactly one JSON value and keeps its numbers as written.
+// decodeAny decodes exactly one JSON value and keeps its numbers as written.
 func decodeAny(raw []byte) (any, error) {
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.UseNumber()
--- a/cmd/laburnumvane/config_set.go
+++ b/cmd/laburnumvane/config_set.go
@@ -17,8 +17,8 @@
 
 const (
 	changeIDBytes = 16
-	// changeTimeout outlasts a VM's own patience with a slow key-value service,
-	// so that the VM's word on the change comes through.
+	// changeTimeout is longer than a VM's own time-out for a slow key-value service, so that the
+	// client still receives the VM's reply about the change.
 	changeTimeout = time.Minute
 )
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// changeFlags are those of every command that makes a change.
+// changeFlags returns the flags of all commands that submit a change.
 func changeFlags() []cli.Flag {
 	return operatorFlagsWithin(
 		changeTimeout,
@@ -87,19 +87,19 @@
 			return faultsError(cmd, name, err)
 		}
 	}
-	return offer(ctx, cmd, raw)
+	return submitChange(ctx, cmd, raw)
 }
 
-// offer sends a document as a change made from --if-revision, or else from the
-// revision in force.
-func offer(ctx context.Context, cmd *cli.Command, doc json.RawMessage) error {
+// submitChange submits a document as a change based on --if-revision or, without that flag, on
+// the revision in force.
+func submitChange(ctx context.Context, cmd *cli.Command, doc json.RawMessage) error {
 	opr, err := operatorOf(cmd)
 	if err != nil {
 		return err
 	}
 	rev := cmd.Uint64("if-revision")
 	if !cmd.IsSet("if-revision") {
-		if rev, err = revisionInForce(ctx, cmd, opr); err != nil {
+		if rev, err = currentRevision(ctx, cmd, opr); err != nil {
 			return err
 		}
 	}
@@ -112,12 +112,12 @@
 		ID: id, Actor: cmd.String("actor"),
 	})
 	if err != nil {
-		return changeLost(cmd, id, err)
+		return unknownChangeError(cmd, id, err)
 	}
 	return printChange(cmd, doc, rep)
 }
 
-func revisionInForce(ctx context.Context, cmd *cli.Command, opr *client.Operator) (uint64, error) {
+func currentRevision(ctx context.Context, cmd *cli.Command, opr *client.Operator) (uint64, error) {
 	cfg, err := opr.Config(ctx, cmd.String("team"))
 	if client.KindOf(err) == client.KindNotFound {
 		return 0, nil
@@ -125,17 +125,18 @@
 	return cfg.Revision, err
 }
 
-// newChangeID is chosen here and not by the VM, so that a change whose reply is
-// lost can still be asked about.
+// newChangeID returns a random change id. The client chooses the id, not the VM, so that the status
+// of a change can be queried even if its reply was lost.
 func newChangeID() string {
 	raw := make([]byte, changeIDBytes)
-	// Read never fails: the program would end.
+	// Read never returns an error: it crashes the program instead.
 	_, _ = rand.Read(raw)
 	return hex.EncodeToString(raw)
 }
 
-// changeLost adds to an error in doubt how to settle it.
-func changeLost(cmd *cli.Command, id string, err error) error {
+// unknownChangeError adds to an error of kind unknown how to find out whether the change was
+// accepted. Other errors are returned unchanged.
+func unknownChangeError(cmd *cli.Command, id string, err error) error {
 	if client.KindOf(err) != client.KindUnknown {
 		return err
 	}
@@ -145,7 +146,8 @@
 	}
 }
 
-// faultsError lists every fault of a document, one a line.
+// faultsError prints every fault of a document on standard error, one per line, and returns the
+// error that ends the command.
 func faultsError(cmd *cli.Command, file string, err error) error {
 	flts := team.Faults(err)
 	for _, flt := range flts {
@@ -197,5 +199,5 @@
 	if cfg, err = configAt(ctx, cmd, opr, cmd.Uint64("to")); err != nil {
 		return err
 	}
-	return offer(ctx, cmd, cfg.Document)
+	return submitChange(ctx, cmd, cfg.Document)
 }
--- a/cmd/laburnumvane/config_status.go
+++ b/cmd/laburnumvane/config_status.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return changeStatusError(cmd, cs)
+	return notInForceError(cmd, cs)
 }
 
 func printChangeStatus(cmd *cli.Command, cs wire.ChangeStatus) {
@@ -75,18 +75,18 @@
 	tbl.flush()
 }
 
-func changeStatusError(cmd *cli.Command, cs wire.ChangeStatus) error {
+func notInForceError(cmd *cli.Command, cs wire.ChangeStatus) error {
 	if !cs.Known {
-		return silent(cmd.FullName(), KindUnknown)
+		return silentError(cmd.FullName(), KindUnknown)
 	}
 	if inForce, vms := countInForce(cs); inForce < vms || anyUnreachable(cs) {
-		return silent(cmd.FullName(), KindFailure)
+		return silentError(cmd.FullName(), KindFailure)
 	}
 	return nil
 }
 
-// countInForce sums up the data centres; the rows of single VMs may leave out
-// those of a data centre that did not answer.
+// countInForce adds up the counts of the data centres. It does not count the entries of single VMs,
+// which may lack those of a data centre that did not answer.
 func countInForce(cs wire.ChangeStatus) (inForce, vms int) {
 	for _, dc := range cs.DataCentres {
 		inForce += dc.InForce
--- a/cmd/laburnumvane/demo.go
+++ b/cmd/laburnumvane/demo.go
@@ -64,7 +64,7 @@
 	if err := noArgs(cmd); err != nil {
 		return err
 	}
-	rg, err := demoRegisterOf(cmd.String("register"))
+	rg, err := loadDemoRegister(cmd.String("register"))
 	if err != nil {
 		return failure(cmd.FullName(), err)
 	}
@@ -82,13 +82,13 @@
 		return failure(cmd.FullName(), err)
 	}
 	if cmd.Bool("stay") {
-		de.invite()
+		de.printNextSteps()
 		<-ctx.Done()
 	}
 	return nil
 }
 
-func demoRegisterOf(path string) (*emul.Register, error) {
+func loadDemoRegister(path string) (*emul.Register, error) {
 	if path == "" {
 		return emul.SampleRegister(demoRegister, demoSeed, demoMembers)
 	}
--- a/cmd/laburnumvane/demo_steps.go
+++ b/cmd/laburnumvane/demo_steps.go
@@ -19,17 +19,17 @@
 type demo struct {
 	st  *site.Site
 	out io.Writer
-	// first is a member that is there, to be looked for.
-	first wire.Hit
+	// member is an existing member of the register, which the steps search for.
+	member wire.Hit
 }
 
 func (de *demo) run(ctx context.Context) error {
 	if err := de.st.WaitReady(ctx); err != nil {
 		return err
 	}
-	de.say("three VMs are up, over a register of %d shards", de.st.Fleet().Current().Shards)
+	de.printf("three VMs are up, over a register of %d shards", de.st.Fleet().Current().Shards)
 	for _, step := range []func(context.Context) error{
-		de.find, de.kiosk, de.lostShard, de.renewal, de.changeWhileSearching,
+		de.findMember, de.kiosk, de.lostShard, de.renewal, de.changeWhileSearching,
 	} {
 		if err := step(ctx); err != nil {
 			return err
@@ -38,7 +38,7 @@
 	return nil
 }
 
-func (de *demo) say(format string, args ...any) {
+func (de *demo) printf(format string, args ...any) {
 	fmt.Fprintf(de.out, format+"\n", args...)
 }
 
@@ -59,9 +59,9 @@
 	return ca.Search(ctx, rq)
 }
 
-// find takes any member of the register, so that the demonstration also works
-// with a register of somebody's own.
-func (de *demo) find(ctx context.Context) error {
+// findMember picks any member of the register, so that the demonstration also works with a register
+// that the user supplies.
+func (de *demo) findMember(ctx context.Context) error {
 	an, err := de.search(ctx, 0, wire.SearchRequest{Search: "history", Query: json.RawMessage(`{}`)})
 	if err != nil {
 		return err
@@ -69,17 +69,17 @@
 	if len(an.Hits) == 0 {
 		return errors.Errorf("the register answers nothing: %s %s", an.Outcome, an.Reason)
 	}
-	de.first = an.Hits[0]
+	de.member = an.Hits[0]
 	return nil
 }
 
-// query asks for the found member by plate, where it has one.
+// query returns a query for the chosen member, by plate if it has one and by member id otherwise.
 func (de *demo) query() json.RawMessage {
 	var fields struct {
 		Plate string `json:"plate"`
 	}
-	field, value := "member", de.first.Member
-	if json.Unmarshal(de.first.Fields, &fields) == nil && fields.Plate != "" {
+	field, value := "member", de.member.Member
+	if json.Unmarshal(de.member.Fields, &fields) == nil && fields.Plate != "" {
 		field, value = "plate", fields.Plate
 	}
 	raw, err := json.Marshal(map[string]string{field: value})
@@ -95,12 +95,12 @@
 	if err != nil {
 		return err
 	}
-	de.say("\nA kiosk looks up %s:", de.query())
-	de.show(an)
+	de.printf("\nA kiosk looks up %s:", de.query())
+	de.printAnswer(an)
 	return nil
 }
 
-// lostShard crashes all three servers of a shard and brings them back.
+// lostShard crashes all three servers of a shard, searches, and restarts the servers.
 func (de *demo) lostShard(ctx context.Context) error {
 	replicas := de.st.Fleet().Replicas(0)
 	for _, sv := range replicas {
@@ -110,8 +110,8 @@
 	if err != nil {
 		return err
 	}
-	de.say("\nA history search while all servers of one shard are down:")
-	de.show(an)
+	de.printf("\nA history search while all servers of one shard are down:")
+	de.printAnswer(an)
 	for _, sv := range replicas {
 		if err := sv.Upstream.Restart(wire.UpstreamServing); err != nil {
 			return err
@@ -120,8 +120,8 @@
 	return de.st.WaitReady(ctx)
 }
 
-// renewal sends one request twice, the second time to another VM, as a client
-// would that never saw the first answer.
+// renewal sends one request twice, the second time to another VM, as a client does that did not
+// receive the first answer.
 func (de *demo) renewal(ctx context.Context) error {
 	ca, err := de.caller(0)
 	if err != nil {
@@ -138,14 +138,14 @@
 		if err != nil {
 			return err
 		}
-		de.say("\nA renewal that must not be repeated, attempt %d, on VM %d:", i+1, vm+1)
-		de.show(an)
+		de.printf("\nA renewal that must not be repeated, attempt %d, on VM %d:", i+1, vm+1)
+		de.printAnswer(an)
 	}
-	de.say("  the upstreams ran %d sub-requests for both attempts together", de.st.Fleet().Runs()-before)
+	de.printf("  the upstreams ran %d sub-requests for both attempts together", de.st.Fleet().Runs()-before)
 	return nil
 }
 
-// changeWhileSearching changes the limit of hits while kiosk searches run.
+// changeWhileSearching changes the hit limit while kiosk searches run.
 func (de *demo) changeWhileSearching(ctx context.Context) error {
 	searching, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -157,21 +157,21 @@
 			counts[vm] = de.searchUntil(searching, vm)
 		}()
 	}
-	begun := time.Now()
+	start := time.Now()
 	reply, err := de.change(ctx)
 	if err == nil {
 		err = de.waitInForce(ctx, reply)
 	}
-	took := time.Since(begun)
+	took := time.Since(start)
 	stop()
 	wg.Wait()
 	if err != nil {
 		return err
 	}
-	de.say("\nA change of configuration while searches run:")
-	de.say("  change %s: %s as revision %d, in force on all VMs after %d ms", reply.ChangeID, reply.Result, reply.Revision, took.Milliseconds())
+	de.printf("\nA change of configuration while searches run:")
+	de.printf("  change %s: %s as revision %d, in force on all VMs after %d ms", reply.ChangeID, reply.Result, reply.Revision, took.Milliseconds())
 	for vm, count := range counts {
-		de.say("  VM %d answered meanwhile: %s", vm+1, outcomes(count))
+		de.printf("  VM %d answered meanwhile: %s", vm+1, formatOutcomes(count))
 	}
 	return nil
 }
@@ -194,7 +194,7 @@
 	if err != nil {
 		return wire.ChangeReply{}, err
 	}
-	held, err := op.Config(ctx, demoTeam)
+	current, err := op.Config(ctx, demoTeam)
 	if err != nil {
 		return wire.ChangeReply{}, err
 	}
@@ -206,10 +206,10 @@
 	if err != nil {
 		return wire.ChangeReply{}, err
 	}
-	return op.SetConfig(ctx, client.Change{Team: demoTeam, Document: raw, IfRevision: held.Revision})
+	return op.SetConfig(ctx, client.Change{Team: demoTeam, Document: raw, IfRevision: current.Revision})
 }
 
-// waitInForce waits until every VM says that it has the change.
+// waitInForce waits until every VM reports the change's revision or a later one.
 func (de *demo) waitInForce(ctx context.Context, reply wire.ChangeReply) error {
 	if reply.Result != wire.ChangeAccepted {
 		return errors.Errorf("the change was not accepted: %s %s", reply.Result, reply.Message)
--- a/cmd/laburnumvane/emulate.go
+++ b/cmd/laburnumvane/emulate.go
@@ -23,10 +23,10 @@
 	emulateServices    = 6
 	maxEmulatedVMs     = 50
 	maxPort            = 65_535
-	// portFirstVM, counted from the first port, is the first VM's callers'
-	// listener; operators and other VMs follow it.
+	// portFirstVM is the offset from the first port to the callers' listener of the first VM. The
+	// ports of its operators' and inner listeners follow.
 	portFirstVM = 100
-	portsOfVM   = 10
+	portsPerVM  = 10
 )
 
 func emulateCommand() *cli.Command {
@@ -86,7 +86,7 @@
 	if err := checkEmulate(cmd); err != nil {
 		return err
 	}
-	rg, err := demoRegisterOf(cmd.String("register"))
+	rg, err := loadDemoRegister(cmd.String("register"))
 	if err != nil {
 		return failure(cmd.FullName(), err)
 	}
@@ -135,7 +135,7 @@
 		}
 	}
 	port := cmd.Int("port")
-	last := port + portFirstVM + vms*portsOfVM
+	last := port + portFirstVM + vms*portsPerVM
 	if port < 0 || last > maxPort {
 		return usageError(op, "--port %d leaves no room for the ports up to %d", port, last)
 	}
@@ -162,13 +162,13 @@
 
 func emulateDataCentres() []string { return []string{"east", "west"} }
 
-// plannedVM is a VM that is on the list and that somebody else starts.
+// plannedVM is a VM that is on the VM list and is to be started as a separate process.
 type plannedVM struct {
 	DataCentre string `json:"dataCentre"`
 	Caller     string `json:"caller"`
 	Operator   string `json:"operator"`
 	Inner      string `json:"inner"`
-	// Serve is the line that starts it.
+	// Serve is the command line that starts the VM.
 	Serve string `json:"serve"`
 }
 
@@ -185,14 +185,14 @@
 	return vms, nil
 }
 
-// addrsOfVM gives three addresses. Free ports are found by listening for a
-// moment on all three, so that they differ; whoever is quick may still take one
-// before the VM does, which then says so.
+// addrsOfVM returns the addresses of a VM's three listeners. If port is 0, it finds free ports by
+// listening on all three at once, so that they differ, and closing them again. Another process may
+// take such a port before the VM does; the VM then reports the conflict when it starts.
 func addrsOfVM(port, vm int) ([]string, error) {
 	addrs := make([]string, 3)
 	for i := range addrs {
 		if port != 0 {
-			addrs[i] = fmt.Sprintf("127.0.0.1:%d", port+portFirstVM+vm*portsOfVM+i)
+			addrs[i] = fmt.Sprintf("127.0.0.1:%d", port+portFirstVM+vm*portsPerVM+i)
 			continue
 		}
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -205,7 +205,7 @@
 	return addrs, nil
 }
 
-func (vm plannedVM) serveLine(sg *emul.Stage) string {
+func (vm plannedVM) serveCommandLine(sg *emul.Stage) string {
 	return fmt.Sprintf("laburnumvane serve --data-centre %s --region %s --kv %s --vm-list %s --caller-addr %s --operator-addr %s --inner-addr %s",
 		vm.DataCentre, emulateRegion, sg.KV().Addr(), sg.VMs().Addr(), vm.Caller, vm.Operator, vm.Inner)
 }
--- a/cmd/laburnumvane/emulate_show.go
+++ b/cmd/laburnumvane/emulate_show.go
@@ -19,7 +19,7 @@
 
 const firstWriteTimeout = 5 * time.Second
 
-// stageOutput is what scripts read.
+// stageOutput is what emulate prints with --json.
 type stageOutput struct {
 	emul.StageReply
 
@@ -29,7 +29,7 @@
 
 func printStage(cmd *cli.Command, sg *emul.Stage, vms []plannedVM) error {
 	for i := range vms {
-		vms[i].Serve = vms[i].serveLine(sg)
+		vms[i].Serve = vms[i].serveCommandLine(sg)
 	}
 	if cmd.Bool("json") {
 		return printJSON(cmd, stageOutput{StageReply: sg.Describe(), Team: demoTeam, Plan: vms})
@@ -70,7 +70,7 @@
 	tbl.flush()
 }
 
-// firstDocument is the team's configuration over the servers of a stage.
+// firstDocument returns the team's first configuration, which covers all servers of the stage.
 func firstDocument(sg *emul.Stage, slots int) team.Document {
 	register := sg.Fleet().Current().Register
 	searches := demoSearches()
@@ -92,7 +92,7 @@
 	}
 }
 
-// writeFirstConfig puts the first configuration where operators' changes go too.
+// writeFirstConfig writes the first configuration to the key that also holds operators' changes.
 func writeFirstConfig(ctx context.Context, sg *emul.Stage, slots int) error {
 	raw, err := json.Marshal(firstDocument(sg, slots))
 	if err != nil {
--- a/cmd/laburnumvane/exit.go
+++ b/cmd/laburnumvane/exit.go
@@ -17,7 +17,7 @@
 	exitUnknown     = 4
 )
 
-// Kind says which exit code an error ends in.
+// Kind classifies an error and determines the exit code.
 type Kind string
 
 // Kinds of errors.
@@ -28,7 +28,7 @@
 	KindUnknown     Kind = "unknown"
 )
 
-// Error is what a command ends with when it has not done what it was asked.
+// Error is the error of a command that failed or whose result needs a non-zero exit code.
 type Error struct {
 	Op   string
 	Kind Kind
@@ -36,8 +36,8 @@
 	Err  error
 }
 
-// Error gives operation and fault; it is empty where the command has printed
-// the outcome itself and only the exit code is left to say.
+// Error returns the operation and the fault. It returns "" if the command has already printed the
+// outcome and only the exit code remains to be set.
 func (e *Error) Error() string {
 	if e.Msg == "" && e.Err == nil {
 		return ""
@@ -52,7 +52,7 @@
 	return msg
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error {
 	return e.Err
 }
@@ -65,12 +65,13 @@
 	return &Error{Op: op, Kind: KindFailure, Err: err}
 }
 
-// silent ends a command with a code where its output has said why already.
-func silent(op string, kind Kind) error {
+// silentError returns an error without a message, which only sets the exit code. It is for commands
+// whose output already states the reason.
+func silentError(op string, kind Kind) error {
 	return &Error{Op: op, Kind: kind}
 }
 
-// exitCode gives the code for an error of a command that was started.
+// exitCode returns the exit code for an error of a command whose action was started.
 func exitCode(err error) int {
 	if err == nil {
 		return exitOK
--- a/cmd/laburnumvane/flags.go
+++ b/cmd/laburnumvane/flags.go
@@ -12,13 +12,13 @@
 	"laburnumvane/io/setup"
 )
 
-// Where a VM on the same machine listens unless told otherwise.
+// Default addresses of a VM on the same machine.
 const (
 	defaultCallerURL   = "http://" + setup.DefaultCallerAddr
 	defaultOperatorURL = "http://" + setup.DefaultOperatorAddr
 )
 
-// maxInput bounds what a command reads from a file or from standard input.
+// maxInput is the most bytes that a command reads from a file or from standard input.
 const maxInput = 16 << 20
 
 func jsonFlag() cli.Flag {
@@ -30,7 +30,8 @@
 		Name: "team", Aliases: []string{"t"}, Required: true,
 		Usage:   "the team's `NAME`",
 		Sources: cli.EnvVars("LABURNUMVANE_TEAM"),
-		// The library takes a variable that is set to nothing for a team given.
+		// The library counts an empty environment variable as a value, so that Required does not
+		// reject it.
 		Validator: func(name string) error {
 			if name == "" {
 				return errors.New("a team's name is needed")
@@ -56,7 +57,7 @@
 	}
 }
 
-// callerFlags are those of every command that speaks to the callers' listener.
+// callerFlags returns the flags of all commands that connect to the callers' listener.
 func callerFlags(more ...cli.Flag) []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{
@@ -68,8 +69,7 @@
 	}, more...)
 }
 
-// operatorFlags are those of every command that speaks to the operators'
-// listener.
+// operatorFlags returns the flags of all commands that connect to the operators' listener.
 func operatorFlags(more ...cli.Flag) []cli.Flag {
 	return operatorFlagsWithin(client.DefaultTimeout, more...)
 }
@@ -97,7 +97,7 @@
 	})
 }
 
-// readInput reads a file, or standard input where the name is "-".
+// readInput reads a file, or standard input if the name is "-". Input above maxInput is an error.
 func readInput(cmd *cli.Command, name string) ([]byte, error) {
 	src := cmd.Root().Reader
 	if name != "-" {
@@ -118,7 +118,7 @@
 	return raw, nil
 }
 
-// oneArg gives the only argument of a command that takes exactly one.
+// oneArg returns the argument of a command that takes exactly one; what names it in the error.
 func oneArg(cmd *cli.Command, what string) (string, error) {
 	if cmd.Args().Len() != 1 {
 		return "", usageError(cmd.FullName(), "wants one argument, %s, and got %d", what, cmd.Args().Len())
@@ -126,7 +126,7 @@
 	return cmd.Args().First(), nil
 }
 
-// noArgs refuses arguments, which are otherwise dropped in silence.
+// noArgs rejects arguments, which the library would otherwise ignore.
 func noArgs(cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return usageError(cmd.FullName(), "takes no argument, and got %s", cmd.Args().First())
--- a/cmd/laburnumvane/gateway.go
+++ b/cmd/laburnumvane/gateway.go
@@ -19,12 +19,13 @@
 )
 
 const (
-	// memoryShare is the part of the platform's memory limit at which the
-	// runtime collects garbage harder: beyond the limit the process is killed.
+	// memoryShare is the runtime's soft memory limit as a share of the platform's memory limit.
+	// Above the soft limit garbage collection runs more often; above the platform's limit the
+	// process is killed.
 	memoryShare = 0.75
-	// settingsPoll is how often the settings file is looked at, for it may
-	// change without a signal.
-	settingsPoll = 2 * time.Second
+	// settingsPollInterval is the time between two reads of the settings file, which may change
+	// without a signal.
+	settingsPollInterval = 2 * time.Second
 )
 
 func gatewayCommand() *cli.Command {
@@ -89,8 +90,8 @@
 		return &Error{Op: op, Kind: KindUsage, Err: err}
 	}
 	debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
-	// The signals are taken before anything is started, so that one that comes
-	// during the boot still stops the VM as planned.
+	// The signal handlers are installed before anything is started, so that a signal during
+	// start-up still causes a planned stop.
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	hup := make(chan os.Signal, 1)
@@ -103,17 +104,17 @@
 	if err != nil {
 		return &Error{Op: op, Kind: KindFailure, Err: err}
 	}
-	re := reloader{path: path, port: cmd.Int("metrics-port"), eg: eg, log: lo}
-	re.text, _ = os.ReadFile(path)
-	re.run(ctx, stop, hup)
+	sr := settingsReloader{path: path, port: cmd.Int("metrics-port"), eg: eg, log: lo}
+	sr.text, _ = os.ReadFile(path)
+	sr.run(ctx, stop, hup)
 	if err := eg.Stop(); err != nil {
 		return &Error{Op: op, Kind: KindFailure, Err: err}
 	}
 	return nil
 }
 
-// queuedLogger writes JSON lines to standard output; whoever logs never waits
-// for it.
+// queuedLogger returns a logger that writes JSON lines to standard output through a queue, so that
+// logging never blocks, and a function that closes the queue.
 func queuedLogger(level string) (*log.Logger, func()) {
 	lo := newLogger(os.Stdout, level)
 	qu := lines.New(lines.Config{Writer: lo.Writer})
@@ -121,8 +122,8 @@
 	return lo, qu.Close
 }
 
-// reloader looks after the settings file.
-type reloader struct {
+// settingsReloader applies changes of the settings file to a running edge.
+type settingsReloader struct {
 	path string
 	port int
 	text []byte
@@ -130,9 +131,9 @@
 	log  *log.Logger
 }
 
-// run returns when the process shall stop.
-func (re *reloader) run(ctx context.Context, stop, hup <-chan os.Signal) {
-	tk := time.NewTicker(settingsPoll)
+// run checks the file on SIGHUP and at every poll interval. It returns when the process is to stop.
+func (sr *settingsReloader) run(ctx context.Context, stop, hup <-chan os.Signal) {
+	tk := time.NewTicker(settingsPollInterval)
 	defer tk.Stop()
 	for {
 		select {
@@ -143,22 +144,22 @@
 		case <-hup:
 		case <-tk.C:
 		}
-		re.look()
+		sr.reloadIfChanged()
 	}
 }
 
-// look takes a changed file. One that cannot be read changes nothing: it may be
-// half written, and is looked at again.
-func (re *reloader) look() {
-	text, err := os.ReadFile(re.path)
-	if err != nil || bytes.Equal(text, re.text) {
+// reloadIfChanged applies the settings file if its text has changed. If the file cannot be read or
+// parsed, the current settings stay and the next poll tries again: the file may be half written.
+func (sr *settingsReloader) reloadIfChanged() {
+	text, err := os.ReadFile(sr.path)
+	if err != nil || bytes.Equal(text, sr.text) {
 		return
 	}
 	set, err := platform.ParseSettings(text)
 	if err != nil {
-		re.log.Warn().Err(err).Msg("settings file cannot be read, the former settings stay")
+		sr.log.Warn().Err(err).Msg("settings file cannot be read, the former settings stay")
 		return
 	}
-	re.text = text
-	re.eg.Reload(set.EdgeSettings(re.port))
+	sr.text = text
+	sr.eg.Reload(set.EdgeSettings(sr.port))
 }
--- a/cmd/laburnumvane/load.go
+++ b/cmd/laburnumvane/load.go
@@ -101,12 +101,12 @@
 		return err
 	}
 	if rep.Latency.TotalCount() == 0 {
-		return silent(cmd.FullName(), KindFailure)
+		return silentError(cmd.FullName(), KindFailure)
 	}
 	return nil
 }
 
-// loadRequests checks what is sent.
+// loadRequests returns the generator of the requests to send. It checks the flags that define them.
 func loadRequests(cmd *cli.Command) (emul.RequestMaker, error) {
 	op := cmd.FullName()
 	team, search, deadline := cmd.String("team"), cmd.String("search"), cmd.Duration("deadline")
@@ -132,7 +132,7 @@
 	}, nil
 }
 
-// loadReport is the report of a load as JSON.
+// loadReport is what load prints with --json.
 type loadReport struct {
 	Arrivals  uint64                  `json:"arrivals"`
 	Dropped   uint64                  `json:"dropped"`
--- a/cmd/laburnumvane/load_test.go
+++ b/cmd/laburnumvane/load_test.go
@@ -18,7 +18,7 @@
 	"laburnumvane/io/wire"
 )
 
-// loadSite is two VMs with the sample register of the demonstration.
+// loadSite starts two VMs with the demo's sample register and returns their callers' addresses.
 func loadSite(t *testing.T) []string {
 	t.Helper()
 	is := is.New(t)
@@ -66,7 +66,7 @@
 	is.True(rep.LatencyMs.P50 > 0 && rep.LatencyMs.P50 <= rep.LatencyMs.Max)
 
 	code, out, _ = runLoad(t, append(append(bounds, "--search", "none"), addrs[0])...)
-	is.Equal(code, exitOK) // it was answered, though not with what was wanted
+	is.Equal(code, exitOK) // "not run" is an answer too
 	for _, want := range []string{"notRun ", "reason unknownSearch", "latency ", "lag "} {
 		is.True(strings.Contains(out, want))
 	}
@@ -77,25 +77,25 @@
 		name string
 		args []string
 		code int
-		says string
+		want string
 	}{
-		{"no target", nil, exitUsage, "no targets"},
-		{"another machine", []string{"192.0.2.1:80"}, exitUsage, "not a loopback address"},
-		{"by name", []string{"localhost:80"}, exitUsage, "not a loopback address"},
-		{"no rate", []string{"--rate", "0", "127.0.0.1:1"}, exitUsage, "rate"},
-		{"no end", []string{"--for", "48h", "127.0.0.1:1"}, exitUsage, "time"},
-		{"too many", []string{"--count", "100000000", "127.0.0.1:1"}, exitUsage, "count"},
-		{"query", []string{"--query", "{", "127.0.0.1:1"}, exitUsage, "--query is not JSON"},
-		{"deadline", []string{"--deadline", "0s", "127.0.0.1:1"}, exitUsage, "--deadline"},
-		{"members", []string{"--members", "0", "127.0.0.1:1"}, exitUsage, "--members"},
-		{"nobody answers", []string{"--count", "1", "--rate", "1000", "127.0.0.1:1"}, exitFailure, ""},
+		{"no targets", nil, exitUsage, "no targets"},
+		{"address of another machine", []string{"192.0.2.1:80"}, exitUsage, "not a loopback address"},
+		{"host name", []string{"localhost:80"}, exitUsage, "not a loopback address"},
+		{"rate of zero", []string{"--rate", "0", "127.0.0.1:1"}, exitUsage, "rate"},
+		{"duration above the bound", []string{"--for", "48h", "127.0.0.1:1"}, exitUsage, "time"},
+		{"count above the bound", []string{"--count", "100000000", "127.0.0.1:1"}, exitUsage, "count"},
+		{"query is not JSON", []string{"--query", "{", "127.0.0.1:1"}, exitUsage, "--query is not JSON"},
+		{"deadline of zero", []string{"--deadline", "0s", "127.0.0.1:1"}, exitUsage, "--deadline"},
+		{"no members", []string{"--members", "0", "127.0.0.1:1"}, exitUsage, "--members"},
+		{"no VM listens", []string{"--count", "1", "--rate", "1000", "127.0.0.1:1"}, exitFailure, ""},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			code, _, errOut := runLoad(t, tc.args...)
 			is.Equal(code, tc.code)
-			is.True(strings.Contains(errOut, tc.says))
+			is.True(strings.Contains(errOut, tc.want))
 		})
 	}
 }
--- a/cmd/laburnumvane/main.go
+++ b/cmd/laburnumvane/main.go
@@ -1,5 +1,5 @@
 // Command laburnumvane is the query tier and its tools in one program: serve
-// runs an entry VM, the other commands speak to one.
+// runs an entry VM, gateway a VM that routes requests; most other commands connect to a VM.
 //
 // # Usage
 //
@@ -14,7 +14,7 @@
 //	1  failure: no connection, a fault reported, a file that cannot be read
 //	2  usage: wrong flags, arguments, settings or configuration
 //	3  not accepted: a search that did not run, a change that conflicts
-//	4  unknown: it may have run, or may have been taken, and nothing tells
+//	4  unknown: the search may have run, or the change may have been accepted
 package main
 
 import (
@@ -31,14 +31,14 @@
 	os.Exit(run(context.Background(), os.Args, os.Stdin, os.Stdout, os.Stderr))
 }
 
-// run is main without the process around it.
+// run executes the command line args and returns the exit code. Tests call it in place of main.
 func run(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer) int {
 	root := newCommand()
 	root.Reader = in
 	root.Writer = out
 	root.ErrWriter = errOut
 
-	var trk tracker
+	var trk usageTracker
 	trk.track(root)
 	err := root.Run(ctx, args)
 	if err == nil {
@@ -52,8 +52,8 @@
 	return exitCode(err)
 }
 
-// printError names the program once: errors of the commands begin with their
-// full name, those of other packages do not.
+// printError prints an error that begins with the program's name. Errors of the commands already
+// begin with it, those of other packages do not.
 func printError(errOut io.Writer, name string, err error) {
 	msg := err.Error()
 	if msg == "" {
@@ -116,7 +116,7 @@
 	return needSubcommand(cmd)
 }
 
-// needSubcommand is the action of a command that only groups others.
+// needSubcommand is the action of a command that only groups subcommands. It prints their help.
 func needSubcommand(cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return usageError(cmd.FullName(), "no such command: %s", cmd.Args().First())
@@ -124,15 +124,15 @@
 	return cli.ShowSubcommandHelp(cmd)
 }
 
-// tracker tells errors of the command line from errors of what it asked for:
-// whatever fails before an action starts is a usage error. The library has no
-// type for those, and prints the whole help for each unless it is told not to.
-type tracker struct {
+// usageTracker distinguishes usage errors from errors of an action: an error that occurs before an
+// action starts is a usage error. The library has no type for usage errors, and prints the whole
+// help for each one unless OnUsageError is set.
+type usageTracker struct {
 	started bool
 	last    string
 }
 
-func (trk *tracker) track(cmd *cli.Command) {
+func (trk *usageTracker) track(cmd *cli.Command) {
 	if trk.last == "" {
 		trk.last = cmd.Name
 	}
--- a/cmd/laburnumvane/main_test.go
+++ b/cmd/laburnumvane/main_test.go
@@ -35,18 +35,18 @@
 
 func TestSession_Search(t *testing.T) {
 	golden.Check(t, "search", session(t, []step{
-		{args: "search --team wash --search kiosk plate=KX53", replies: []scripted{{status: 200, body: bodyComplete}}},
-		{args: "search --team wash --search kiosk --json --id a1 plate=KX53", replies: []scripted{{status: 200, body: bodyComplete}}},
+		{args: "search --team wash --search kiosk plate=KX53", replies: []scriptedReply{{status: 200, body: bodyComplete}}},
+		{args: "search --team wash --search kiosk --json --id a1 plate=KX53", replies: []scriptedReply{{status: 200, body: bodyComplete}}},
 		{
 			args: "search -t wash -s history --register members --query - --deadline 800ms --min-coverage 0 --token secret",
-			// min-coverage 0 is a wish of its own, not the absence of one.
-			stdin: `{"name":"Ada"}`, replies: []scripted{{status: 200, body: bodyPartial}},
+			// --min-coverage 0 is an explicit value and must be sent.
+			stdin: `{"name":"Ada"}`, replies: []scriptedReply{{status: 200, body: bodyPartial}},
 		},
-		{args: "search -t wash -s history --need-complete name=Ada", replies: []scripted{{status: 200, body: bodyPartial}}},
-		{args: "search -t wash -s settlement month=5", replies: []scripted{{status: 429, body: bodyNotRun}}},
-		{args: "search -t wash -s renew --repeat never --ticket t1 member=m-1", replies: []scripted{{status: 504, body: bodyUnknown}}},
-		{args: "search -t wash -s renew --repeat never --ticket t1 member=m-1", replies: []scripted{{hangUp: true}}},
-		{args: "search -t wash -s kiosk plate=KX53", replies: []scripted{{status: 400, body: `{"error":"no such search","reason":"unknownSearch","path":"search"}`}}},
+		{args: "search -t wash -s history --need-complete name=Ada", replies: []scriptedReply{{status: 200, body: bodyPartial}}},
+		{args: "search -t wash -s settlement month=5", replies: []scriptedReply{{status: 429, body: bodyNotRun}}},
+		{args: "search -t wash -s renew --repeat never --ticket t1 member=m-1", replies: []scriptedReply{{status: 504, body: bodyUnknown}}},
+		{args: "search -t wash -s renew --repeat never --ticket t1 member=m-1", replies: []scriptedReply{{closeConn: true}}},
+		{args: "search -t wash -s kiosk plate=KX53", replies: []scriptedReply{{status: 400, body: `{"error":"no such search","reason":"unknownSearch","path":"search"}`}}},
 		{args: "search -t wash -s kiosk"},
 		{args: "search -t wash -s kiosk plate"},
 		{args: "search -t wash -s kiosk a=1 a=2"},
@@ -64,68 +64,68 @@
 
 func TestSession_Ticket(t *testing.T) {
 	golden.Check(t, "ticket", session(t, []step{
-		{args: "ticket --team wash --count 2", replies: []scripted{{status: 200, body: `{"tickets":["t1","t2"],"expiresMs":30000}`}}},
-		{args: "ticket --team wash --json", replies: []scripted{{status: 200, body: `{"tickets":["t1"],"expiresMs":30000}`}}},
-		{args: "ticket --team wash", replies: []scripted{{status: 503, body: `{"error":"the VM is leaving","reason":"leaving"}`}}},
+		{args: "ticket --team wash --count 2", replies: []scriptedReply{{status: 200, body: `{"tickets":["t1","t2"],"expiresMs":30000}`}}},
+		{args: "ticket --team wash --json", replies: []scriptedReply{{status: 200, body: `{"tickets":["t1"],"expiresMs":30000}`}}},
+		{args: "ticket --team wash", replies: []scriptedReply{{status: 503, body: `{"error":"the VM is leaving","reason":"leaving"}`}}},
 		{args: "ticket --team wash --count 0"},
 		{args: "ticket --team wash two"},
 	}))
 }
 
-// An operator reads, edits, compares and offers a document, another operator is
-// faster once, and the offer that went through is taken back as a new change.
+// An operator reads, compares and submits documents. Some submissions conflict with the change of
+// another operator or fail; a rollback then submits an earlier document as a new change.
 func TestSession_Config(t *testing.T) {
-	cfg := scripted{status: 200, body: bodyConfig12}
-	hist := scripted{status: 200, body: bodyHistory}
+	cfg := scriptedReply{status: 200, body: bodyConfig12}
+	hist := scriptedReply{status: 200, body: bodyHistory}
 	golden.Check(t, "config", session(t, []step{
-		{args: "config get --team wash", replies: []scripted{cfg}},
-		{args: "config get --team wash --json", replies: []scripted{cfg}},
-		{args: "config get --team wash --revision 11", replies: []scripted{hist}},
-		{args: "config get --team wash --revision 10", replies: []scripted{hist}},
-		{args: "config get --team wash --revision 9", replies: []scripted{hist}},
-		{args: "config get --team other", replies: []scripted{{status: 404, body: `{"error":"no configuration","reason":"unknownTeam"}`}}},
-		{args: "config history --team wash", replies: []scripted{hist}},
-		{args: "config diff --team wash --from 11", replies: []scripted{hist, cfg}},
-		{args: "config diff --team wash --from 11 --to 12 --exit-code", replies: []scripted{hist, hist}},
-		{args: "config diff - --team wash", stdin: `{"limits":{"concurrent":20},"team":"wash","version":1}`, replies: []scripted{cfg}},
-		{args: "config diff - --team wash --json", stdin: `{"limits":{"concurrent":30},"team":"wash","version":1}`, replies: []scripted{cfg}},
+		{args: "config get --team wash", replies: []scriptedReply{cfg}},
+		{args: "config get --team wash --json", replies: []scriptedReply{cfg}},
+		{args: "config get --team wash --revision 11", replies: []scriptedReply{hist}},
+		{args: "config get --team wash --revision 10", replies: []scriptedReply{hist}},
+		{args: "config get --team wash --revision 9", replies: []scriptedReply{hist}},
+		{args: "config get --team other", replies: []scriptedReply{{status: 404, body: `{"error":"no configuration","reason":"unknownTeam"}`}}},
+		{args: "config history --team wash", replies: []scriptedReply{hist}},
+		{args: "config diff --team wash --from 11", replies: []scriptedReply{hist, cfg}},
+		{args: "config diff --team wash --from 11 --to 12 --exit-code", replies: []scriptedReply{hist, hist}},
+		{args: "config diff - --team wash", stdin: `{"limits":{"concurrent":20},"team":"wash","version":1}`, replies: []scriptedReply{cfg}},
+		{args: "config diff - --team wash --json", stdin: `{"limits":{"concurrent":30},"team":"wash","version":1}`, replies: []scriptedReply{cfg}},
 		{args: "config diff --team wash"},
 		{args: "config diff a b --team wash"},
 		{args: "config diff a --to 3 --team wash"},
-		{args: "config diff - --team wash", stdin: `{}{}`, replies: []scripted{cfg}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{status: 200, body: bodyAccepted}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12 --dry-run", replies: []scripted{{status: 200, body: `{"result":"dryRun","changeId":""}`}}},
-		{args: "config set testdata/wash.json --team wash", replies: []scripted{cfg, {status: 200, body: bodyAccepted}}},
-		{args: "config set testdata/wash.json --team wash --json", replies: []scripted{{status: 404, body: `{"error":"no configuration","reason":"unknownTeam"}`}, {status: 200, body: bodyAccepted}}},
-		{args: "config set testdata/wash.json --team wash --id c13 --actor ada --if-revision 12", replies: []scripted{{status: 200, body: bodyAccepted}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{status: 412, body: bodyConflict}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{status: 503, body: `{"result":"refused","changeId":"c13","message":"the service is down"}`}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{status: 504, body: `{"result":"unknown","changeId":"c13"}`}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{hangUp: true}}},
-		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scripted{{status: 403, body: `{"error":"the token is another team's","reason":"forbidden"}`}}},
+		{args: "config diff - --team wash", stdin: `{}{}`, replies: []scriptedReply{cfg}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{status: 200, body: bodyAccepted}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12 --dry-run", replies: []scriptedReply{{status: 200, body: `{"result":"dryRun","changeId":""}`}}},
+		{args: "config set testdata/wash.json --team wash", replies: []scriptedReply{cfg, {status: 200, body: bodyAccepted}}},
+		{args: "config set testdata/wash.json --team wash --json", replies: []scriptedReply{{status: 404, body: `{"error":"no configuration","reason":"unknownTeam"}`}, {status: 200, body: bodyAccepted}}},
+		{args: "config set testdata/wash.json --team wash --id c13 --actor ada --if-revision 12", replies: []scriptedReply{{status: 200, body: bodyAccepted}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{status: 412, body: bodyConflict}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{status: 503, body: `{"result":"refused","changeId":"c13","message":"the service is down"}`}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{status: 504, body: `{"result":"unknown","changeId":"c13"}`}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{closeConn: true}}},
+		{args: "config set testdata/wash.json --team wash --if-revision 12", replies: []scriptedReply{{status: 403, body: `{"error":"the token is another team's","reason":"forbidden"}`}}},
 		{args: "config set testdata/wash.json --team hr --if-revision 12"},
 		{args: "config set testdata/faulty.json --team wash"},
 		{
 			args: "config set - --team wash --skip-check --if-revision 12", stdin: `{"version":1}`,
-			replies: []scripted{{status: 412, body: bodyConflict}},
+			replies: []scriptedReply{{status: 412, body: bodyConflict}},
 		},
 		{args: "config set testdata/absent.json --team wash"},
 		{args: "config set - --team wash", stdin: "{"},
 		{args: "config set --team wash"},
-		{args: "config set - --team wash --skip-check --if-revision 0", stdin: `{"version":2}`, replies: []scripted{{status: 400, body: `{"error":"is 2, must be 1","reason":"badConfig","path":"version"}`}}},
-		{args: "config rollback --team wash --to 11", replies: []scripted{hist, cfg, {status: 200, body: bodyAccepted}}},
-		{args: "config rollback --team wash --to 10", replies: []scripted{hist}},
+		{args: "config set - --team wash --skip-check --if-revision 0", stdin: `{"version":2}`, replies: []scriptedReply{{status: 400, body: `{"error":"is 2, must be 1","reason":"badConfig","path":"version"}`}}},
+		{args: "config rollback --team wash --to 11", replies: []scriptedReply{hist, cfg, {status: 200, body: bodyAccepted}}},
+		{args: "config rollback --team wash --to 10", replies: []scriptedReply{hist}},
 		{args: "config rollback --team wash"},
 		{
 			args:    "config status c13",
-			replies: []scripted{{status: 200, body: `{"changeId":"c13","team":"wash","revision":13,"known":true,"dataCentres":[{"dataCentre":"north","reachable":true,"vms":1,"inForce":1}],"vms":[{"addr":"10.0.0.1:7000","dataCentre":"north","revision":13,"inForce":true,"reachable":true}]}`}},
+			replies: []scriptedReply{{status: 200, body: `{"changeId":"c13","team":"wash","revision":13,"known":true,"dataCentres":[{"dataCentre":"north","reachable":true,"vms":1,"inForce":1}],"vms":[{"addr":"10.0.0.1:7000","dataCentre":"north","revision":13,"inForce":true,"reachable":true}]}`}},
 		},
 		{
 			args:    "config status c13",
-			replies: []scripted{{status: 200, body: `{"changeId":"c13","team":"wash","revision":13,"known":true,"dataCentres":[{"dataCentre":"north","reachable":true,"vms":1,"inForce":0},{"dataCentre":"south","reachable":false,"vms":3,"inForce":0}],"vms":[{"addr":"10.0.0.1:7000","dataCentre":"north","revision":12,"inForce":false,"reachable":false}]}`}},
+			replies: []scriptedReply{{status: 200, body: `{"changeId":"c13","team":"wash","revision":13,"known":true,"dataCentres":[{"dataCentre":"north","reachable":true,"vms":1,"inForce":0},{"dataCentre":"south","reachable":false,"vms":3,"inForce":0}],"vms":[{"addr":"10.0.0.1:7000","dataCentre":"north","revision":12,"inForce":false,"reachable":false}]}`}},
 		},
-		{args: "config status c13", replies: []scripted{{status: 200, body: `{"changeId":"c13","known":false,"vms":[]}`}}},
-		{args: "config status c13 --json", replies: []scripted{{status: 200, body: `{"changeId":"c13","known":false,"vms":[]}`}}},
+		{args: "config status c13", replies: []scriptedReply{{status: 200, body: `{"changeId":"c13","known":false,"vms":[]}`}}},
+		{args: "config status c13 --json", replies: []scriptedReply{{status: 200, body: `{"changeId":"c13","known":false,"vms":[]}`}}},
 		{args: "config status"},
 		{args: "config sat"},
 	}))
@@ -133,10 +133,10 @@
 
 func TestSession_Status(t *testing.T) {
 	golden.Check(t, "status", session(t, []step{
-		{args: "status", replies: []scripted{{status: 200, body: bodyStatus}}},
-		{args: "status --json", replies: []scripted{{status: 200, body: bodyStatus}}},
-		{args: "status", replies: []scripted{{status: 401, body: `{"error":"a token is needed","reason":"unauthorized"}`}}},
-		{args: "status", replies: []scripted{{status: 200, body: `not JSON`}}},
+		{args: "status", replies: []scriptedReply{{status: 200, body: bodyStatus}}},
+		{args: "status --json", replies: []scriptedReply{{status: 200, body: bodyStatus}}},
+		{args: "status", replies: []scriptedReply{{status: 401, body: `{"error":"a token is needed","reason":"unauthorized"}`}}},
+		{args: "status", replies: []scriptedReply{{status: 200, body: `not JSON`}}},
 		{args: "status now"},
 	}))
 }
@@ -170,7 +170,7 @@
 	is.Equal(errOut.String(), "")
 }
 
-// A person who asks a command for help gets what it does and a line to copy.
+// The help of each command has examples, among them a command line that can be copied.
 func TestHelp(t *testing.T) {
 	var walk func(path []string, cmd *cli.Command)
 	walk = func(path []string, cmd *cli.Command) {
--- a/cmd/laburnumvane/output.go
+++ b/cmd/laburnumvane/output.go
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// table is text in columns for people.
+// table writes human-readable text in aligned columns.
 type table struct {
 	tw *tabwriter.Writer
 }
@@ -34,8 +34,8 @@
 	return tbl
 }
 
-// row adds one line; an empty cell is shown as a dash, so that columns stay
-// countable for awk.
+// row adds one line. An empty cell is printed as a dash, so that every line has the same number of
+// fields for tools such as awk. It changes cells in place.
 func (tbl table) row(cells ...string) {
 	for i, cell := range cells {
 		if cell == "" {
--- a/cmd/laburnumvane/procs_emulate_test.go
+++ b/cmd/laburnumvane/procs_emulate_test.go
@@ -13,17 +13,17 @@
 	"laburnumvane/io/wire"
 )
 
-// An operator who tries VMs at home steers the stand-ins by commands. Each has
-// to reach the process that runs and to end with the code that scripts go by; a
-// second one at the same ports fails, and SIGTERM ends the first with 0.
+// The "emulate" subcommands control a running "emulate" process. Each must reach that process and
+// return the documented exit code. A second "emulate" on the same ports fails, and SIGTERM ends the
+// first one with code 0.
 func TestProcsEmulateCommands(t *testing.T) {
 	is := is.New(t)
-	wd := &world{t: t, cfg: worldConfig{vms: 1, serviceTime: time.Millisecond}}
-	wd.startStage()
-	is.Equal(len(wd.stage.Plan), 1)
-	is.True(strings.HasPrefix(wd.stage.Plan[0].Serve, "laburnumvane serve --data-centre east "))
-	is.Equal(wd.stage.VMs, []wire.VM{{Addr: wd.stage.Plan[0].Inner, DataCentre: "east", Region: emulateRegion, State: wire.VMLive}})
-	one := wd.stage.Upstreams[0]
+	clu := &cluster{t: t, cfg: clusterConfig{vms: 1, serviceTime: time.Millisecond}}
+	clu.startStage()
+	is.Equal(len(clu.stage.Plan), 1)
+	is.True(strings.HasPrefix(clu.stage.Plan[0].Serve, "laburnumvane serve --data-centre east "))
+	is.Equal(clu.stage.VMs, []wire.VM{{Addr: clu.stage.Plan[0].Inner, DataCentre: "east", Region: emulateRegion, State: wire.VMLive}})
+	upstream := clu.stage.Upstreams[0]
 
 	for _, tc := range []struct {
 		args string
@@ -42,23 +42,23 @@
 		{"fault upstream --crash --drain all", exitUsage, ""},
 		{"fault upstream --slow-share 2 all", exitUsage, ""},
 		{"fault upstream --claim happy all", exitUsage, ""},
-		{"fault upstream --restart " + one.Addr, exitOK, one.Addr + "\n"},
-		{"fault upstream --drain " + one.Addr, exitOK, one.Addr + "\n"},
+		{"fault upstream --restart " + upstream.Addr, exitOK, upstream.Addr + "\n"},
+		{"fault upstream --drain " + upstream.Addr, exitOK, upstream.Addr + "\n"},
 		{"fault snapshot --shards 4", exitOK, "snapshot 2, 4 shards\n"},
 		{"fault vm-list --add nowhere", exitUsage, ""},
-		{"fault vm-list --add west=127.0.0.1:1 --remove " + wd.stage.Plan[0].Inner, exitOK, ""},
+		{"fault vm-list --add west=127.0.0.1:1 --remove " + clu.stage.Plan[0].Inner, exitOK, ""},
 	} {
 		args := append([]string{"emulate"}, strings.Fields(tc.args)...)
 		if len(args) > 2 || args[1] == "runs" {
-			args = append(args, "--admin", wd.stage.Admin)
+			args = append(args, "--admin", clu.stage.Admin)
 		}
-		out, code := command(t, args...)
+		out, code := runProgram(t, args...)
 		if code != tc.code || tc.out != "" && out != tc.out {
 			t.Errorf("%v: code %d, want %d: %s", args, code, tc.code, out)
 		}
 	}
 
-	out, code := command(t, "emulate", "show", "--json", "--admin", wd.stage.Admin)
+	out, code := runProgram(t, "emulate", "show", "--json", "--admin", clu.stage.Admin)
 	is.Equal(code, exitOK)
 	var ry emul.StageReply
 	is.NoErr(json.Unmarshal([]byte(out), &ry))
@@ -68,13 +68,13 @@
 	is.Equal(len(ry.VMs), 1)
 	is.Equal(ry.VMs[0].DataCentre, "west")
 
-	_, port, _ := strings.Cut(wd.stage.KV, ":")
-	_, code = command(t, "emulate", "--port", port)
+	_, port, _ := strings.Cut(clu.stage.KV, ":")
+	_, code = runProgram(t, "emulate", "--port", port)
 	is.Equal(code, exitFailure)
-	_, code = command(t, "emulate", "--port", "65500")
+	_, code = runProgram(t, "emulate", "--port", "65500")
 	is.Equal(code, exitUsage)
-	wd.platform.signal(syscall.SIGTERM)
-	is.Equal(wd.platform.exitCode(), exitOK)
-	_, code = command(t, "emulate", "show", "--admin", wd.stage.Admin)
+	clu.platform.signal(syscall.SIGTERM)
+	is.Equal(clu.platform.exitCode(), exitOK)
+	_, code = runProgram(t, "emulate", "show", "--admin", clu.stage.Admin)
 	is.Equal(code, exitFailure)
 }
--- a/cmd/laburnumvane/procs_help_test.go
+++ b/cmd/laburnumvane/procs_help_test.go
@@ -18,23 +18,22 @@
 )
 
 const (
-	// patience bounds the wait for what must come, on a machine with much else
-	// to do.
-	patience = 60 * time.Second
-	// pollEvery is how often a condition is looked at.
-	pollEvery = 20 * time.Millisecond
+	// waitTimeout is the longest wait for an expected event; it allows for a busy machine.
+	waitTimeout = 60 * time.Second
+	// pollInterval is the time between two checks of a condition.
+	pollInterval = 20 * time.Millisecond
 )
 
-// builds holds the program, built by the first test that needs it.
-type builds struct {
+// programBuild is the program's executable, which the first test that needs it builds.
+type programBuild struct {
 	dir  string
 	once sync.Once
 	path string
 	err  error
 }
 
-// program is what the tests of processes run.
-var program builds
+// program is the executable that process tests run.
+var program programBuild
 
 func TestMain(m *testing.M) {
 	os.Exit(testMain(m))
@@ -45,9 +44,9 @@
 	return m.Run()
 }
 
-// build is not done before a test needs it: this binary also runs as a child,
-// which ends without cleaning up.
-func (bu *builds) build() error {
+// build compiles the program into a temporary folder. It is not called in TestMain: the test binary
+// also runs as a child process, which exits without removing the folder.
+func (bu *programBuild) build() error {
 	dir, err := os.MkdirTemp("", "laburnumvane-procs-")
 	if err != nil {
 		return err
@@ -57,8 +56,8 @@
 	return fault.Wrap(err, "go build: "+string(out))
 }
 
-// needProgram gives the path of the built program. Tests of processes call it
-// first: with -short they end here.
+// needProgram returns the path of the built program. Process tests call it first: with -short it
+// skips them.
 func needProgram(t *testing.T) string {
 	t.Helper()
 	if testing.Short() {
@@ -69,7 +68,7 @@
 	return program.path
 }
 
-// proc is a process that a test started and that does not outlive it.
+// proc is a process that a test started; it is killed when the test ends.
 type proc struct {
 	t      *testing.T
 	name   string
@@ -95,11 +94,11 @@
 	return lb.buf.String()
 }
 
-// launch starts the program; out takes its standard output and may be nil.
+// launch starts the program. Its standard output goes to out, which may be nil.
 func launch(t *testing.T, name string, out *lockedBuffer, args ...string) *proc {
 	t.Helper()
 	pr := &proc{t: t, name: name, cmd: exec.Command(needProgram(t), args...), exited: make(chan struct{})}
-	pr.cmd.SysProcAttr = tiedToParent()
+	pr.cmd.SysProcAttr = killedWithParent()
 	pr.cmd.Stderr = &pr.log
 	if out != nil {
 		pr.cmd.Stdout = out
@@ -107,13 +106,13 @@
 	is.New(t).NoErr(pr.cmd.Start())
 	go func() {
 		defer close(pr.exited)
-		_ = pr.cmd.Wait() // its code is read from the process state
+		_ = pr.cmd.Wait() // the exit code is read from the process state
 	}()
 	t.Cleanup(func() {
-		// A frozen process, too, is ended by this signal.
+		// SIGKILL also ends a stopped process.
 		_ = pr.cmd.Process.Kill()
 		<-pr.exited
-		// Only where the program was built with the detector, by GOFLAGS=-race.
+		// Reported only if the program was built with the race detector (GOFLAGS=-race).
 		if strings.Contains(pr.log.String(), "DATA RACE") {
 			t.Errorf("%s has a data race", name)
 		}
@@ -124,7 +123,7 @@
 	return pr
 }
 
-// tail keeps the log of a failed test readable.
+// tail returns the last 6000 bytes of a log.
 func tail(log string) string {
 	const most = 6000
 	if len(log) > most {
@@ -138,25 +137,25 @@
 	is.New(pr.t).NoErr(pr.cmd.Process.Signal(sig))
 }
 
-// kill ends the process without notice and waits until it is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (pr *proc) kill() {
 	pr.signal(syscall.SIGKILL)
 	<-pr.exited
 }
 
-// exitCode waits for the end of the process; -1 is an end by a signal.
+// exitCode waits until the process has exited and returns its code; -1 means killed by a signal.
 func (pr *proc) exitCode() int {
 	pr.t.Helper()
 	select {
 	case <-pr.exited:
-	case <-time.After(patience):
-		pr.t.Fatalf("%s did not end", pr.name)
+	case <-time.After(waitTimeout):
+		pr.t.Fatalf("%s did not exit", pr.name)
 	}
 	return pr.cmd.ProcessState.ExitCode()
 }
 
-// command runs the program to its end and gives its output and exit code.
-func command(t *testing.T, args ...string) (out string, code int) {
+// runProgram runs the program to its end and returns its output, standard error last, and exit code.
+func runProgram(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	var buf lockedBuffer
 	pr := launch(t, args[0], &buf, args...)
@@ -164,16 +163,17 @@
 	return buf.String() + pr.log.String(), code
 }
 
-// eventually waits for a condition. Nothing is decided by how long it takes.
+// eventually polls a condition until it holds. The test fails only if waitTimeout passes first, so
+// that a slow machine does not fail it.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
 	for !holds() {
 		select {
 		case <-ctx.Done():
-			t.Fatalf("never came: %s", what)
-		case <-time.After(pollEvery):
+			t.Fatalf("time-out while waiting for: %s", what)
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/laburnumvane/procs_stopped_other_test.go
+++ b/cmd/laburnumvane/procs_stopped_other_test.go
@@ -4,5 +4,5 @@
 
 import "testing"
 
-// awaitStopped cannot be told here.
+// awaitStopped does not wait: thread states are read only on Linux.
 func awaitStopped(*testing.T, *proc) {}
--- a/cmd/laburnumvane/procs_tied_linux_test.go
+++ b/cmd/laburnumvane/procs_tied_linux_test.go
@@ -2,8 +2,8 @@
 
 import "syscall"
 
-// tiedToParent ends a child with the test binary, also where that ends by a
-// panic of the test's time limit, which runs no cleanup.
-func tiedToParent() *syscall.SysProcAttr {
+// killedWithParent returns the attribute that kills a child when the test binary ends, even by the
+// panic of the test time-out, after which no cleanup runs.
+func killedWithParent() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 }
--- a/cmd/laburnumvane/procs_tied_other_test.go
+++ b/cmd/laburnumvane/procs_tied_other_test.go
@@ -4,5 +4,6 @@
 
 import "syscall"
 
-// tiedToParent has no means here: a test's cleanup alone ends its children.
+// killedWithParent returns nil, as only Linux has this attribute; only the test's cleanup ends its
+// children.
 func tiedToParent() *syscall.SysProcAttr { return nil }
--- a/cmd/laburnumvane/procs_traffic_test.go
+++ b/cmd/laburnumvane/procs_traffic_test.go
@@ -14,40 +14,40 @@
 	"laburnumvane/io/wire"
 )
 
-// load is callers that search, and others that renew with a ticket twice, each
-// through any VM that its health check lets them choose.
-type load struct {
-	wd   *world
+// trafficLoad is a load of callers that search and callers that send each renewal twice, through the
+// VMs whose health checks pass.
+type trafficLoad struct {
+	clu  *cluster
 	stop context.CancelFunc
 	ctx  context.Context
 	done sync.WaitGroup
 
 	mu      sync.Mutex
-	fit     map[*vmProc]bool
+	healthy map[*vmProc]bool
 	counts  map[*vmProc]int
 	renewed int
 	faults  []string
 	queries []json.RawMessage
 }
 
-// startLoad lets so many callers search and renew on the VMs. A VM that is no
-// longer wanted is left out as a balancer would: by its health check.
-func startLoad(wd *world, searchers, renewers int, vms ...*vmProc) *load {
-	lo := &load{wd: wd, fit: map[*vmProc]bool{}, counts: map[*vmProc]int{}}
+// startLoad starts the given numbers of searching and renewing callers. Like a balancer, they send no
+// new requests to a VM whose health check fails.
+func startLoad(clu *cluster, searchers, renewers int, vms ...*vmProc) *trafficLoad {
+	lo := &trafficLoad{clu: clu, healthy: map[*vmProc]bool{}, counts: map[*vmProc]int{}}
 	lo.ctx, lo.stop = context.WithCancel(context.Background())
-	wd.t.Cleanup(lo.end)
-	lo.check(vms)
-	lo.each(func(int) { lo.check(vms) })
+	clu.t.Cleanup(lo.end)
+	lo.checkHealth(vms)
+	lo.repeat(func(int) { lo.checkHealth(vms) })
 	for i := range searchers {
-		lo.each(func(n int) { lo.search(vms[(i+n)%len(vms)], ownQuery(fmt.Sprintf("s%d", i), n)) })
+		lo.repeat(func(n int) { lo.search(vms[(i+n)%len(vms)], uniqueQuery(fmt.Sprintf("s%d", i), n)) })
 	}
 	for i := range renewers {
-		lo.each(func(n int) { lo.renew(vms, i, n) })
+		lo.repeat(func(n int) { lo.renew(vms, i, n) })
 	}
 	return lo
 }
 
-func (lo *load) each(f func(n int)) {
+func (lo *trafficLoad) repeat(f func(n int)) {
 	lo.done.Add(1)
 	go func() {
 		defer lo.done.Done()
@@ -58,45 +58,45 @@
 	}()
 }
 
-// end stops the callers once each has its answer.
-func (lo *load) end() {
+// end stops the callers and waits until each has its answer.
+func (lo *trafficLoad) end() {
 	lo.stop()
 	lo.done.Wait()
 }
 
-func (lo *load) check(vms []*vmProc) {
+func (lo *trafficLoad) checkHealth(vms []*vmProc) {
 	for _, vm := range vms {
 		ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 		err := vm.caller.Health(ctx)
 		cancel()
 		lo.mu.Lock()
-		lo.fit[vm] = err == nil
+		lo.healthy[vm] = err == nil
 		lo.mu.Unlock()
 	}
 }
 
-func (lo *load) isFit(vm *vmProc) bool {
+func (lo *trafficLoad) isHealthy(vm *vmProc) bool {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
-	return lo.fit[vm]
+	return lo.healthy[vm]
 }
 
-func (lo *load) fault(vm *vmProc, format string, args ...any) {
+func (lo *trafficLoad) addFault(vm *vmProc, format string, args ...any) {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	lo.faults = append(lo.faults, vm.name+": "+fmt.Sprintf(format, args...))
 }
 
-func (lo *load) search(vm *vmProc, query json.RawMessage) {
-	if !lo.isFit(vm) {
+func (lo *trafficLoad) search(vm *vmProc, query json.RawMessage) {
+	if !lo.isHealthy(vm) {
 		return
 	}
 	an, err := vm.caller.Search(context.Background(), wire.SearchRequest{Team: demoTeam, Search: "history", Query: query})
 	if client.KindOf(err) == client.KindUnreachable {
-		return // no byte was sent; a balancer would choose another
+		return // nothing was sent; a balancer would choose another VM
 	}
 	if err != nil || an.Outcome != wire.OutcomeComplete {
-		lo.fault(vm, "%s %s %v", an.Outcome, an.Reason, err)
+		lo.addFault(vm, "%s %s %v", an.Outcome, an.Reason, err)
 		return
 	}
 	lo.mu.Lock()
@@ -104,24 +104,24 @@
 	lo.mu.Unlock()
 }
 
-// renew takes a ticket of one VM, and sends the search through it and then
-// through the next. What it is told is counted; what ran is asked at the end.
-func (lo *load) renew(vms []*vmProc, i, n int) {
+// renew takes a ticket from one VM and sends the renewal through that VM and then through the next.
+// It ignores the answers; checkNoneRanTwice checks what ran.
+func (lo *trafficLoad) renew(vms []*vmProc, i, n int) {
 	issuer, other := vms[n%len(vms)], vms[(n+1)%len(vms)]
-	if !lo.isFit(issuer) {
+	if !lo.isHealthy(issuer) {
 		return
 	}
 	ry, err := issuer.caller.Tickets(context.Background(), wire.TicketRequest{Team: demoTeam})
 	if err != nil || len(ry.Tickets) == 0 {
-		return // a ticket not had costs nothing
+		return // no ticket, so nothing to send
 	}
-	query := ownQuery(fmt.Sprintf("r%d", i), n)
+	query := uniqueQuery(fmt.Sprintf("r%d", i), n)
 	lo.mu.Lock()
 	lo.queries = append(lo.queries, query)
 	lo.mu.Unlock()
 	rq := renewal(ry.Tickets[0], query)
 	for _, vm := range []*vmProc{issuer, other} {
-		// A caller in doubt asks again, whatever it was told.
+		// The renewal is sent again whatever the first answer was.
 		_, _ = vm.caller.Search(context.Background(), rq)
 	}
 	lo.mu.Lock()
@@ -129,8 +129,8 @@
 	lo.mu.Unlock()
 }
 
-// flows waits until each of the VMs has answered 30 more searches.
-func (lo *load) flows(t *testing.T, vms ...*vmProc) {
+// awaitTraffic waits until each of the VMs has answered 30 more searches.
+func (lo *trafficLoad) awaitTraffic(t *testing.T, vms ...*vmProc) {
 	t.Helper()
 	const more = 30
 	lo.mu.Lock()
@@ -151,14 +151,14 @@
 	})
 }
 
-// noneTwice asks the upstreams: no renewal may have run on a shard twice.
-func (lo *load) noneTwice(t *testing.T) {
+// checkNoneRanTwice checks in the record of the upstreams that no renewal ran twice on a shard.
+func (lo *trafficLoad) checkNoneRanTwice(t *testing.T) {
 	t.Helper()
 	is := is.New(t)
 	is.True(len(lo.queries) > 0)
 	ran := 0
 	for _, query := range lo.queries {
-		ry := lo.wd.runs(query)
+		ry := lo.clu.runs(query)
 		is.True(ry.MostOfShard <= 1)
 		ran += ry.MostOfShard
 	}
@@ -174,8 +174,8 @@
 	return all
 }
 
-// faultsOf lists the faults of searches on these VMs.
-func (lo *load) faultsOf(vms ...*vmProc) []string {
+// faultsOf returns the failures of searches on these VMs.
+func (lo *trafficLoad) faultsOf(vms ...*vmProc) []string {
 	lo.mu.Lock()
 	defer lo.mu.Unlock()
 	var out []string
--- a/cmd/laburnumvane/search.go
+++ b/cmd/laburnumvane/search.go
@@ -190,12 +190,12 @@
 	op := cmd.FullName()
 	switch ans.Outcome {
 	case wire.OutcomeNotRun:
-		return silent(op, KindNotAccepted)
+		return silentError(op, KindNotAccepted)
 	case wire.OutcomeUnknown:
-		return silent(op, KindUnknown)
+		return silentError(op, KindUnknown)
 	case wire.OutcomePartial:
 		if cmd.Bool("need-complete") {
-			return silent(op, KindFailure)
+			return silentError(op, KindFailure)
 		}
 	}
 	return nil
--- a/cmd/laburnumvane/serve.go
+++ b/cmd/laburnumvane/serve.go
@@ -51,8 +51,8 @@
 	if err := set.Check(); err != nil {
 		return &Error{Op: cmd.FullName(), Kind: KindUsage, Err: err}
 	}
-	// The signals are taken before anything is started, so that one that
-	// comes during the boot still stops the VM as planned.
+	// The signal handlers are installed before anything is started, so that a signal during
+	// start-up still causes a planned stop.
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return serve(ctx, cmd.FullName(), set.WithIncarnation(time.Now()))
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// newLogger writes JSON lines.
+// newLogger returns a logger that writes JSON lines to out.
 func newLogger(out io.Writer, level string) *log.Logger {
-	// The HTTP library logs in a format of its own; what it would say shows
-	// in the counters.
+	// The HTTP library logs in its own format, so its logging is turned off. The events that it
+	// would log are counted in the metrics.
 	hlog.SetLevel(hlog.LevelFatal)
 	return &log.Logger{
 		Level:      log.ParseLevel(level),
--- a/cmd/laburnumvane/soak_client_test.go
+++ b/cmd/laburnumvane/soak_client_test.go
@@ -17,10 +17,10 @@
 	"laburnumvane/platform/stand"
 )
 
-func containsStore(line string) bool { return strings.Contains(line, "the store") }
+// mentionsStore reports whether an event concerns the store or a link to it.
+func mentionsStore(line string) bool { return strings.Contains(line, "the store") }
 
-// soakClient sends requests on open connections and holds the answers to the
-// promises.
+// soakClient sends requests over keep-alive connections and checks the answers.
 type soakClient struct {
 	so   *soak
 	rnd  *rand.Rand
@@ -31,12 +31,12 @@
 	defer sc.http.CloseIdleConnections()
 	for !sc.so.done.Load() {
 		paths := []string{stand.PathSearch, stand.PathSearch, stand.PathLedger, stand.PathOnce}
-		sc.ask(sc.so.vms[sc.rnd.IntN(len(sc.so.vms))], paths[sc.rnd.IntN(len(paths))])
+		sc.send(sc.so.vms[sc.rnd.IntN(len(sc.so.vms))], paths[sc.rnd.IntN(len(paths))])
 		time.Sleep(time.Duration(5+sc.rnd.IntN(20)) * time.Millisecond)
 	}
 }
 
-func (sc *soakClient) ask(vm *soakVM, path string) {
+func (sc *soakClient) send(vm *soakVM, path string) {
 	id := nextSoakID()
 	method := http.MethodGet
 	var body io.Reader = http.NoBody
@@ -45,77 +45,78 @@
 	}
 	rq, err := http.NewRequest(method, "http://"+vm.place.ClientAddr+path+id, body)
 	if err != nil {
-		sc.so.broken("%v", err)
+		sc.so.fail("%v", err)
 		return
 	}
 	rq.Host = stand.Host
 	rq.Header.Set(platform.HeaderRequestID, id)
 	rq.Header.Set(platform.HeaderDeadline, "1500")
-	sc.so.asked.Add(1)
-	began := time.Now()
+	sc.so.sent.Add(1)
+	start := time.Now()
 	rs, err := sc.http.Do(rq)
 	if err != nil {
-		sc.failed(vm, path, id, began, err)
+		sc.checkFailure(vm, path, id, start, err)
 		return
 	}
 	defer rs.Body.Close()
 	text, err := io.ReadAll(rs.Body)
 	if err != nil {
-		sc.failed(vm, path, id, began, err)
+		sc.checkFailure(vm, path, id, start, err)
 		return
 	}
-	sc.judge(path, id, rs, text)
+	sc.checkAnswer(path, id, rs, text)
 }
 
-// failed judges a request without an answer: around a planned stop, and with
-// nothing else done to the VM, a request that was passed on must be answered.
-func (sc *soakClient) failed(vm *soakVM, path, id string, began time.Time, err error) {
+// checkFailure checks a request without an answer. A request that reached a server must be answered if
+// its VM was in a planned stop and had no other fault shortly before. A time-out is no violation.
+func (sc *soakClient) checkFailure(vm *soakVM, path, id string, start time.Time, err error) {
 	vm.mu.Lock()
-	planned := !vm.stopping.IsZero() && vm.harmed.Before(began.Add(-soakPatience))
+	planned := !vm.stopSentAt.IsZero() && vm.lastFault.Before(start.Add(-soakRequestTimeout))
 	vm.mu.Unlock()
 	if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "Timeout") {
 		return
 	}
-	if planned && sc.timesRun(id) > 0 {
-		sc.so.broken("%s %s: cut off by a planned stop of %s: %v", path, id, vm.name, err)
+	if planned && sc.runCount(id) > 0 {
+		sc.so.fail("%s %s: cut off by the planned stop of %s: %v", path, id, vm.name, err)
 	}
-	if path == stand.PathOnce && sc.timesRun(id) > 1 {
-		sc.so.broken("%s ran %d times", id, sc.timesRun(id))
+	if path == stand.PathOnce && sc.runCount(id) > 1 {
+		sc.so.fail("%s ran %d times", id, sc.runCount(id))
 	}
 }
 
-// judge holds an answer to what it claims.
-func (sc *soakClient) judge(path, id string, rs *http.Response, body []byte) {
-	ran := sc.timesRun(id)
-	if blames(body) {
-		sc.so.broken("%s %s was refused for crashing servers", path, id)
+// checkAnswer checks an answer against the record of what the servers ran.
+func (sc *soakClient) checkAnswer(path, id string, rs *http.Response, body []byte) {
+	ran := sc.runCount(id)
+	if reportsCrashingRequest(body) {
+		sc.so.fail("%s %s was refused as a request that crashes servers", path, id)
 	}
 	switch {
 	case path == stand.PathOnce && ran > 1:
-		sc.so.broken("%s ran %d times", id, ran)
-	case path == stand.PathOnce && notRun(rs.StatusCode) && ran > 0:
-		sc.so.broken("%s was answered %d and ran", id, rs.StatusCode)
+		sc.so.fail("%s ran %d times", id, ran)
+	case path == stand.PathOnce && promisesNotRun(rs.StatusCode) && ran > 0:
+		sc.so.fail("%s was answered %d and ran", id, rs.StatusCode)
 	case rs.StatusCode != http.StatusOK:
 	case path == stand.PathSearch:
 		sc.so.served.Add(1)
-		if why := sc.gathered(id, rs, body); why != "" {
-			sc.so.broken("search %s: %s", id, why)
+		if why := sc.checkGathered(id, rs, body); why != "" {
+			sc.so.fail("search %s: %s", id, why)
 		}
 	default:
 		sc.so.served.Add(1)
-		if !bytes.Equal(body, stand.Records("ledger")) || !sc.signed(id, "ledger", rs.Header.Get(platform.HeaderReceipt)) {
-			sc.so.broken("%s %s: not a server's answer to it: %.80q", path, id, body)
+		if !bytes.Equal(body, stand.Records("ledger")) || !sc.issuedReceipt(id, "ledger", rs.Header.Get(platform.HeaderReceipt)) {
+			sc.so.fail("%s %s: not the answer of a server to it: %.80q", path, id, body)
 		}
 	}
 }
 
-// notRun tells whether a status promises that the request did not run.
-func notRun(status int) bool {
+// promisesNotRun reports whether a status states that the request did not run.
+func promisesNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-func (sc *soakClient) timesRun(id string) int {
+// runCount returns how often servers ran the request, those that have ended included.
+func (sc *soakClient) runCount(id string) int {
 	n := 0
 	for _, sv := range sc.so.site.Ever() {
 		for _, ran := range sv.Ran() {
@@ -127,7 +128,8 @@
 	return n
 }
 
-func (sc *soakClient) signed(id, service, receipt string) bool {
+// issuedReceipt reports whether a server of the service issued the receipt for the request.
+func (sc *soakClient) issuedReceipt(id, service, receipt string) bool {
 	for _, sv := range sc.so.site.Ever() {
 		if sv.Service == service && sv.Receipt(id) == receipt {
 			return true
@@ -136,27 +138,27 @@
 	return false
 }
 
-// gathered tells what is wrong with a gathered answer.
-func (sc *soakClient) gathered(id string, rs *http.Response, body []byte) string {
+// checkGathered describes what is wrong with an answer gathered from shards, or returns "".
+func (sc *soakClient) checkGathered(id string, rs *http.Response, body []byte) string {
 	var bodies [][]byte
 	seen := map[string]bool{}
 	for _, receipt := range strings.Split(rs.Header.Get(platform.HeaderParts), ", ") {
 		service, _, _ := strings.Cut(receipt, ".")
-		if seen[service] || !sc.signed(id, service, receipt) {
-			return "a receipt that is no server's: " + receipt
+		if seen[service] || !sc.issuedReceipt(id, service, receipt) {
+			return "a receipt that no server issued: " + receipt
 		}
 		seen[service] = true
 		bodies = append(bodies, stand.Records(service))
 	}
 	if rs.Header.Get(platform.HeaderMissing) != fmt.Sprint(soakShards-len(bodies)) {
-		return "the number of missing shards is not true"
+		return "the number of missing shards is wrong"
 	}
 	const limit, least = 5, 3
 	if len(bodies) < least {
 		return "too few shards"
 	}
 	if !bytes.Equal(body, record.Greatest(bodies, limit)) {
-		return "the body is not made of its shards"
+		return "the body is not the merge of the shards' records"
 	}
 	return ""
 }
--- a/cmd/laburnumvane/soak_crash_test.go
+++ b/cmd/laburnumvane/soak_crash_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// soakCrasher is the caller under whose request servers end, after soakCrashRun, to be
-	// back after soakCrashBack.
-	soakCrasher   = "crasher/1"
-	soakCrashPath = stand.PathSearch + "crash"
-	soakCrashRun  = 20 * time.Millisecond
-	soakCrashBack = time.Second
-	// soakKnown is how soon after all is well every VM must know of such a request, and
-	// soakLate how many arrivals may reach servers after that.
-	soakKnown = 4 * time.Second
-	soakLate  = 3
+	// soakCrasher is the User-Agent of the requests that crash servers. A server crashes
+	// soakCrashDelay after such a request arrives and is back after soakCrashRestart.
+	soakCrasher      = "crasher/1"
+	soakCrashPath    = stand.PathSearch + "crash"
+	soakCrashDelay   = 20 * time.Millisecond
+	soakCrashRestart = time.Second
+	// soakCrashKnown is the time after recovery within which every VM must know of such a
+	// request. After it, at most soakLateMost of these requests may reach servers.
+	soakCrashKnown = 4 * time.Second
+	soakLateMost   = 3
 )
 
-// withoutLinks takes the links before servers away, which would go on taking connections to
-// those that ended.
-func (so *soak) withoutLinks() {
+// removeServerLinks removes the links in front of servers, which would keep accepting connections for
+// servers that have crashed.
+func (so *soak) removeServerLinks() {
 	for sv := range so.serverLinks {
 		so.site.Enter(sv, "ready", 3)
 	}
@@ -36,17 +36,17 @@
 	}
 }
 
-// crashes has servers end under one caller's request.
-func (so *soak) crashes() {
-	so.crash = so.site.CrashOn(func(rq *http.Request) bool { return rq.UserAgent() == soakCrasher }, soakCrashRun, soakCrashBack)
+// crashServersOnRequest makes servers crash on the requests of soakCrasher.
+func (so *soak) crashServersOnRequest() {
+	so.crash = so.site.CrashOn(func(rq *http.Request) bool { return rq.UserAgent() == soakCrasher }, soakCrashDelay, soakCrashRestart)
 }
 
-// crashNow sends that request to a VM.
-func (so *soak) crashNow(vm *soakVM) {
-	client := &http.Client{Timeout: soakPatience, Transport: &http.Transport{DisableKeepAlives: true}}
+// sendCrashing sends a request that crashes servers to a VM.
+func (so *soak) sendCrashing(vm *soakVM) {
+	client := &http.Client{Timeout: soakRequestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	rq, err := http.NewRequest(http.MethodGet, "http://"+vm.place.ClientAddr+soakCrashPath, nil)
 	if err != nil {
-		so.broken("%v", err)
+		so.fail("%v", err)
 		return
 	}
 	rq.Host = stand.Host
@@ -60,42 +60,44 @@
 	}
 	_ = rs.Body.Close()
 	if rs.StatusCode == http.StatusOK {
-		so.broken("a request under which servers end was answered")
+		so.fail("a request that crashes servers was answered")
 	}
 }
 
-// keepCrashing has the request come again and again, at any VM.
-func (so *soak) keepCrashing(wait func() time.Duration) {
+// repeatCrashing sends the crashing request to the VMs in turn until the run is done.
+func (so *soak) repeatCrashing(wait func() time.Duration) {
 	for n := 0; !so.done.Load(); n++ {
 		time.Sleep(wait())
-		so.crashNow(so.vms[n%len(so.vms)])
+		so.sendCrashing(so.vms[n%len(so.vms)])
 	}
 }
 
-// crashesEnd sees that servers end under the request no longer, now that all is well.
-func (so *soak) crashesEnd() {
-	time.Sleep(soakKnown)
+// checkCrashesEnd checks, after recovery, that the crashing request hardly reaches servers any more.
+func (so *soak) checkCrashesEnd() {
+	time.Sleep(soakCrashKnown)
 	before := len(so.crash.Reached())
 	var all sync.WaitGroup
 	for _, vm := range so.vms {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			for range soakLate {
-				so.crashNow(vm)
+			for range soakLateMost {
+				so.sendCrashing(vm)
 			}
 		}()
 	}
 	all.Wait()
-	late := map[string]bool{}
+	reached := map[string]bool{}
 	for _, re := range so.crash.Reached()[before:] {
-		late[re.ID] = true
+		reached[re.ID] = true
 	}
-	so.t.Logf("%d servers ended", len(so.crash.Ended()))
-	if len(late) > soakLate {
-		so.broken("%d arrivals of a request under which servers end reached servers later than %v", len(late), soakKnown)
+	so.t.Logf("%d servers crashed", len(so.crash.Ended()))
+	if len(reached) > soakLateMost {
+		so.fail("%d requests that crash servers reached servers later than %v after recovery", len(reached), soakCrashKnown)
 	}
 }
 
-// blames tells whether an answer says that a request crashes servers.
-func blames(body []byte) bool { return strings.Contains(string(body), `"crashesServers"`) }
+// reportsCrashingRequest reports whether an answer gives as its reason that the request crashes servers.
+func reportsCrashingRequest(body []byte) bool {
+	return strings.Contains(string(body), `"crashesServers"`)
+}
--- a/cmd/laburnumvane/soak_link_test.go
+++ b/cmd/laburnumvane/soak_link_test.go
@@ -10,23 +10,23 @@
 	"github.com/matryer/is"
 )
 
-// linkMode is what a link does to bytes.
+// linkMode is how a link treats the bytes that pass.
 type linkMode int
 
 const (
 	linkPass linkMode = iota
-	// linkSlow delays each piece.
+	// linkSlow delays each chunk by linkDelay.
 	linkSlow
-	// linkSilent takes bytes and hands none on, without an end.
+	// linkSilent accepts bytes and drops them, without closing connections.
 	linkSilent
-	// linkOneWay hands on what goes there, and nothing that comes back.
+	// linkOneWay forwards bytes to the target and drops those that come back.
 	linkOneWay
 )
 
-// linkDelay is what a slow link adds to each piece.
+// linkDelay is the delay that a slow link adds to each chunk.
 const linkDelay = 30 * time.Millisecond
 
-// link is a proxy on loopback that can harm what passes.
+// link is a TCP proxy on loopback that can delay or drop bytes and reset connections.
 type link struct {
 	ln     net.Listener
 	target string
@@ -56,13 +56,13 @@
 	li.mode = mode
 }
 
-func (li *link) now() linkMode {
+func (li *link) currentMode() linkMode {
 	li.mu.Lock()
 	defer li.mu.Unlock()
 	return li.mode
 }
 
-// reset ends all connections without a proper end.
+// reset closes all connections with an RST.
 func (li *link) reset() {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// copy hands bytes on until one end closes.
-func (li *link) copy(to, from net.Conn, there bool) {
+// copy forwards bytes until either end closes. outbound is set in the direction to the target.
+func (li *link) copy(to, from net.Conn, outbound bool) {
 	defer func() {
 		_ = to.Close()
 		_ = from.Close()
@@ -107,7 +107,7 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !li.hand(to, buf[:n], there) {
+		if n > 0 && !li.forward(to, buf[:n], outbound) {
 			return
 		}
 		if err != nil {
@@ -116,15 +116,16 @@
 	}
 }
 
-func (li *link) hand(to io.Writer, piece []byte, there bool) bool {
-	switch mode := li.now(); {
-	case mode == linkSilent, mode == linkOneWay && !there:
-		// A connection that lost a piece never comes right again: it stays
-		// silent for good while new ones work.
+// forward treats one chunk as the link's mode demands; it returns false if the write fails.
+func (li *link) forward(to io.Writer, chunk []byte, outbound bool) bool {
+	switch mode := li.currentMode(); {
+	case mode == linkSilent, mode == linkOneWay && !outbound:
+		// A connection that lost a chunk is broken for good, even when the mode changes; only new
+		// connections work then.
 		return true
 	case mode == linkSlow:
 		time.Sleep(linkDelay)
 	}
-	_, err := to.Write(piece)
+	_, err := to.Write(chunk)
 	return err == nil
 }
--- a/cmd/laburnumvane/soak_places_test.go
+++ b/cmd/laburnumvane/soak_places_test.go
@@ -8,66 +8,66 @@
 )
 
 const (
-	// soakWarmUp is what servers bear a second while they warm up.
+	// soakWarmUp is how many requests per second a server can take while it warms up.
 	soakWarmUp = 4
-	// soakEvacuated is how soon the servers of a data centre that is evacuated must get
-	// nothing more.
-	soakEvacuated = 3 * time.Second
+	// soakEvacuationLimit is the time after which the servers of an evacuated data centre must get
+	// no more requests.
+	soakEvacuationLimit = 3 * time.Second
 )
 
-// empties has data centres evacuated and taken back, and their servers start again, beside all
-// else. An evacuation lasts longer than the store is away for, as an operator would have it.
-func (so *soak) empties(rnd *rand.Rand) {
-	places := []string{"east", "west", "south"}
-	for !so.healthy.Load() {
-		place := places[rnd.IntN(len(places))]
+// evacuateAndRestart evacuates data centres and takes them back, or restarts their servers, while the
+// other faults occur. An evacuation lasts longer than any outage of the store, as in operation.
+func (so *soak) evacuateAndRestart(rnd *rand.Rand) {
+	dataCentres := []string{"east", "west", "south"}
+	for !so.faultsEnded.Load() {
+		dataCentre := dataCentres[rnd.IntN(len(dataCentres))]
 		if rnd.IntN(2) == 0 {
-			so.evacuate(place, soakEvacuated+time.Duration(500+rnd.IntN(1500))*time.Millisecond)
+			so.evacuate(dataCentre, soakEvacuationLimit+time.Duration(500+rnd.IntN(1500))*time.Millisecond)
 		} else {
-			so.note("the servers of %s start again", place)
-			so.site.Restart(so.serversOf(place)...)
+			so.record("the servers of %s restart", dataCentre)
+			so.site.Restart(so.serversOf(dataCentre)...)
 			time.Sleep(stand.WarmUp)
 		}
 		time.Sleep(time.Duration(200+rnd.IntN(1500)) * time.Millisecond)
 	}
 }
 
-func (so *soak) serversOf(place string) []*stand.Server {
+func (so *soak) serversOf(dataCentre string) []*stand.Server {
 	var servers []*stand.Server
 	for _, sv := range so.site.Servers() {
-		if sv.DataCentre == place {
+		if sv.DataCentre == dataCentre {
 			servers = append(servers, sv)
 		}
 	}
 	return servers
 }
 
-// evacuate has a data centre evacuated for a while; its servers are cold when it is taken back.
-func (so *soak) evacuate(place string, span time.Duration) {
-	so.note("%s is evacuated for %v", place, span)
+// evacuate evacuates a data centre for span. Its servers are cold when it is taken back.
+func (so *soak) evacuate(dataCentre string, span time.Duration) {
+	so.record("%s is evacuated for %v", dataCentre, span)
 	from := time.Now()
-	so.site.Evacuate(place)
+	so.site.Evacuate(dataCentre)
 	time.Sleep(span)
-	servers := so.serversOf(place)
-	if so.calmSince(from) {
+	servers := so.serversOf(dataCentre)
+	if so.undisturbedSince(from) {
 		for _, sv := range servers {
-			if n := sv.ArrivedSince(from.Add(soakEvacuated)); n > 0 {
-				so.broken("%s of %s got %d requests more than %v after its evacuation", sv.ID, place, n, soakEvacuated)
+			if n := sv.ArrivedSince(from.Add(soakEvacuationLimit)); n > 0 {
+				so.fail("%s of %s got %d requests more than %v after its evacuation", sv.ID, dataCentre, n, soakEvacuationLimit)
 			}
 		}
 	}
 	so.site.Chill(servers...)
-	so.site.Return(place)
-	so.note("%s is taken back", place)
+	so.site.Return(dataCentre)
+	so.record("%s is taken back", dataCentre)
 	time.Sleep(stand.WarmUp)
 }
 
-// coldKept sees that no server ever got more than it bears while it warmed up, whatever was done
-// to VMs and store meanwhile.
-func (so *soak) coldKept() {
+// checkWarmUpLimit checks that no server ever got more requests than it can take while it warmed up,
+// whatever faults VMs and the store had.
+func (so *soak) checkWarmUpLimit() {
 	for _, sv := range so.site.Ever() {
 		if sv.OverrunSince(0) {
-			so.broken("%s got more than %d requests within a second while it was cold", sv.ID, so.site.WarmUpMost())
+			so.fail("%s got more than %d requests within a second while it was cold", sv.ID, so.site.WarmUpMost())
 		}
 	}
 }
--- a/cmd/laburnumvane/soak_test.go
+++ b/cmd/laburnumvane/soak_test.go
@@ -20,49 +20,49 @@
 	"laburnumvane/platform/stand"
 )
 
-// A randomized soak of the real program: VMs of gateway as processes, clients on
-// open connections, and faults from outside them, in series and overlapping.
+// A randomised soak test of the program: gateway VMs run as processes, clients use keep-alive
+// connections, and faults are injected from outside the VMs, some of them overlapping.
 //
 //	go test ./cmd/laburnumvane -run Soak -soakSeeds 50 -soakFrom 100 -soakSeconds 12
 var (
-	soakSeeds   = flag.Int("soakSeeds", 0, "play so many seeds in place of the usual ones")
-	soakFrom    = flag.Uint64("soakFrom", 1, "the first of them")
-	soakCrash   = flag.Bool("soakCrash", false, "have servers end under a request in all of them")
-	soakPlaces  = flag.Bool("soakPlaces", false, "have data centres evacuated and servers turn cold in all of them")
-	soakSeconds = flag.Int("soakSeconds", 6, "how long faults go on for each")
+	soakSeeds   = flag.Int("soakSeeds", 0, "run this many seeds instead of the fixed cases")
+	soakFrom    = flag.Uint64("soakFrom", 1, "the first of these seeds")
+	soakCrash   = flag.Bool("soakCrash", false, "make servers crash on a request in all of these runs")
+	soakPlaces  = flag.Bool("soakPlaces", false, "evacuate data centres and make servers cold in all of these runs")
+	soakSeconds = flag.Int("soakSeconds", 6, "how long faults are injected in each run, in seconds")
 )
 
 const (
-	// soakShards has six of them in each data centre, so that the answers of those
-	// elsewhere come joined.
+	// soakShards gives each data centre six shards, so that the answers of the other data centres
+	// arrive joined.
 	soakShards  = 18
 	soakClients = 10
-	// soakHeal is how soon after the last fault everything must be served.
-	soakHeal = 15 * time.Second
-	// soakDrained is how soon a server that leaves must get nothing new.
-	soakDrained = 3 * time.Second
-	// soakPatience is longer than any request may take.
-	soakPatience = 4 * time.Second
+	// soakRecoveryLimit is the time after the last fault within which all requests must be served.
+	soakRecoveryLimit = 15 * time.Second
+	// soakDrainLimit is the time after which a draining server must get no new requests.
+	soakDrainLimit = 3 * time.Second
+	// soakRequestTimeout is the clients' time-out; it is longer than any request may take.
+	soakRequestTimeout = 4 * time.Second
 )
 
-// soakCase is a seed with what it stands for.
+// soakCase is a seed and what its run covers.
 type soakCase struct {
 	seed  uint64
 	cause string
-	// crash is set where servers end under a request that comes again, places where data
-	// centres are evacuated and servers turn cold.
+	// crash is set if servers crash on a request that is repeated, places if data centres are
+	// evacuated and servers become cold.
 	crash, places bool
 }
 
-// soakCases are played by every run: one of each kind of luck, and each seed that
-// ever failed, with its cause.
+// soakCases returns the cases of every test run: at least one for each kind of faults, and each seed
+// that has failed, with the cause of its failure.
 func soakCases() []soakCase {
 	return []soakCase{
-		{seed: 1, cause: "the usual"},
-		{seed: 2, cause: "the usual"},
-		{seed: 6016, cause: "servers fall silent while VMs stop: requests outlasted the grace and were cut off"},
+		{seed: 1, cause: "mixed faults"},
+		{seed: 2, cause: "mixed faults"},
+		{seed: 6016, cause: "servers stop answering while VMs stop: requests outlasted the grace and were cut off"},
 		{seed: 3, cause: "a request crashes servers", crash: true},
-		{seed: 4, cause: "data centres are evacuated and servers turn cold", places: true},
+		{seed: 4, cause: "data centres are evacuated and servers become cold", places: true},
 	}
 }
 
@@ -72,41 +72,41 @@
 	if *soakSeeds > 0 {
 		cases = nil
 		for i := range *soakSeeds {
-			cases = append(cases, soakCase{seed: *soakFrom + uint64(i), cause: "by hand", crash: *soakCrash, places: *soakPlaces})
+			cases = append(cases, soakCase{seed: *soakFrom + uint64(i), cause: "seed from the flags", crash: *soakCrash, places: *soakPlaces})
 		}
 	}
 	for _, tc := range cases {
-		t.Run(fmt.Sprintf("%d %s", tc.seed, tc.cause), func(t *testing.T) { newSoak(t, tc).play() })
+		t.Run(fmt.Sprintf("%d %s", tc.seed, tc.cause), func(t *testing.T) { newSoak(t, tc).run() })
 	}
 }
 
-// soak is one play.
+// soak is the run of one case.
 type soak struct {
 	t     *testing.T
 	rnd   *rand.Rand
 	site  *stand.Site
 	vms   []*soakVM
 	links []*link
-	// serverLinks are the links before servers.
+	// serverLinks are the links in front of servers.
 	serverLinks map[*stand.Server]*link
-	heal        []func()
-	began       time.Time
-	// healthy is set when no further harm is done, done when all is over.
-	healthy atomic.Bool
-	done    atomic.Bool
-	asked   atomic.Int64
-	served  atomic.Int64
-	routes  int
-	// crash is set if servers end under a request, places if data centres are evacuated.
+	undos       []func()
+	start       time.Time
+	// faultsEnded is set when no more faults are injected, done when the clients are to stop.
+	faultsEnded atomic.Bool
+	done        atomic.Bool
+	sent        atomic.Int64
+	served      atomic.Int64
+	routes      int
+	// crash is not nil if servers crash on a request; places is set if data centres are evacuated.
 	crash  *stand.Crash
 	places bool
 
-	mu    sync.Mutex
-	story []string
-	wrong []string
+	mu       sync.Mutex
+	events   []string
+	failures []string
 }
 
-// soakVM is one VM of gateway.
+// soakVM is one gateway VM.
 type soakVM struct {
 	so       *soak
 	name     string
@@ -116,23 +116,23 @@
 	mu       sync.Mutex
 	pr       *proc
 	out      *lockedBuffer
-	// stopping is when SIGTERM was sent, harmed when something else was done to
-	// it last.
-	stopping time.Time
-	harmed   time.Time
+	// stopSentAt is when SIGTERM was sent, zero if it was not. lastFault is the time of the last
+	// start or of the last signal other than SIGTERM and SIGHUP.
+	stopSentAt time.Time
+	lastFault  time.Time
 }
 
 func newSoak(t *testing.T, tc soakCase) *soak {
 	is := is.New(t)
-	places := []string{"east", "west", "south"}
-	cfg := stand.Config{DataCentres: places, Shards: soakShards, Apart: true}
+	dataCentres := []string{"east", "west", "south"}
+	cfg := stand.Config{DataCentres: dataCentres, Shards: soakShards, Apart: true}
 	if tc.places {
 		cfg.WarmUpPerSecond = soakWarmUp
 	}
 	site, err := stand.New(cfg)
 	is.NoErr(err)
 	t.Cleanup(site.Close)
-	so := &soak{t: t, rnd: rand.New(rand.NewPCG(tc.seed, tc.seed)), site: site, serverLinks: map[*stand.Server]*link{}, began: time.Now()}
+	so := &soak{t: t, rnd: rand.New(rand.NewPCG(tc.seed, tc.seed)), site: site, serverLinks: map[*stand.Server]*link{}, start: time.Now()}
 	for _, sv := range site.Servers() {
 		li := newLink(t, sv.Addr())
 		so.serverLinks[sv] = li
@@ -140,7 +140,7 @@
 		site.EnterAt(sv, li.addr(), "ready", 2)
 	}
 	var seeds []stand.VM
-	for i, dataCentre := range places {
+	for i, dataCentre := range dataCentres {
 		place, err := site.VM(fmt.Sprintf("vm-%d", i+1), dataCentre, seeds...)
 		is.NoErr(err)
 		seeds = append(seeds, place)
@@ -153,38 +153,40 @@
 	}
 	so.places = tc.places
 	if tc.crash || tc.places {
-		so.withoutLinks()
+		so.removeServerLinks()
 	}
 	if tc.crash {
-		so.crashes()
+		so.crashServersOnRequest()
 	}
 	return so
 }
 
-func (so *soak) note(format string, args ...any) {
+// record adds an event to the list that a failed run prints.
+func (so *soak) record(format string, args ...any) {
 	so.mu.Lock()
 	defer so.mu.Unlock()
-	so.story = append(so.story, fmt.Sprintf("%6.2f s ", time.Since(so.began).Seconds())+fmt.Sprintf(format, args...))
+	so.events = append(so.events, fmt.Sprintf("%6.2f s ", time.Since(so.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (so *soak) broken(format string, args ...any) {
+// fail records a violation; the run goes on.
+func (so *soak) fail(format string, args ...any) {
 	so.mu.Lock()
 	defer so.mu.Unlock()
-	so.wrong = append(so.wrong, fmt.Sprintf("%6.2f s ", time.Since(so.began).Seconds())+fmt.Sprintf(format, args...))
+	so.failures = append(so.failures, fmt.Sprintf("%6.2f s ", time.Since(so.start).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// play runs clients and faults, and then sees that all is well again.
-func (so *soak) play() {
+// run runs the clients and injects faults, and then checks that everything is served again.
+func (so *soak) run() {
 	for _, vm := range so.vms {
-		vm.boot()
+		vm.start()
 	}
-	so.within("all ready", soakHeal, func() bool { return so.all((*soakVM).ready) })
+	so.waitWithin("all VMs are ready", soakRecoveryLimit, func() bool { return so.all((*soakVM).ready) })
 	var clients sync.WaitGroup
 	for i := range soakClients {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			(&soakClient{so: so, rnd: rand.New(rand.NewPCG(uint64(i), 5)), http: &http.Client{Timeout: soakPatience, Transport: &http.Transport{}}}).run()
+			(&soakClient{so: so, rnd: rand.New(rand.NewPCG(uint64(i), 5)), http: &http.Client{Timeout: soakRequestTimeout, Transport: &http.Transport{}}}).run()
 		}()
 	}
 	if so.crash != nil {
@@ -192,27 +194,27 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			so.keepCrashing(func() time.Duration { return time.Duration(200+rnd.IntN(1000)) * time.Millisecond })
+			so.repeatCrashing(func() time.Duration { return time.Duration(200+rnd.IntN(1000)) * time.Millisecond })
 		}()
 	}
-	var emptied sync.WaitGroup
+	var evacuations sync.WaitGroup
 	if so.places {
 		rnd := rand.New(rand.NewPCG(uint64(so.rnd.IntN(1000)), 9))
-		emptied.Go(func() { so.empties(rnd) })
+		evacuations.Go(func() { so.evacuateAndRestart(rnd) })
 	}
 	for end := time.Now().Add(time.Duration(*soakSeconds) * time.Second); time.Now().Before(end); {
-		so.harm()
+		so.injectFault()
 		time.Sleep(time.Duration(100+so.rnd.IntN(500)) * time.Millisecond)
 	}
-	so.healthy.Store(true)
-	emptied.Wait()
-	so.mend()
-	so.within("all serve again", soakHeal, func() bool { return so.all((*soakVM).serves) })
+	so.faultsEnded.Store(true)
+	evacuations.Wait()
+	so.undoAll()
+	so.waitWithin("all VMs serve again", soakRecoveryLimit, func() bool { return so.all((*soakVM).serves) })
 	if so.crash != nil {
-		so.crashesEnd()
+		so.checkCrashesEnd()
 	}
 	if so.places {
-		so.coldKept()
+		so.checkWarmUpLimit()
 	}
 	so.done.Store(true)
 	clients.Wait()
@@ -228,10 +230,10 @@
 	return true
 }
 
-func (so *soak) within(what string, limit time.Duration, ok func() bool) {
-	for end := time.Now().Add(limit); !ok(); time.Sleep(pollEvery) {
+func (so *soak) waitWithin(what string, limit time.Duration, ok func() bool) {
+	for end := time.Now().Add(limit); !ok(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			so.broken("not within %v: %s", limit, what)
+			so.fail("not within %v: %s", limit, what)
 			return
 		}
 	}
@@ -240,14 +242,14 @@
 func (so *soak) report() {
 	so.mu.Lock()
 	defer so.mu.Unlock()
-	so.t.Logf("%d asked, %d served", so.asked.Load(), so.served.Load())
-	if so.served.Load()*10 < so.asked.Load() {
-		so.wrong = append(so.wrong, "fewer than one request in ten was served")
+	so.t.Logf("%d requests sent, %d served", so.sent.Load(), so.served.Load())
+	if so.served.Load()*10 < so.sent.Load() {
+		so.failures = append(so.failures, "fewer than one request in ten was served")
 	}
-	if len(so.wrong) == 0 {
+	if len(so.failures) == 0 {
 		return
 	}
-	so.t.Errorf("broken:\n%s\nwhat was done:\n%s", strings.Join(so.wrong, "\n"), strings.Join(so.story, "\n"))
+	so.t.Errorf("violations:\n%s\nevents:\n%s", strings.Join(so.failures, "\n"), strings.Join(so.events, "\n"))
 	for _, vm := range so.vms {
 		vm.mu.Lock()
 		log := vm.out.String()
@@ -257,13 +259,13 @@
 	}
 }
 
-func (vm *soakVM) boot() {
+func (vm *soakVM) start() {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	vm.out = &lockedBuffer{}
 	vm.pr = launch(vm.so.t, vm.name, vm.out, "gateway", "--settings", vm.settings)
-	vm.stopping = time.Time{}
-	vm.harmed = time.Now()
+	vm.stopSentAt = time.Time{}
+	vm.lastFault = time.Now()
 }
 
 func (vm *soakVM) signal(sig syscall.Signal) {
@@ -271,12 +273,12 @@
 	defer vm.mu.Unlock()
 	_ = vm.pr.cmd.Process.Signal(sig)
 	if sig != syscall.SIGHUP {
-		vm.harmed = time.Now()
+		vm.lastFault = time.Now()
 	}
 }
 
-// gone tells whether the process has ended.
-func (vm *soakVM) gone() bool {
+// hasExited reports whether the process has exited.
+func (vm *soakVM) hasExited() bool {
 	vm.mu.Lock()
 	defer vm.mu.Unlock()
 	select {
@@ -287,6 +289,8 @@
 	}
 }
 
+// get sends a request and returns the status, or 0 without an answer or if shards are missing from
+// that of a search.
 func (vm *soakVM) get(addr, path string) int {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	rq, err := http.NewRequest(http.MethodGet, "http://"+addr+path, nil)
@@ -310,7 +314,7 @@
 	return vm.get(vm.place.ReadyAddr, platform.PathReady) == http.StatusOK
 }
 
-// serves tells whether the VM serves everything, the newest route too.
+// serves reports whether the VM is ready and serves all routes, the newest one included.
 func (vm *soakVM) serves() bool {
 	newest := fmt.Sprintf("/added-%d/", vm.so.routes)
 	return vm.ready() && vm.get(vm.place.ClientAddr, stand.PathSearch) == http.StatusOK &&
--- a/cmd/laburnumvane/status.go
+++ b/cmd/laburnumvane/status.go
@@ -103,8 +103,8 @@
 	fmt.Fprintln(out)
 	tbl := newTable(out, "UPSTREAM", "DATA CENTRE", "SERVICE", "STATE", "WHY", "IN FLIGHT", "CONNECTIONS", "LATENCY")
 	for _, up := range ups {
-		open := of(up.Connections, up.ConnectionPlan)
-		tbl.row(up.Addr, up.DataCentre, up.Service, up.State, up.Why, of(up.InFlight, up.Limit), open, millis(up.LatencyMs))
+		open := usedOf(up.Connections, up.ConnectionPlan)
+		tbl.row(up.Addr, up.DataCentre, up.Service, up.State, up.Why, usedOf(up.InFlight, up.Limit), open, millis(up.LatencyMs))
 	}
 	tbl.flush()
 }
--- a/cmd/laburnumvane/status_limits.go
+++ b/cmd/laburnumvane/status_limits.go
@@ -7,7 +7,7 @@
 	"laburnumvane/io/wire"
 )
 
-// printLimits shows what lets searches start or holds them back.
+// printLimits prints the limits that admit or delay searches: team limits, queues and budgets.
 func printLimits(out io.Writer, lm *wire.LimitsOfVM) {
 	if lm == nil {
 		return
@@ -25,7 +25,7 @@
 	tbl := newTable(out, "TEAM", "SHARE", "HELD", "SEARCHES/S", "IN FLIGHT", "AT MOST")
 	for _, tl := range tls {
 		share := fmt.Sprintf("%.1f%%", 100*tl.Share)
-		tbl.row(tl.Team, share, yesNo(tl.Held), rateOf(tl), number(tl.InFlight), mostOf(tl))
+		tbl.row(tl.Team, share, yesNo(tl.Held), rateOf(tl), number(tl.InFlight), concurrencyOf(tl))
 	}
 	tbl.flush()
 }
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("%.1f of %.1f", tl.SearchesPerSecondPart, tl.SearchesPerSecond)
 }
 
-func mostOf(tl wire.TeamLimit) string {
+func concurrencyOf(tl wire.TeamLimit) string {
 	if tl.Concurrent == 0 {
 		return "no limit"
 	}
@@ -66,7 +66,7 @@
 	tbl.flush()
 }
 
-// of shows how much of an allowance is used.
-func of(used, allowed int) string {
+// usedOf formats how much of an allowance is used.
+func usedOf(used, allowed int) string {
 	return fmt.Sprintf("%d/%d", used, allowed)
 }
--- a/cmd/laburnumvane/stop_test.go
+++ b/cmd/laburnumvane/stop_test.go
@@ -16,10 +16,10 @@
 	"laburnumvane/io/wire"
 )
 
-// serveArgs, set in the environment, makes this test binary run serve instead.
+// serveArgs is the environment variable that makes TestServeProcess run the serve command.
 const serveArgs = "LABURNUMVANE_TEST_SERVE"
 
-// TestServeProcess is the child of TestSignalTwice and does nothing else.
+// TestServeProcess is the child process of TestSignalTwice and is skipped otherwise.
 func TestServeProcess(t *testing.T) {
 	if os.Getenv(serveArgs) == "" {
 		t.Skip("only run as a child process")
@@ -27,8 +27,7 @@
 	os.Exit(run(context.Background(), []string{"laburnumvane", "serve"}, os.Stdin, os.Stdout, os.Stderr))
 }
 
-// freeAddr is an address that nobody listens on, for a process that must be told
-// its own.
+// freeAddr returns an address with a free port, for a process whose address must be set beforehand.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,9 +36,8 @@
 	return ln.Addr().String()
 }
 
-// The platform sends SIGTERM to a process that serves, and again as it goes on
-// serving for the balancer's lag. The process must not die by the second one,
-// and must end by itself with code 0.
+// The platform sends SIGTERM to a serving process, and again while the process still serves for the
+// balancer lag. The second signal must not kill the process, which must exit with code 0.
 func TestSignalTwice(t *testing.T) {
 	is := is.New(t)
 	kv, vms := emul.NewKV(emul.KVConfig{}), emul.NewVMs(emul.VMsConfig{})
@@ -73,7 +71,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Fatalf("health never was %d", want)
+		t.Fatalf("time-out while waiting for health status %d", want)
 	}
 	health(http.StatusOK)
 	is.NoErr(child.Process.Signal(syscall.SIGTERM))
--- a/cmd/laburnumvane/story.go
+++ b/cmd/laburnumvane/story.go
@@ -13,9 +13,8 @@
 	"laburnumvane/io/story"
 )
 
-// storyTime shows microseconds: what parts two lines of a request is often less than a
-// millisecond.
-const storyTime = "15:04:05.000000"
+// storyTimeLayout has microseconds: two lines of a request are often less than a millisecond apart.
+const storyTimeLayout = "15:04:05.000000"
 
 // storyReply is what story prints with --json.
 type storyReply struct {
@@ -73,16 +72,16 @@
 	return nil
 }
 
-// readStory reads one file as it comes; a log may be larger than memory.
+// readStory streams one file, as a log may be larger than memory.
 func readStory(cmd *cli.Command, st *story.Story, name string) error {
 	if name == "-" {
 		return st.Read("stdin", cmd.Root().Reader)
 	}
-	file, err := os.Open(name) //nolint:gosec // the caller's own file
+	file, err := os.Open(name) //nolint:gosec // the user names the file
 	if err != nil {
 		return err
 	}
-	// It was only read: what its closing says changes nothing.
+	// The file was only read, so an error of Close does not matter.
 	defer func() { _ = file.Close() }()
 	return st.Read(filepath.Base(name), file)
 }
@@ -90,7 +89,7 @@
 func printStory(cmd *cli.Command, rep storyReply) {
 	tbl := newTable(cmd.Root().Writer, "TIME", "VM", "WHAT", "DETAILS")
 	for _, ln := range rep.Lines {
-		tbl.row(ln.Time.Format(storyTime), ln.VM, ln.Message, details(ln))
+		tbl.row(ln.Time.Format(storyTimeLayout), ln.VM, ln.Message, details(ln))
 	}
 	tbl.flush()
 	if rep.BadLines > 0 || rep.LeftOut > 0 {
@@ -98,7 +97,7 @@
 	}
 }
 
-// details are a line's fields by name.
+// details formats a line's fields, sorted by name.
 func details(ln story.Line) string {
 	parts := make([]string, 0, len(ln.Fields))
 	for name, value := range ln.Fields {
--- a/cmd/laburnumvane/try.go
+++ b/cmd/laburnumvane/try.go
@@ -19,10 +19,10 @@
 const (
 	// tryShards is the number of shards of the sample.
 	tryShards = 6
-	// tryWait bounds the wait for each thing to come about.
-	tryWait = 10 * time.Second
-	// tryLook is how often it is looked at.
-	tryLook = 20 * time.Millisecond
+	// tryTimeout is the longest wait for one condition.
+	tryTimeout = 10 * time.Second
+	// tryPollInterval is the time between two checks of a condition.
+	tryPollInterval = 20 * time.Millisecond
 )
 
 func tryCommand() *cli.Command {
@@ -42,7 +42,7 @@
 
 func tryAction(_ context.Context, cmd *cli.Command) error {
 	hlog.SetLevel(hlog.LevelFatal)
-	tr := &trial{out: cmd.Root().Writer}
+	tr := &tryRun{out: cmd.Root().Writer}
 	defer tr.close()
 	if err := tr.run(); err != nil {
 		return &Error{Op: cmd.FullName(), Kind: KindFailure, Err: err}
@@ -50,16 +50,16 @@
 	return nil
 }
 
-// trial is one run of the command.
-type trial struct {
+// tryRun is one run of the command.
+type tryRun struct {
 	out   io.Writer
 	site  *stand.Site
 	vms   []stand.VM
 	edges []*edge.Edge
-	next  int
+	sent  int
 }
 
-func (tr *trial) close() {
+func (tr *tryRun) close() {
 	for _, eg := range tr.edges {
 		eg.Abort()
 	}
@@ -68,37 +68,37 @@
 	}
 }
 
-func (tr *trial) run() error {
+func (tr *tryRun) run() error {
 	if err := tr.start(); err != nil {
 		return err
 	}
-	tr.show("a search over all shards", stand.PathSearch+"2f")
-	tr.show("a request to one server", stand.PathLedger+"2f")
-	gone := tr.site.Server(stand.Shard(0), "east")
-	tr.site.Enter(gone, "draining", 2)
-	tr.show("a search while a server leaves", stand.PathSearch+"2f")
+	tr.sendAndPrint("a search over all shards", stand.PathSearch+"2f")
+	tr.sendAndPrint("a request to one server", stand.PathLedger+"2f")
+	leaving := tr.site.Server(stand.Shard(0), "east")
+	tr.site.Enter(leaving, "draining", 2)
+	tr.sendAndPrint("a search while a server leaves", stand.PathSearch+"2f")
 	tr.site.Store.SetAll(stand.Silent)
-	tr.show("a search while the store is away", stand.PathSearch+"2f")
+	tr.sendAndPrint("a search while the store is away", stand.PathSearch+"2f")
 	tr.site.Store.SetAll(stand.Serving)
 	tr.site.Configure([]stand.Route{{"name": "new", "host": stand.Host, "path_prefix": "/new/", "route_type": "safe",
 		"timeout_ms": 2000, "target_latency_ms": 400, "priority": 2, "service": "ledger", "max_attempts": 2}})
-	began := time.Now()
-	tr.until(func() bool { return tr.ask("/new/2f").status == http.StatusOK })
-	fmt.Fprintf(tr.out, "a new route is in force after %v\n", time.Since(began).Round(time.Millisecond))
-	tr.show("a path without route", "/nowhere/")
+	start := time.Now()
+	tr.waitUntil(func() bool { return tr.send("/new/2f").status == http.StatusOK })
+	fmt.Fprintf(tr.out, "a new route is in force after %v\n", time.Since(start).Round(time.Millisecond))
+	tr.sendAndPrint("a path without route", "/nowhere/")
 	return nil
 }
 
-// start brings up the site and its VMs.
-func (tr *trial) start() error {
-	places := []string{"east", "west", "south"}
-	site, err := stand.New(stand.Config{DataCentres: places, Shards: tryShards})
+// start starts the stand-ins and the VMs, and waits until each VM reaches all shards.
+func (tr *tryRun) start() error {
+	dataCentres := []string{"east", "west", "south"}
+	site, err := stand.New(stand.Config{DataCentres: dataCentres, Shards: tryShards})
 	if err != nil {
 		return err
 	}
 	tr.site = site
-	for i, place := range places {
-		vm, err := site.VM(fmt.Sprintf("vm-%d", i+1), place, tr.vms...)
+	for i, dataCentre := range dataCentres {
+		vm, err := site.VM(fmt.Sprintf("vm-%d", i+1), dataCentre, tr.vms...)
 		if err != nil {
 			return err
 		}
@@ -112,23 +112,24 @@
 		}
 		tr.vms = append(tr.vms, vm)
 		tr.edges = append(tr.edges, eg)
-		fmt.Fprintf(tr.out, "vm-%d in %s, clients at %s\n", i+1, place, vm.ClientAddr)
+		fmt.Fprintf(tr.out, "vm-%d in %s, clients at %s\n", i+1, dataCentre, vm.ClientAddr)
 	}
 	for range tr.vms {
-		tr.until(func() bool { return tr.ask(stand.PathSearch).missing == "0" })
+		tr.waitUntil(func() bool { return tr.send(stand.PathSearch).missing == "0" })
 	}
 	return nil
 }
 
-// until waits for something to come about; what does not shows in the answers.
-func (tr *trial) until(ok func() bool) {
-	for end := time.Now().Add(tryWait); !ok() && time.Now().Before(end); {
-		time.Sleep(tryLook)
+// waitUntil polls a condition until it holds or tryTimeout has passed. A time-out is not reported
+// here; it shows in the answers that are printed next.
+func (tr *tryRun) waitUntil(ok func() bool) {
+	for end := time.Now().Add(tryTimeout); !ok() && time.Now().Before(end); {
+		time.Sleep(tryPollInterval)
 	}
 }
 
-// trialAnswer is what a client got.
-type trialAnswer struct {
+// tryResponse is the response that a client received.
+type tryResponse struct {
 	vm      int
 	status  int
 	missing string
@@ -137,18 +138,18 @@
 	err     error
 }
 
-// ask sends a request to the VMs in turn.
-func (tr *trial) ask(path string) trialAnswer {
-	tr.next++
-	an := trialAnswer{vm: tr.next%len(tr.vms) + 1}
+// send sends a GET request to the next VM in turn.
+func (tr *tryRun) send(path string) tryResponse {
+	tr.sent++
+	an := tryResponse{vm: tr.sent%len(tr.vms) + 1}
 	rq, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+tr.vms[an.vm-1].ClientAddr+path, nil)
 	if err != nil {
 		an.err = err
 		return an
 	}
 	rq.Host = stand.Host
-	rq.Header.Set(platform.HeaderRequestID, fmt.Sprintf("try-%d", tr.next))
-	began := time.Now()
+	rq.Header.Set(platform.HeaderRequestID, fmt.Sprintf("try-%d", tr.sent))
+	start := time.Now()
 	rs, err := http.DefaultClient.Do(rq)
 	if err != nil {
 		an.err = err
@@ -156,12 +157,12 @@
 	}
 	defer rs.Body.Close()
 	body, err := io.ReadAll(rs.Body)
-	an.status, an.missing, an.bytes, an.took, an.err = rs.StatusCode, rs.Header.Get(platform.HeaderMissing), len(body), time.Since(began), err
+	an.status, an.missing, an.bytes, an.took, an.err = rs.StatusCode, rs.Header.Get(platform.HeaderMissing), len(body), time.Since(start), err
 	return an
 }
 
-func (tr *trial) show(what, path string) {
-	an := tr.ask(path)
+func (tr *tryRun) sendAndPrint(what, path string) {
+	an := tr.send(path)
 	if an.err != nil {
 		fmt.Fprintf(tr.out, "%s: vm-%d: %v\n", what, an.vm, an.err)
 		return
