--- a/cmd/laburnumvane/check.go
+++ b/cmd/laburnumvane/check.go
@@ -122,7 +122,7 @@
 			continue
 		}
 		res.Faults = append(res.Faults, settingFault{
-			Kind: flt.Kind, Flag: flt.Flag, Variable: setup.Variable(flt.Flag), Message: flt.Msg,
+			Kind: flt.Kind, Flag: flt.Flag, Variable: setup.EnvVar(flt.Flag), Message: flt.Msg,
 		})
 	}
 	return res
--- a/docs/operate/doc.go
+++ b/docs/operate/doc.go
@@ -1,5 +1,5 @@
-// Package operate checks that the operators' pages name what the program has:
-// each setting, and each alarm.
+// Package operate tests that the operators' pages describe every setting and every
+// alarm of the program, and that their links are valid.
 //
 // # Usage
 //
--- a/docs/operate/page_test.go
+++ b/docs/operate/page_test.go
@@ -19,26 +19,26 @@
 	return string(raw)
 }
 
-// An operator finds each setting on the page, and no setting that is gone.
+// The page must have a row for each setting, and none for a setting that does not exist.
 func TestSettingsAreOnThePage(t *testing.T) {
 	page := readPage(t)
 	have := make(map[string]bool)
 	for _, fl := range setup.Flags() {
 		name := fl.Names()[0]
 		have[name] = true
-		row := "| `--" + name + "` | `" + setup.Variable(name) + "` |"
+		row := "| `--" + name + "` | `" + setup.EnvVar(name) + "` |"
 		if !strings.Contains(page, row) {
 			t.Errorf("the page has no row that begins %s", row)
 		}
 	}
 	for _, row := range regexp.MustCompile("(?m)^\\| `--([a-z-]+)` \\|").FindAllStringSubmatch(page, -1) {
 		if !have[row[1]] {
-			t.Errorf("the page names --%s, which is gone", row[1])
+			t.Errorf("the page names --%s, which does not exist", row[1])
 		}
 	}
 }
 
-// Each alarm that the code can raise has a line that says what to do.
+// Each alarm that the code can raise must have a row on the page.
 func TestAlarmsAreOnThePage(t *testing.T) {
 	is := is.New(t)
 	page := readPage(t)
@@ -52,14 +52,14 @@
 		for _, one := range kinds.FindAllStringSubmatch(string(raw), -1) {
 			found++
 			if !strings.Contains(page, "| `"+one[1]+"` |") {
-				t.Errorf("the page has no line for alarm %s of %s", one[1], path)
+				t.Errorf("the page has no row for alarm %s of %s", one[1], path)
 			}
 		}
 	}
 	is.True(found > 0)
 }
 
-// A reader who follows a link of a page finds what it names.
+// The links of the pages must lead to existing files.
 func TestLinksLead(t *testing.T) {
 	is := is.New(t)
 	links := regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
--- a/io/setup/doc.go
+++ b/io/setup/doc.go
@@ -3,8 +3,8 @@
 // the VMs have no disks.
 //
 // The variable of a flag is its name in capitals after LABURNUMVANE_, so that
-// --caller-addr is LABURNUMVANE_CALLER_ADDR. A flag wins over its variable, and
-// an empty value means the default.
+// --caller-addr is LABURNUMVANE_CALLER_ADDR. A flag takes precedence over its
+// variable, and an empty value means the default.
 //
 // # Usage
 //
@@ -20,13 +20,12 @@
 //		},
 //	}
 //
-// A program that embeds a VM starts from Defaults, changes fields and calls
-// Check.
+// A program that embeds a VM starts with Defaults, sets fields and calls Check.
 //
 // # Errors
 //
 // FromCommand and Check report every wrong setting at once, since an operator
-// who mends one per start needs as many starts as there are mistakes. Each is
-// an *Error on a line of its own, naming flag and variable; errors.As finds the
-// first. No error holds the text of a token.
+// who corrects one per start needs as many starts as there are mistakes. Each is
+// an *Error on a separate line that names flag and variable; errors.As finds the
+// first. No error contains the text of a token.
 package setup
--- a/io/setup/error.go
+++ b/io/setup/error.go
@@ -2,38 +2,38 @@
 
 import "strings"
 
-// Kind says in what way a setting is wrong.
+// Kind classifies the error of a setting.
 type Kind string
 
 // Kinds of errors.
 const (
 	// KindMissing is a setting without default that was not given.
 	KindMissing Kind = "missing"
-	// KindMalformed is text that cannot be read as the setting's type.
+	// KindMalformed is text that cannot be parsed as the setting's type.
 	KindMalformed Kind = "malformed"
-	// KindRange is a value outside the bounds that the error gives.
+	// KindRange is a value outside the bounds, which the message states.
 	KindRange Kind = "outOfRange"
-	// KindConflict is a value that cannot go together with another setting's.
+	// KindConflict is a value that is incompatible with that of another setting.
 	KindConflict Kind = "conflict"
-	// KindUnsafe is a value that would let anybody change the configuration.
+	// KindUnsafe is a value that would let unauthorised users change the configuration.
 	KindUnsafe Kind = "unsafe"
 )
 
-// Error is one wrong setting.
+// Error is the error of one setting.
 type Error struct {
 	Op   string
 	Kind Kind
-	// Flag is the name without dashes.
+	// Flag is the name of the flag without leading dashes.
 	Flag string
 	Msg  string
 }
 
-// Error is one line that names flag and variable.
+// Error returns one line that names operation, flag and variable.
 func (e *Error) Error() string {
-	return e.Op + ": --" + e.Flag + " (" + Variable(e.Flag) + "): " + e.Msg
+	return e.Op + ": --" + e.Flag + " (" + EnvVar(e.Flag) + "): " + e.Msg
 }
 
-// Variable is the environment variable of a flag.
-func Variable(flag string) string {
+// EnvVar returns the name of a flag's environment variable; flag has no leading dashes.
+func EnvVar(flag string) string {
 	return "LABURNUMVANE_" + strings.ToUpper(strings.ReplaceAll(flag, "-", "_"))
 }
--- a/io/setup/flags.go
+++ b/io/setup/flags.go
@@ -33,86 +33,86 @@
 // Headings of the flags in the help text.
 const (
 	categoryAddr     = "Addresses"
-	categoryPlace    = "Place and platform"
+	categoryLocation = "Place and platform"
 	categoryToken    = "Operators"
 	categoryWork     = "Work"
 	categoryStop     = "Deadlines and stopping"
 	categoryIdentity = "Identity"
 )
 
-// setting ties a flag to the field that it fills.
+// setting describes a flag and how its value is stored in Settings.
 type setting struct {
 	flag     string
 	category string
 	usage    string
-	// def is the default as the help text shows it.
-	def string
-	// put reads text into the field.
-	put func(*Settings, string) error
-	// putList is put for a flag that may be given several times.
-	putList func(*Settings, []string) error
+	// defaultText is the default value as shown in the help text; empty shows none.
+	defaultText string
+	// set parses text and stores it in the field.
+	set func(*Settings, string) error
+	// setList is set for a flag that may be given several times; nil for other flags.
+	setList func(*Settings, []string) error
 }
 
-// settings lists every setting in the order of the help text.
+// settings returns every setting in the order of the help text.
 func settings() []setting {
 	list := addrSettings()
-	list = append(list, placeSettings()...)
+	list = append(list, locationSettings()...)
 	list = append(list, tokenSettings()...)
 	list = append(list, workSettings()...)
 	list = append(list, stopSettings()...)
 	return append(list, setting{
-		flag: FlagIncarnation, category: categoryIdentity, def: "from the clock",
+		flag: FlagIncarnation, category: categoryIdentity, defaultText: "from the clock",
 		usage: "`NUMBER` that tells this process from earlier ones at its address; must grow with each start",
-		put:   func(se *Settings, s string) error { return putUint(&se.Incarnation, s) },
+		set:   func(se *Settings, s string) error { return setUint(&se.Incarnation, s) },
 	})
 }
 
 func addrSettings() []setting {
 	return []setting{
 		{
-			flag: FlagCallerAddr, category: categoryAddr, def: DefaultCallerAddr,
+			flag: FlagCallerAddr, category: categoryAddr, defaultText: DefaultCallerAddr,
 			usage: "listen for callers on `IP:PORT`; port 0 takes a free one",
-			put:   func(se *Settings, s string) error { return putText(&se.CallerAddr, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.CallerAddr, s) },
 		},
 		{
-			flag: FlagOperatorAddr, category: categoryAddr, def: DefaultOperatorAddr,
+			flag: FlagOperatorAddr, category: categoryAddr, defaultText: DefaultOperatorAddr,
 			usage: "listen for operators on `IP:PORT`; beyond loopback it needs --" + FlagOperatorToken,
-			put:   func(se *Settings, s string) error { return putText(&se.OperatorAddr, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.OperatorAddr, s) },
 		},
 		{
-			flag: FlagInnerAddr, category: categoryAddr, def: DefaultInnerAddr,
+			flag: FlagInnerAddr, category: categoryAddr, defaultText: DefaultInnerAddr,
 			usage: "listen for other VMs on `IP:PORT`",
-			put:   func(se *Settings, s string) error { return putText(&se.InnerAddr, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.InnerAddr, s) },
 		},
 		{
-			flag: FlagAdvertiseAddr, category: categoryAddr, def: "the inner address",
+			flag: FlagAdvertiseAddr, category: categoryAddr, defaultText: "the inner address",
 			usage: "tell other VMs to reach this one at `IP:PORT`",
-			put:   func(se *Settings, s string) error { return putText(&se.AdvertiseAddr, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.AdvertiseAddr, s) },
 		},
 	}
 }
 
-func placeSettings() []setting {
+func locationSettings() []setting {
 	return []setting{
 		{
-			flag: FlagDataCentre, category: categoryPlace,
+			flag: FlagDataCentre, category: categoryLocation,
 			usage: "`NAME` of this VM's data centre",
-			put:   func(se *Settings, s string) error { return putText(&se.DataCentre, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.DataCentre, s) },
 		},
 		{
-			flag: FlagRegion, category: categoryPlace,
+			flag: FlagRegion, category: categoryLocation,
 			usage: "`NAME` of the data centre's region",
-			put:   func(se *Settings, s string) error { return putText(&se.Region, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.Region, s) },
 		},
 		{
-			flag: FlagKV, category: categoryPlace,
+			flag: FlagKV, category: categoryLocation,
 			usage:   "addresses of the key-value service, `IP:PORT`; several by commas or by giving the flag again",
-			putList: func(se *Settings, ss []string) error { return putList(&se.KV, ss) },
+			setList: func(se *Settings, ss []string) error { return setList(&se.KV, ss) },
 		},
 		{
-			flag: FlagVMList, category: categoryPlace,
+			flag: FlagVMList, category: categoryLocation,
 			usage: "address of the VM list, `IP:PORT`",
-			put:   func(se *Settings, s string) error { return putText(&se.VMList, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.VMList, s) },
 		},
 	}
 }
@@ -122,17 +122,17 @@
 		{
 			flag: FlagTicketKey, category: categoryToken,
 			usage: "secret `KEY` that signs tickets, the same on all VMs; without one a VM cannot check the tickets of others. Give it by the variable",
-			put:   func(se *Settings, s string) error { return putText(&se.TicketKey, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.TicketKey, s) },
 		},
 		{
 			flag: FlagOperatorToken, category: categoryToken,
 			usage: "bearer `TOKEN` that allows everything; better given by its variable, as flags show in the process list",
-			put:   func(se *Settings, s string) error { return putText(&se.OperatorToken, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.OperatorToken, s) },
 		},
 		{
 			flag: FlagTeamTokens, category: categoryToken,
 			usage:   "`TEAM=TOKEN` pairs, each allowing changes to that team only; several by commas",
-			putList: func(se *Settings, ss []string) error { return putPairs(&se.TeamTokens, ss) },
+			setList: func(se *Settings, ss []string) error { return setPairs(&se.TeamTokens, ss) },
 		},
 	}
 }
@@ -140,34 +140,34 @@
 func workSettings() []setting {
 	return []setting{
 		{
-			flag: FlagLogLevel, category: categoryWork, def: DefaultLogLevel,
+			flag: FlagLogLevel, category: categoryWork, defaultText: DefaultLogLevel,
 			usage: "least `LEVEL` that is logged: trace, debug, info, warn or error",
-			put:   func(se *Settings, s string) error { return putText(&se.LogLevel, s) },
+			set:   func(se *Settings, s string) error { return setText(&se.LogLevel, s) },
 		},
 		{
-			flag: FlagLogSample, category: categoryWork, def: formatInt(DefaultLogSample),
+			flag: FlagLogSample, category: categoryWork, defaultText: formatInt(DefaultLogSample),
 			usage: "log one in `NUMBER` of the complete searches; 0 for none. Others are all logged",
-			put:   func(se *Settings, s string) error { return putInt(&se.LogSample, s) },
+			set:   func(se *Settings, s string) error { return setInt(&se.LogSample, s) },
 		},
 		{
-			flag: FlagWorkers, category: categoryWork, def: formatInt(DefaultWorkers),
+			flag: FlagWorkers, category: categoryWork, defaultText: formatInt(DefaultWorkers),
 			usage: "`NUMBER` of goroutines for traffic",
-			put:   func(se *Settings, s string) error { return putInt(&se.Workers, s) },
+			set:   func(se *Settings, s string) error { return setInt(&se.Workers, s) },
 		},
 		{
-			flag: FlagMaxBodyBytes, category: categoryWork, def: formatInt(DefaultMaxBodyBytes),
+			flag: FlagMaxBodyBytes, category: categoryWork, defaultText: formatInt(DefaultMaxBodyBytes),
 			usage: "largest body of a request, in `BYTES`; KiB and MiB are understood",
-			put:   func(se *Settings, s string) error { return putBytes(&se.MaxBodyBytes, s) },
+			set:   func(se *Settings, s string) error { return setBytes(&se.MaxBodyBytes, s) },
 		},
 		{
-			flag: FlagTicketTTL, category: categoryWork, def: DefaultTicketTTL.String(),
+			flag: FlagTicketTTL, category: categoryWork, defaultText: DefaultTicketTTL.String(),
 			usage: "`TIME` for which a ticket can be used and its answer be had again",
-			put:   func(se *Settings, s string) error { return putDuration(&se.TicketTTL, s) },
+			set:   func(se *Settings, s string) error { return setDuration(&se.TicketTTL, s) },
 		},
 		{
-			flag: FlagTicketCap, category: categoryWork, def: formatInt(DefaultTicketCap),
+			flag: FlagTicketCap, category: categoryWork, defaultText: formatInt(DefaultTicketCap),
 			usage: "largest `NUMBER` of tickets remembered at once",
-			put:   func(se *Settings, s string) error { return putInt(&se.TicketCap, s) },
+			set:   func(se *Settings, s string) error { return setInt(&se.TicketCap, s) },
 		},
 	}
 }
@@ -175,26 +175,25 @@
 func stopSettings() []setting {
 	return []setting{
 		{
-			flag: FlagMaxDeadline, category: categoryStop, def: DefaultMaxDeadline.String(),
+			flag: FlagMaxDeadline, category: categoryStop, defaultText: DefaultMaxDeadline.String(),
 			usage: "longest `TIME` that a caller may ask for as deadline",
-			put:   func(se *Settings, s string) error { return putDuration(&se.MaxDeadline, s) },
+			set:   func(se *Settings, s string) error { return setDuration(&se.MaxDeadline, s) },
 		},
 		{
-			flag: FlagBalancerLag, category: categoryStop, def: DefaultBalancerLag.String(),
+			flag: FlagBalancerLag, category: categoryStop, defaultText: DefaultBalancerLag.String(),
 			usage: "`TIME` for which the balancer may go on sending after health fails",
-			put:   func(se *Settings, s string) error { return putDuration(&se.BalancerLag, s) },
+			set:   func(se *Settings, s string) error { return setDuration(&se.BalancerLag, s) },
 		},
 		{
-			flag: FlagStopGrace, category: categoryStop, def: DefaultStopGrace.String(),
+			flag: FlagStopGrace, category: categoryStop, defaultText: DefaultStopGrace.String(),
 			usage: "longest `TIME` from SIGTERM to the exit; at least balancer lag and longest deadline together",
-			put:   func(se *Settings, s string) error { return putDuration(&se.StopGrace, s) },
+			set:   func(se *Settings, s string) error { return setDuration(&se.StopGrace, s) },
 		},
 	}
 }
 
-// Flags are the flags of serve. All are text as far as the command line's
-// parser is concerned: a typed flag would end the start at the first value that
-// cannot be read and leave the others unreported.
+// Flags returns the flags of serve. The command line's parser treats all values as text: with typed
+// flags it would stop at the first value that it cannot parse and not report the others.
 func Flags() []cli.Flag {
 	list := settings()
 	flags := make([]cli.Flag, 0, len(list))
@@ -205,12 +204,12 @@
 }
 
 func (st setting) cliFlag() cli.Flag {
-	if st.putList != nil {
+	if st.setList != nil {
 		return &cli.StringSliceFlag{
 			Name:        st.flag,
 			Category:    st.category,
 			Usage:       st.usage,
-			Sources:     cli.EnvVars(Variable(st.flag)),
+			Sources:     cli.EnvVars(EnvVar(st.flag)),
 			HideDefault: true,
 		}
 	}
@@ -218,44 +217,45 @@
 		Name:     st.flag,
 		Category: st.category,
 		Usage:    st.usage,
-		Sources:  cli.EnvVars(Variable(st.flag)),
-		// Without a text of its own the help would show the variable's
-		// value as the default, and with it the operators' token.
-		DefaultText: st.def,
-		HideDefault: st.def == "",
+		Sources:  cli.EnvVars(EnvVar(st.flag)),
+		// Without DefaultText the help would show the value of the environment variable as the
+		// default, and so reveal the operators' token.
+		DefaultText: st.defaultText,
+		HideDefault: st.defaultText == "",
 	}
 }
 
-// FromCommand reads the settings of a command that has Flags, and checks them.
+// FromCommand returns the settings of a command whose flags are Flags. The error joins those of all
+// values that cannot be parsed or are invalid, each an *Error.
 func FromCommand(cmd *cli.Command) (Settings, error) {
 	se := Defaults()
 	var errs []error
 	for _, st := range settings() {
-		err := st.read(&se, cmd)
+		err := st.readFlag(&se, cmd)
 		if err != nil {
 			errs = append(errs, &Error{Op: "setup.FromCommand", Kind: KindMalformed, Flag: st.flag, Msg: err.Error()})
 		}
 	}
-	// A setting that cannot be read keeps its default, which is not reported a
-	// second time; the others are checked all the same.
-	errs = append(errs, se.check(unread(errs))...)
+	// A setting that cannot be parsed keeps its default; it is left out of the check, as it is
+	// already reported.
+	errs = append(errs, se.check(unreadable(errs))...)
 	return se, errors.Join(errs...)
 }
 
-// read fills the setting's field; an empty value leaves the default.
-func (st setting) read(se *Settings, cmd *cli.Command) error {
-	if st.putList != nil {
-		return st.putList(se, cmd.StringSlice(st.flag))
+// readFlag stores the value of the flag in the setting's field. An empty value keeps the default.
+func (st setting) readFlag(se *Settings, cmd *cli.Command) error {
+	if st.setList != nil {
+		return st.setList(se, cmd.StringSlice(st.flag))
 	}
 	text := cmd.String(st.flag)
 	if text == "" {
 		return nil
 	}
-	return st.put(se, text)
+	return st.set(se, text)
 }
 
-// unread are the flags that could not be read.
-func unread(errs []error) map[string]bool {
+// unreadable returns the flags whose values could not be parsed.
+func unreadable(errs []error) map[string]bool {
 	flags := make(map[string]bool, len(errs))
 	for _, err := range errs {
 		e, ok := errors.Into[*Error](err)
--- a/io/setup/parse.go
+++ b/io/setup/parse.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Units that a size may carry.
+// Suffixes of sizes, and their values in bytes.
 const (
 	suffixKiB = "KiB"
 	suffixMiB = "MiB"
@@ -18,12 +18,12 @@
 
 func formatInt(n int) string { return strconv.Itoa(n) }
 
-func putText(to *string, s string) error {
+func setText(to *string, s string) error {
 	*to = strings.TrimSpace(s)
 	return nil
 }
 
-func putInt(to *int, s string) error {
+func setInt(to *int, s string) error {
 	n, err := strconv.Atoi(strings.TrimSpace(s))
 	if err != nil {
 		return errors.Errorf("%q is not a whole number", s)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-func putUint(to *uint64, s string) error {
+func setUint(to *uint64, s string) error {
 	n, err := strconv.ParseUint(strings.TrimSpace(s), 10, 64)
 	if err != nil {
 		return errors.Errorf("%q is not a whole number of 0 or more", s)
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func putDuration(to *time.Duration, s string) error {
+func setDuration(to *time.Duration, s string) error {
 	d, err := time.ParseDuration(strings.TrimSpace(s))
 	if err != nil {
 		return errors.Errorf("%q is not a time with a unit, such as 500ms, 30s or 5m", s)
@@ -50,7 +50,7 @@
 	return nil
 }
 
-func putBytes(to *int, s string) error {
+func setBytes(to *int, s string) error {
 	digits, unit := strings.TrimSpace(s), 1
 	switch {
 	case strings.HasSuffix(digits, suffixKiB):
@@ -66,9 +66,8 @@
 	return nil
 }
 
-// putList keeps the parts that are not empty, so that a trailing comma is no
-// mistake.
-func putList(to *[]string, ss []string) error {
+// setList keeps the parts that are not empty, so that a trailing comma is allowed.
+func setList(to *[]string, ss []string) error {
 	var list []string
 	for _, s := range ss {
 		s = strings.TrimSpace(s)
@@ -80,9 +79,9 @@
 	return nil
 }
 
-// putPairs reads TEAM=TOKEN. Its errors count the pairs rather than show them:
-// a pair that cannot be split may be a bare token.
-func putPairs(to *map[string]string, ss []string) error {
+// setPairs parses TEAM=TOKEN pairs. Its errors give the number of a pair and not its text: a pair
+// without = may be a bare token.
+func setPairs(to *map[string]string, ss []string) error {
 	pairs := make(map[string]string, len(ss))
 	for i, s := range ss {
 		s = strings.TrimSpace(s)
--- a/io/setup/settings.go
+++ b/io/setup/settings.go
@@ -13,24 +13,23 @@
 	DefaultMaxBodyBytes = 1 << 20
 	DefaultBalancerLag  = 5 * time.Second
 	DefaultMaxDeadline  = 60 * time.Second
-	// DefaultStopGrace is DefaultBalancerLag, DefaultMaxDeadline and a little:
-	// the last search may be accepted just before the balancer stops sending
-	// and may use its whole deadline.
+	// DefaultStopGrace is the sum of DefaultBalancerLag and DefaultMaxDeadline plus 5 s: the last
+	// search may be accepted just before the balancer stops sending and may use its whole deadline.
 	DefaultStopGrace = 70 * time.Second
 	DefaultTicketTTL = 5 * time.Minute
 	DefaultTicketCap = 100_000
 )
 
-// Settings are what one VM is started with. They do not change while it runs;
-// what does is the teams' configuration.
+// Settings are the start-up settings of one VM. They do not change while it runs, unlike the teams'
+// configuration.
 type Settings struct {
 	// CallerAddr, OperatorAddr and InnerAddr are the listeners for callers,
 	// operators and other VMs, each ip:port.
 	CallerAddr   string
 	OperatorAddr string
 	InnerAddr    string
-	// AdvertiseAddr is the inner address that other VMs are told; empty for
-	// InnerAddr.
+	// AdvertiseAddr is the address that other VMs use to connect to InnerAddr; empty means InnerAddr
+	// itself.
 	AdvertiseAddr string
 
 	DataCentre string
@@ -41,47 +40,47 @@
 	// VMList is the address of the VM list, ip:port.
 	VMList string
 
-	// TicketKey signs tickets on all VMs alike; empty for one of the process's
-	// own, with which no VM can check the tickets of another.
+	// TicketKey is the key that signs tickets, the same on all VMs. If it is empty, the process uses a
+	// key of its own, and no VM can verify the tickets of another.
 	TicketKey string
 
 	// OperatorToken allows everything on the operators' listener.
 	OperatorToken string
-	// TeamTokens holds each team's token, which allows changes to that team
-	// only. A token is never in two places.
+	// TeamTokens holds the token of each team, which allows changes to that team only. All tokens
+	// must differ, from OperatorToken too.
 	TeamTokens map[string]string
 
 	// LogLevel is trace, debug, info, warn or error.
 	LogLevel string
-	// LogSample logs one in so many complete searches; 0 logs none. Searches
-	// that were not complete are all logged.
+	// LogSample n logs one of n complete searches; 0 logs none of them. Searches that were not
+	// complete are all logged.
 	LogSample int
-	// Workers is the size of the pool that runs traffic.
+	// Workers is the number of goroutines in the pool that handles traffic.
 	Workers int
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int
 
-	// BalancerLag is how long the balancer may still send requests to a VM
-	// that announced its stop.
+	// BalancerLag is the time for which the balancer may still send requests to a VM after its
+	// health check has begun to fail.
 	BalancerLag time.Duration
-	// StopGrace is the longest time from the signal to stop to the exit; a VM
-	// with nothing in flight leaves sooner.
+	// StopGrace is the maximum time from the stop signal to the exit. A VM with nothing in flight
+	// exits earlier.
 	StopGrace time.Duration
-	// MaxDeadline bounds the deadline that a caller may ask for.
+	// MaxDeadline is the longest deadline that a caller may request.
 	MaxDeadline time.Duration
 
-	// TicketTTL is how long a ticket can be used and its answer be had again.
+	// TicketTTL is the time for which a ticket can be used and its answer can be requested again.
 	TicketTTL time.Duration
-	// TicketCap bounds the tickets that the VM remembers.
+	// TicketCap is the maximum number of tickets that the VM remembers.
 	TicketCap int
 
-	// Incarnation tells this process from earlier ones at the same address;
-	// 0 takes it from the clock, see WithIncarnation.
+	// Incarnation distinguishes this process from earlier ones at the same address and must increase
+	// with each start. With 0, WithIncarnation takes it from the clock.
 	Incarnation uint64
 }
 
-// Defaults are the settings before any flag. They do not pass Check: data
-// centre, region, key-value service and VM list have no default.
+// Defaults returns the default settings. They do not pass Check, as data centre, region, key-value
+// service and VM list have no default.
 func Defaults() Settings {
 	return Settings{
 		CallerAddr:   DefaultCallerAddr,
@@ -99,7 +98,8 @@
 	}
 }
 
-// Advertised is the inner address that other VMs are told.
+// Advertised returns the address that other VMs connect to: AdvertiseAddr, or InnerAddr if that is
+// empty.
 func (se Settings) Advertised() string {
 	if se.AdvertiseAddr == "" {
 		return se.InnerAddr
@@ -107,9 +107,9 @@
 	return se.AdvertiseAddr
 }
 
-// WithIncarnation fills a missing incarnation from the clock, in microseconds:
-// fine enough that no two starts of one VM share it, and still exact as a JSON
-// number.
+// WithIncarnation returns the settings with a missing incarnation set to now in Unix microseconds.
+// Microseconds are fine enough that no two starts of a VM have the same incarnation, and the number
+// is still exact in JSON.
 func (se Settings) WithIncarnation(now time.Time) Settings {
 	if se.Incarnation == 0 {
 		se.Incarnation = uint64(now.UnixMicro())
--- a/io/setup/setup_test.go
+++ b/io/setup/setup_test.go
@@ -21,8 +21,8 @@
 	tokenB = "bbbbbbbbbbbbbbbb"
 )
 
-// needed are the least variables that serve starts with.
-func needed() map[string]string {
+// requiredVariables returns the environment variables that serve cannot start without.
+func requiredVariables() map[string]string {
 	return map[string]string{
 		"LABURNUMVANE_DATA_CENTRE": "north-1",
 		"LABURNUMVANE_REGION":      "north",
@@ -31,12 +31,12 @@
 	}
 }
 
-// read runs a command with the settings' flags. Every variable is set, so that
-// none of the machine's own gets in.
-func read(t *testing.T, env map[string]string, args ...string) (setup.Settings, error) {
+// runCommand runs a command with the settings' flags and returns the settings. It sets every variable,
+// so that the machine's environment has no effect.
+func runCommand(t *testing.T, env map[string]string, args ...string) (setup.Settings, error) {
 	t.Helper()
 	for _, flag := range flagNames() {
-		t.Setenv(setup.Variable(flag), "")
+		t.Setenv(setup.EnvVar(flag), "")
 	}
 	for name, value := range env {
 		t.Setenv(name, value)
@@ -65,7 +65,7 @@
 	return names
 }
 
-func good() setup.Settings {
+func validSettings() setup.Settings {
 	se := setup.Defaults()
 	se.DataCentre = "north-1"
 	se.Region = "north"
@@ -81,9 +81,9 @@
 		args []string
 		want func(*setup.Settings)
 	}{
-		{"needed only", nil, nil, func(*setup.Settings) {}},
+		{"required settings only", nil, nil, func(*setup.Settings) {}},
 		{
-			"flag wins over variable",
+			"flag takes precedence over variable",
 			map[string]string{"LABURNUMVANE_WORKERS": "7"},
 			[]string{"--workers", "8"},
 			func(se *setup.Settings) { se.Workers = 8 },
@@ -136,7 +136,7 @@
 			},
 		},
 		{
-			"the others",
+			"other settings",
 			nil,
 			[]string{
 				"--log-level", "debug", "--max-deadline", "2s", "--stop-grace", "10s",
@@ -155,25 +155,25 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			env := needed()
+			env := requiredVariables()
 			maps.Copy(env, tt.env)
-			want := good()
+			want := validSettings()
 			want.TeamTokens = map[string]string{}
 			tt.want(&want)
 
-			se, err := read(t, env, tt.args...)
+			se, err := runCommand(t, env, tt.args...)
 			is.NoErr(err)
 			is.Equal(se, want)
 		})
 	}
 }
 
-// An operator who starts a VM with six mistakes reads six lines, each with the
-// flag and the variable to change. Settings that cannot be read and settings
-// that can but are wrong come together: the first must not hide the second.
+// A start with six mistakes must print six lines, each with the flag and the variable to change.
+// Values that cannot be parsed and values that are invalid are reported together: the former must not
+// hide the latter.
 func TestFromCommandReportsAll(t *testing.T) {
 	is := is.New(t)
-	_, err := read(t, map[string]string{
+	_, err := runCommand(t, map[string]string{
 		"LABURNUMVANE_WORKERS":      "many",
 		"LABURNUMVANE_BALANCER_LAG": "5",
 		"LABURNUMVANE_TEAM_TOKENS":  tokenA,
@@ -201,9 +201,9 @@
 		change func(*setup.Settings)
 		want   []fault
 	}{
-		{"good", func(*setup.Settings) {}, nil},
+		{"valid", func(*setup.Settings) {}, nil},
 		{
-			"nothing given",
+			"defaults only",
 			func(se *setup.Settings) { *se = setup.Defaults() },
 			[]fault{
 				{"data-centre", setup.KindMissing},
@@ -213,17 +213,17 @@
 			},
 		},
 		{
-			"operators beyond loopback without token",
+			"operators' listener not on loopback, no token",
 			func(se *setup.Settings) { se.OperatorAddr = "10.0.0.1:7702" },
 			[]fault{{"operator-token", setup.KindUnsafe}},
 		},
 		{
-			"operators on any address without token",
+			"operators' listener on the unspecified address, no token",
 			func(se *setup.Settings) { se.OperatorAddr = "[::]:7702" },
 			[]fault{{"operator-token", setup.KindUnsafe}},
 		},
 		{
-			"team tokens do not stand in for the operators'",
+			"team tokens do not replace the operators' token",
 			func(se *setup.Settings) {
 				se.OperatorAddr = "0.0.0.0:7702"
 				se.TeamTokens = map[string]string{"wash": tokenA}
@@ -231,12 +231,12 @@
 			[]fault{{"operator-token", setup.KindUnsafe}},
 		},
 		{
-			"operators on loopback as an IPv6 address",
+			"operators' listener on loopback as an IPv4-mapped IPv6 address",
 			func(se *setup.Settings) { se.OperatorAddr = "[::ffff:127.0.0.1]:7702" },
 			nil,
 		},
 		{
-			"guessable tokens",
+			"tokens too short",
 			func(se *setup.Settings) {
 				se.OperatorToken = "short"
 				se.TeamTokens = map[string]string{"wash": ""}
@@ -244,7 +244,7 @@
 			[]fault{{"operator-token", setup.KindUnsafe}, {"team-tokens", setup.KindUnsafe}},
 		},
 		{
-			"a team with the operators' token, two teams with one",
+			"team with the operators' token, two teams with the same token",
 			func(se *setup.Settings) {
 				se.OperatorToken = tokenA
 				se.TeamTokens = map[string]string{"a": tokenA, "b": tokenB, "c": tokenB}
@@ -252,12 +252,12 @@
 			[]fault{{"team-tokens", setup.KindUnsafe}, {"team-tokens", setup.KindUnsafe}},
 		},
 		{
-			"team's name",
+			"invalid team name",
 			func(se *setup.Settings) { se.TeamTokens = map[string]string{"a/b": tokenA} },
 			[]fault{{"team-tokens", setup.KindMalformed}},
 		},
 		{
-			"listeners on one socket",
+			"two listeners on the same port",
 			func(se *setup.Settings) {
 				se.CallerAddr = "0.0.0.0:80"
 				se.OperatorAddr = "127.0.0.1:80"
@@ -265,7 +265,7 @@
 			[]fault{{"operator-addr", setup.KindConflict}},
 		},
 		{
-			"listeners on free ports",
+			"two listeners on port 0",
 			func(se *setup.Settings) {
 				se.CallerAddr = "127.0.0.1:0"
 				se.OperatorAddr = "127.0.0.1:0"
@@ -273,7 +273,7 @@
 			nil,
 		},
 		{
-			"listeners unreadable",
+			"listener addresses that cannot be parsed",
 			func(se *setup.Settings) {
 				se.CallerAddr = ""
 				se.OperatorAddr = "localhost:80"
@@ -286,17 +286,17 @@
 			},
 		},
 		{
-			"inner address that nobody can dial, not advertised otherwise",
+			"inner address that cannot be dialled, no advertised address",
 			func(se *setup.Settings) { se.InnerAddr = "0.0.0.0:7703" },
 			[]fault{{"advertise-addr", setup.KindMissing}},
 		},
 		{
-			"inner port unknown to peers",
+			"inner port 0, no advertised address",
 			func(se *setup.Settings) { se.InnerAddr = "127.0.0.1:0" },
 			[]fault{{"advertise-addr", setup.KindMissing}},
 		},
 		{
-			"addresses that nobody can dial",
+			"addresses that cannot be dialled",
 			func(se *setup.Settings) {
 				se.AdvertiseAddr = "0.0.0.0:7703"
 				se.KV = []string{"127.0.0.1:0", "127.0.0.1:1", "127.0.0.1:1"}
@@ -304,7 +304,7 @@
 			[]fault{{"advertise-addr", setup.KindRange}, {"kv", setup.KindRange}, {"kv", setup.KindConflict}},
 		},
 		{
-			"level",
+			"unknown log level",
 			func(se *setup.Settings) { se.LogLevel = "INFO" },
 			[]fault{{"log-level", setup.KindMalformed}},
 		},
@@ -345,12 +345,12 @@
 			},
 		},
 		{
-			"stop that would cut off a search",
+			"stop grace shorter than balancer lag and longest deadline",
 			func(se *setup.Settings) { se.StopGrace = se.BalancerLag + se.MaxDeadline - 1 },
 			[]fault{{"stop-grace", setup.KindConflict}},
 		},
 		{
-			"ticket forgotten under its search",
+			"ticket expires before its search's deadline",
 			func(se *setup.Settings) { se.TicketTTL = se.MaxDeadline - 1 },
 			[]fault{{"ticket-ttl", setup.KindConflict}},
 		},
@@ -358,10 +358,10 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			se := good()
+			se := validSettings()
 			tt.change(&se)
 			var got []fault
-			for _, e := range split(se.Check()) {
+			for _, e := range splitErrors(se.Check()) {
 				got = append(got, fault{e.Flag, e.Kind})
 			}
 			is.Equal(got, tt.want)
@@ -369,8 +369,8 @@
 	}
 }
 
-// split takes a joined error apart.
-func split(err error) []*setup.Error {
+// splitErrors returns the errors joined in err, each as an *Error.
+func splitErrors(err error) []*setup.Error {
 	joined, ok := err.(interface{ Unwrap() []error })
 	if !ok {
 		return nil
@@ -383,12 +383,12 @@
 	return list
 }
 
-// Whoever reads the log of a failed start, or the help on a VM whose variables
-// are set, must not learn a token: tokens outlive the VM that was given them.
+// Neither the errors of a failed start nor the help text, printed while the variables are set, may
+// contain a token: tokens remain valid after the VM is gone.
 func TestTokensStaySecret(t *testing.T) {
 	is := is.New(t)
 	const secret = "hushhush"
-	_, err := read(t, map[string]string{
+	_, err := runCommand(t, map[string]string{
 		"LABURNUMVANE_OPERATOR_TOKEN": secret,
 		"LABURNUMVANE_TEAM_TOKENS":    secret + ",wash=" + secret,
 	})
@@ -413,13 +413,13 @@
 	is.Equal(len(slices.Compact(slices.Sorted(slices.Values(names)))), 21)
 	for _, name := range names {
 		is.True(strings.Contains(help.String(), "--"+name+" "))
-		is.True(strings.Contains(help.String(), "$"+setup.Variable(name)))
+		is.True(strings.Contains(help.String(), "$"+setup.EnvVar(name)))
 	}
 }
 
 func TestAdvertised(t *testing.T) {
 	is := is.New(t)
-	se := good()
+	se := validSettings()
 	is.Equal(se.Advertised(), setup.DefaultInnerAddr)
 	se.AdvertiseAddr = "10.0.0.1:7703"
 	is.Equal(se.Advertised(), "10.0.0.1:7703")
@@ -428,8 +428,8 @@
 func TestWithIncarnation(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMicro(1_700_000_000_000_001)
-	is.Equal(good().WithIncarnation(now).Incarnation, uint64(1_700_000_000_000_001))
-	se := good()
+	is.Equal(validSettings().WithIncarnation(now).Incarnation, uint64(1_700_000_000_000_001))
+	se := validSettings()
 	se.Incarnation = 5
 	is.Equal(se.WithIncarnation(now).Incarnation, uint64(5))
 }
