--- a/io/site/overload_test.go
+++ b/io/site/overload_test.go
@@ -19,22 +19,22 @@
 	"laburnumvane/io/wire"
 )
 
-// The small installation under overload: each search asks one server of each
+// The installation for the overload benchmark. Each search sends one sub-request to a server of each
 // service.
 const (
-	overServices = 4
-	overReplicas = 3
-	overSlots    = 2
-	overQueue    = 12
-	overMean     = 20 * time.Millisecond
-	// overCapacity is the searches a second that the slots can do.
-	overCapacity = overReplicas * overSlots * float64(time.Second/overMean)
-	overSettle   = time.Second
-	overFor      = 2 * time.Second
-	overPatience = 15 * time.Second
+	overServices    = 4
+	overReplicas    = 3
+	overSlots       = 2
+	overQueue       = 12
+	overMeanService = 20 * time.Millisecond
+	// overCapacity is the number of searches per second that the slots can run.
+	overCapacity     = overReplicas * overSlots * float64(time.Second/overMeanService)
+	overWarmUp       = time.Second
+	overDuration     = 2 * time.Second
+	overReadyTimeout = 15 * time.Second
 )
 
-// overClass is one class's part of the load.
+// overClass is the share of one class in the load.
 type overClass struct {
 	name   string
 	class  team.Class
@@ -48,10 +48,9 @@
 	{"batch", team.ClassBatch, 0.4, 2000},
 }
 
-// BenchmarkOverload puts a real installation on loopback under too much load, with
-// the VMs' limits and without. The time per operation says nothing; the metrics
-// do: goodput in multiples of what the slots can do, p99 of whole answers by
-// class, and the shares refused and failed.
+// BenchmarkOverload overloads an installation on loopback, with the VMs' limits and without. The time
+// per operation has no meaning; the metrics are the goodput as a multiple of the slots' capacity, the
+// p99 latency of complete answers by class, and the shares of refused and failed searches.
 func BenchmarkOverload(b *testing.B) {
 	for _, load := range []float64{0.5, 2, 5} {
 		for _, unlimited := range []bool{false, true} {
@@ -68,10 +67,10 @@
 	is := is.New(b)
 	st := overSite(b, unlimited)
 	defer st.Close()
-	sendAll(b, st, load, overSettle)
-	begun := time.Now()
-	reports := sendAll(b, st, load, overFor)
-	elapsed := time.Since(begun).Seconds()
+	sendAll(b, st, load, overWarmUp)
+	start := time.Now()
+	reports := sendAll(b, st, load, overDuration)
+	elapsed := time.Since(start).Seconds()
 	arrived, refused, whole := uint64(0), uint64(0), uint64(0)
 	extra, primaries := 0, 0
 	for i, rp := range reports {
@@ -107,28 +106,28 @@
 	st, err := site.Start(site.Config{
 		Team: "wash", Region: "isle", VMs: 3, DataCentres: []string{"east", "west"},
 		Register: rg, Services: overServices, Slots: overSlots, Queue: overQueue, Connections: 180,
-		ServiceTime: overTime, Searches: searches, Unlimited: unlimited,
+		ServiceTime: overServiceTime, Searches: searches, Unlimited: unlimited,
 		Log: &log.Logger{Level: log.ErrorLevel, Writer: log.IOWriter{Writer: io.Discard}},
 	})
 	is.NoErr(err)
-	ctx, cancel := context.WithTimeout(context.Background(), overPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), overReadyTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
 	for !connected(st) {
-		is.NoErr(ctx.Err()) // connections never came up to plan
+		is.NoErr(ctx.Err()) // the connection plans did not reach the needed size
 		time.Sleep(10 * time.Millisecond)
 	}
 	return st
 }
 
-// overTime is half fixed and half by chance.
-func overTime(rd *rand.Rand) time.Duration {
-	half := float64(overMean) / 2
+// overServiceTime is half fixed and half exponentially distributed.
+func overServiceTime(rd *rand.Rand) time.Duration {
+	half := float64(overMeanService) / 2
 	return time.Duration(half + half*rd.ExpFloat64())
 }
 
-// connected tells whether each VM may open enough connections to each server, so
-// that they bound nothing.
+// connected reports whether each VM may open enough connections to each server for connections not
+// to limit the load.
 func connected(st *site.Site) bool {
 	for _, nd := range st.Nodes() {
 		for _, up := range nd.Status().Upstreams {
@@ -140,7 +139,7 @@
 	return true
 }
 
-// sendAll sends each class's part of a load, all at once.
+// sendAll sends the shares of all classes concurrently for d and returns a report for each class.
 func sendAll(b *testing.B, st *site.Site, load float64, d time.Duration) []emul.LoadReport {
 	var targets []string
 	for _, nd := range st.Nodes() {
--- a/io/site/pairs_check_test.go
+++ b/io/site/pairs_check_test.go
@@ -14,37 +14,37 @@
 	"laburnumvane/io/wire"
 )
 
-// attempt is one search of a caller and what came back.
+// attempt is one request of a caller and its answer or error.
 type attempt struct {
 	answer wire.SearchAnswer
 	err    error
-	// runsThen is how many shards had run the query when the answer came.
-	runsThen int
+	// runsAtAnswer is the number of shards that had run the query when the answer arrived.
+	runsAtAnswer int
 }
 
-// asked is a query that no other search has, and its attempts in their order.
-// Only one with a ticket has more than one.
-type asked struct {
-	by       string // the caller
+// searchRecord is a search with a unique query, and its attempts in order. Only a search with a ticket
+// has more than one attempt.
+type searchRecord struct {
+	caller   string
 	query    string
 	ticket   bool
 	attempts []attempt
 }
 
-// record is all that the invariants are checked on.
-type record struct {
+// trafficRecord is the data on which the invariants are checked.
+type trafficRecord struct {
 	snapshots map[uint64]*emul.Snapshot
 	runsOf    func(query string) map[int]int
-	asked     []asked
-	// revisions are those seen at each VM, in the order of seeing.
+	searches  []searchRecord
+	// revisions are the revisions observed at each VM, in the order of observation.
 	revisions map[string][]uint64
 }
 
-// faults lists what breaks an invariant.
-func (re record) faults() []string {
+// violations returns a description of each violated invariant.
+func (re trafficRecord) violations() []string {
 	var out []string
-	for _, as := range re.asked {
-		out = append(out, re.faultsOf(as)...)
+	for _, as := range re.searches {
+		out = append(out, re.violationsOf(as)...)
 	}
 	for vm, seen := range re.revisions {
 		for i := 1; i < len(seen); i++ {
@@ -56,32 +56,32 @@
 	return out
 }
 
-func (re record) faultsOf(as asked) []string {
+func (re trafficRecord) violationsOf(as searchRecord) []string {
 	var out []string
 	fault := func(format string, args ...any) {
 		out = append(out, as.query+": "+fmt.Sprintf(format, args...))
 	}
 	runs := re.runsOf(as.query)
-	claimed := true // every attempt claims that nothing ran
+	allNotRun := true // every attempt reports that nothing ran
 	for _, at := range as.attempts {
 		switch {
 		case at.err != nil:
-			claimed = claimed && client.KindOf(at.err) == client.KindUnreachable
+			allNotRun = allNotRun && client.KindOf(at.err) == client.KindUnreachable
 		case at.answer.Outcome == wire.OutcomeNotRun:
-			if at.runsThen > 0 {
-				fault("notRun (%s), and %d shards had run it", at.answer.Reason, at.runsThen)
+			if at.runsAtAnswer > 0 {
+				fault("notRun (%s), and %d shards had run it", at.answer.Reason, at.runsAtAnswer)
 			}
 		default:
-			claimed = false
+			allNotRun = false
 		}
 		if at.err == nil {
-			for _, what := range re.untrue(at.answer, runs) {
+			for _, what := range re.answerViolations(at.answer, runs) {
 				fault("%s", what)
 			}
 		}
 	}
-	if claimed && len(runs) > 0 {
-		fault("nothing ran, say all answers, and %d shards ran it", len(runs))
+	if allNotRun && len(runs) > 0 {
+		fault("all answers report that nothing ran, but %d shards ran it", len(runs))
 	}
 	for shard, n := range runs {
 		if as.ticket && n > 1 {
@@ -91,14 +91,13 @@
 	return out
 }
 
-// untrue lists what an answer's hits and coverage have wrong, by the snapshot
-// that it names. No shard of a pair's snapshots is empty, so a shard with no hit
-// is one that did not answer.
-func (re record) untrue(an wire.SearchAnswer, runs map[int]int) []string {
+// answerViolations returns the errors in an answer's hits and coverage, compared with the snapshot that
+// it names. No shard of these snapshots is empty, so that a shard without hits did not answer.
+func (re trafficRecord) answerViolations(an wire.SearchAnswer, runs map[int]int) []string {
 	switch an.Outcome {
 	case wire.OutcomeNotRun, wire.OutcomeUnknown:
 		if len(an.Hits) > 0 {
-			return []string{"hits in an answer without any: " + string(an.Outcome)}
+			return []string{"hits in an answer that must not have any: " + string(an.Outcome)}
 		}
 		return nil
 	case wire.OutcomeComplete, wire.OutcomePartial:
@@ -107,11 +106,11 @@
 	}
 	sn := re.snapshots[an.Snapshot]
 	if sn == nil {
-		return []string{fmt.Sprintf("no snapshot %d was ever published", an.Snapshot)}
+		return []string{fmt.Sprintf("snapshot %d was never published", an.Snapshot)}
 	}
 	var out []string
-	found, strange := byShard(sn, an.Hits)
-	out = append(out, strange...)
+	found, unexpected := byShard(sn, an.Hits)
+	out = append(out, unexpected...)
 	for shard, n := range found {
 		if n != len(sn.Members(shard)) {
 			out = append(out, fmt.Sprintf("%d of %d members of shard %d", n, len(sn.Members(shard)), shard))
@@ -133,26 +132,26 @@
 	return out
 }
 
-// byShard counts the hits of each shard, and lists those that are not of this
-// very snapshot, twice there, or out of order.
-func byShard(sn *emul.Snapshot, hits []wire.Hit) (found map[int]int, strange []string) {
+// byShard counts the hits of each shard, and describes those that are not from this snapshot, are
+// duplicates, or are out of order.
+func byShard(sn *emul.Snapshot, hits []wire.Hit) (found map[int]int, unexpected []string) {
 	found = map[int]int{}
 	last := ""
 	for _, hi := range hits {
 		shard := emul.ShardOf(hi.Member, sn.Shards)
 		if hi.Member <= last {
-			strange = append(strange, fmt.Sprintf("member %s after %s", hi.Member, last))
+			unexpected = append(unexpected, fmt.Sprintf("member %s after %s", hi.Member, last))
 		}
 		last = hi.Member
-		if !holds(sn, shard, hi) {
-			strange = append(strange, fmt.Sprintf("member %s as %s, not of snapshot %d", hi.Member, hi.Fields, sn.Version))
+		if !contains(sn, shard, hi) {
+			unexpected = append(unexpected, fmt.Sprintf("member %s as %s, not of snapshot %d", hi.Member, hi.Fields, sn.Version))
 		}
 		found[shard]++
 	}
-	return found, strange
+	return found, unexpected
 }
 
-func holds(sn *emul.Snapshot, shard int, hi wire.Hit) bool {
+func contains(sn *emul.Snapshot, shard int, hi wire.Hit) bool {
 	for _, me := range sn.Members(shard) {
 		if me.ID == hi.Member {
 			return bytes.Equal(me.Raw, hi.Fields)
@@ -161,15 +160,15 @@
 	return false
 }
 
-// pairSlow is what each call to the slow service takes.
-const pairSlow = 200 * time.Millisecond
+// pairSlowDelay is the delay of each call to the slow key-value service.
+const pairSlowDelay = 200 * time.Millisecond
 
-// pairMembers is enough that no shard of a pair's snapshots is empty.
+// pairMembers is large enough for every shard of the snapshots to have members.
 const pairMembers = 60
 
-// renewMembers gives every member another version, and adds one, so that hits of
-// two snapshots can't be taken for each other's.
-func renewMembers(rg *emul.Register, version int) error {
+// updateMembers sets the version of every member, and adds one member per version, so that hits of
+// two snapshots differ.
+func updateMembers(rg *emul.Register, version int) error {
 	for i := range pairMembers + version {
 		raw, err := json.Marshal(map[string]any{"member": fmt.Sprintf("m%03d", i), "version": version})
 		if err != nil {
@@ -182,13 +181,13 @@
 	return nil
 }
 
-// The checker of the pairs finds each kind of lie, and none in a true record.
+// The checker of TestPairs must find each kind of violation, and none in a correct record.
 func TestPairsChecker(t *testing.T) {
 	is := is.New(t)
 	rg := emul.NewRegister("members")
-	re := record{snapshots: map[uint64]*emul.Snapshot{}}
+	re := trafficRecord{snapshots: map[uint64]*emul.Snapshot{}}
 	for version, shards := range []int{3, 4} {
-		is.NoErr(renewMembers(rg, version))
+		is.NoErr(updateMembers(rg, version))
 		sn, err := rg.Snapshot(shards)
 		is.NoErr(err)
 		re.snapshots[sn.Version] = sn
@@ -234,43 +233,43 @@
 		ticket   bool
 		attempts []attempt
 		seen     []uint64
-		bad      bool
+		violated bool
 	}{
 		{name: "complete", runs: allRan, attempts: []attempt{{answer: answer(one, 0, 1, 2)}}},
 		{name: "partial", runs: allRan, attempts: []attempt{{answer: answer(two, 0, 3)}}},
 		{name: "not run", attempts: []attempt{{answer: notRun}}},
 		{name: "not run, then run", ticket: true, runs: allRan, attempts: []attempt{{answer: notRun}, {answer: answer(one, 0, 1, 2)}}},
-		{name: "lost", runs: allRan, attempts: []attempt{{err: &client.Error{Kind: client.KindUnknown}}}},
-		{name: "revisions rise", seen: []uint64{1, 1, 3}},
+		{name: "answer lost", runs: allRan, attempts: []attempt{{err: &client.Error{Kind: client.KindUnknown}}}},
+		{name: "revisions increase", seen: []uint64{1, 1, 3}},
 
-		{name: "two snapshots mixed", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) {
+		{name: "two snapshots mixed", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) {
 			an.Hits[7] = answer(two, 0, 1, 2, 3).Hits[7]
 		})}}},
-		{name: "another snapshot named", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Snapshot = 2 })}}},
-		{name: "unheard-of snapshot", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Snapshot = 9 })}}},
-		{name: "hit left out", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Hits = an.Hits[1:] })}}},
-		{name: "hit twice", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Hits[1] = an.Hits[0] })}}},
-		{name: "more answered than hits show", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Coverage.Answered = 3 })}}},
-		{name: "wrong share", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Coverage.Share = 0.9 })}}},
-		{name: "partial called complete", bad: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Outcome = wire.OutcomeComplete })}}},
-		{name: "hits of a shard that never ran", bad: true, runs: map[int]int{0: 1}, attempts: []attempt{{answer: answer(one, 0, 1)}}},
-		{name: "not run, and it ran", bad: true, runs: map[int]int{1: 1}, attempts: []attempt{{answer: notRun}}},
-		{name: "not run after it ran", bad: true, ticket: true, runs: allRan, attempts: []attempt{{answer: answer(one, 0, 1, 2)}, {answer: notRun, runsThen: 3}}},
-		{name: "unreachable, and it ran", bad: true, runs: map[int]int{1: 1}, attempts: []attempt{{err: &client.Error{Kind: client.KindUnreachable}}}},
-		{name: "ticket run twice", bad: true, ticket: true, runs: map[int]int{0: 1, 1: 2, 2: 1}, attempts: []attempt{{answer: answer(one, 0, 1, 2)}}},
-		{name: "revision falls", bad: true, seen: []uint64{1, 3, 2}},
+		{name: "another snapshot named", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Snapshot = 2 })}}},
+		{name: "unknown snapshot", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Snapshot = 9 })}}},
+		{name: "hit missing", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Hits = an.Hits[1:] })}}},
+		{name: "hit twice", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(one, 0, 1, 2), func(an *wire.SearchAnswer) { an.Hits[1] = an.Hits[0] })}}},
+		{name: "more answered than hits show", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Coverage.Answered = 3 })}}},
+		{name: "wrong share", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Coverage.Share = 0.9 })}}},
+		{name: "partial answer marked complete", violated: true, runs: allRan, attempts: []attempt{{answer: changed(answer(two, 0, 1), func(an *wire.SearchAnswer) { an.Outcome = wire.OutcomeComplete })}}},
+		{name: "hits of a shard that never ran", violated: true, runs: map[int]int{0: 1}, attempts: []attempt{{answer: answer(one, 0, 1)}}},
+		{name: "reported as not run, but it ran", violated: true, runs: map[int]int{1: 1}, attempts: []attempt{{answer: notRun}}},
+		{name: "reported as not run after it ran", violated: true, ticket: true, runs: allRan, attempts: []attempt{{answer: answer(one, 0, 1, 2)}, {answer: notRun, runsAtAnswer: 3}}},
+		{name: "unreachable, but it ran", violated: true, runs: map[int]int{1: 1}, attempts: []attempt{{err: &client.Error{Kind: client.KindUnreachable}}}},
+		{name: "ticket run twice", violated: true, ticket: true, runs: map[int]int{0: 1, 1: 2, 2: 1}, attempts: []attempt{{answer: answer(one, 0, 1, 2)}}},
+		{name: "revision decreases", violated: true, seen: []uint64{1, 3, 2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			re.runsOf = func(string) map[int]int { return tc.runs }
-			re.asked = []asked{{query: "q", ticket: tc.ticket, attempts: tc.attempts}}
+			re.searches = []searchRecord{{query: "q", ticket: tc.ticket, attempts: tc.attempts}}
 			re.revisions = map[string][]uint64{"vm": tc.seen}
 			if len(tc.attempts) == 0 {
-				re.asked = nil
+				re.searches = nil
 			}
-			found := re.faults()
+			found := re.violations()
 			t.Log(found)
-			is.Equal(len(found) > 0, tc.bad)
+			is.Equal(len(found) > 0, tc.violated)
 		})
 	}
 }
--- a/io/site/pairs_traffic_test.go
+++ b/io/site/pairs_traffic_test.go
@@ -27,12 +27,13 @@
 const (
 	pairSearchers = 6
 	pairRenewers  = 3
-	// pairPause keeps the load below what a busy machine can answer.
-	pairPause = 4 * time.Millisecond
+	// pairInterval is the pause of a caller between searches. It keeps the load below what a busy
+	// machine can answer.
+	pairInterval = 4 * time.Millisecond
 )
 
-// pair is a site under traffic while two faults or more are brought about.
-type pair struct {
+// pairRun is a site under traffic while two or more faults are injected.
+type pairRun struct {
 	t       *testing.T
 	st      *site.Site
 	rg      *emul.Register
@@ -44,16 +45,16 @@
 
 	mu        sync.Mutex
 	nodes     []*node.Node
-	asked     []asked
+	searches  []searchRecord
 	snapshots map[uint64]*emul.Snapshot
 	revisions map[string][]uint64
 }
 
-func startPair(t *testing.T) *pair {
+func startPairRun(t *testing.T) *pairRun {
 	t.Helper()
 	is := is.New(t)
 	rg := emul.NewRegister("members")
-	is.NoErr(renewMembers(rg, 0))
+	is.NoErr(updateMembers(rg, 0))
 	retry := team.Retry{Budget: 0.5, PerShard: 2}
 	st, err := site.Start(site.Config{
 		Team: "wash", Region: "isle", VMs: 4, DataCentres: []string{"east", "west"},
@@ -71,29 +72,29 @@
 	})
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
-	pr := &pair{
+	pr := &pairRun{
 		t: t, st: st, rg: rg,
 		stop:      make(chan struct{}),
 		nodes:     slices.Clone(st.Nodes()),
 		snapshots: map[uint64]*emul.Snapshot{1: st.Fleet().Current()},
 		revisions: map[string][]uint64{},
 	}
-	t.Cleanup(pr.halt)
+	t.Cleanup(pr.stopTraffic)
 	for i := range pairSearchers {
-		pr.each(func(n int) { pr.search(i, n) })
+		pr.repeat(func(n int) { pr.search(i, n) })
 	}
 	for i := range pairRenewers {
-		pr.each(func(n int) { pr.renew(i, n) })
+		pr.repeat(func(n int) { pr.renew(i, n) })
 	}
-	pr.each(func(int) { pr.look() })
-	pr.answered(100)
+	pr.repeat(func(int) { pr.recordRevisions() })
+	pr.awaitSearches(100)
 	return pr
 }
 
-func (pr *pair) each(f func(n int)) {
+func (pr *pairRun) repeat(f func(n int)) {
 	pr.done.Add(1)
 	go func() {
 		defer pr.done.Done()
@@ -101,81 +102,80 @@
 			select {
 			case <-pr.stop:
 				return
-			case <-time.After(pairPause):
+			case <-time.After(pairInterval):
 				f(n)
 			}
 		}
 	}()
 }
 
-// vms are those that callers know; one that was killed stays among them until
-// it is dropped, as with a balancer that lags.
-func (pr *pair) vms() []*node.Node {
+// vms returns the VMs that callers use. A killed VM stays among them until dropVM is called, as with
+// a balancer that lags behind.
+func (pr *pairRun) vms() []*node.Node {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	return slices.Clone(pr.nodes)
 }
 
-func (pr *pair) add(nd *node.Node) {
+func (pr *pairRun) addVM(nd *node.Node) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	pr.nodes = append(pr.nodes, nd)
 }
 
-func (pr *pair) drop(nd *node.Node) {
+func (pr *pairRun) dropVM(nd *node.Node) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.nodes = slices.DeleteFunc(pr.nodes, func(one *node.Node) bool { return one == nd })
+	pr.nodes = slices.DeleteFunc(pr.nodes, func(other *node.Node) bool { return other == nd })
 }
 
-func (pr *pair) search(i, n int) {
+func (pr *pairRun) search(i, n int) {
 	vms := pr.vms()
-	as := asked{by: fmt.Sprint("search ", i), query: pairQuery("search", i, n)}
+	as := searchRecord{caller: fmt.Sprint("search ", i), query: pairQuery("search", i, n)}
 	pr.attempt(&as, vms[(i+n)%len(vms)], wire.SearchRequest{Search: "lookup"})
-	pr.keep(as)
+	pr.recordSearch(as)
 }
 
-// renew sends one search with a ticket to two VMs at the same time, and once
-// more to a third afterwards.
-func (pr *pair) renew(i, n int) {
+// renew sends a search with a ticket to two VMs at the same time, and then to a third one.
+func (pr *pairRun) renew(i, n int) {
 	vms := pr.vms()
 	vm := func(k int) *node.Node { return vms[(i+n+k)%len(vms)] }
-	cl, err := client.NewCaller(client.Config{URL: "http://" + vm(0).Addrs().Caller, Timeout: patience})
+	cl, err := client.NewCaller(client.Config{URL: "http://" + vm(0).Addrs().Caller, Timeout: waitTimeout})
 	if err != nil {
 		pr.t.Error(err)
 		return
 	}
 	tickets, err := cl.Tickets(context.Background(), wire.TicketRequest{Team: "wash"})
 	if err != nil || len(tickets.Tickets) != 1 {
-		return // no ticket is no lie; each case counts the renewals that ran
+		return // no violation; logOutcomes checks that some renewals ran
 	}
-	as := asked{by: fmt.Sprint("renewal ", i), query: pairQuery("renewal", i, n), ticket: true}
+	as := searchRecord{caller: fmt.Sprint("renewal ", i), query: pairQuery("renewal", i, n), ticket: true}
 	rq := wire.SearchRequest{Search: "renewal", Ticket: tickets.Tickets[0]}
 	other := as
-	met := make(chan struct{})
+	otherDone := make(chan struct{})
 	go func() {
-		defer close(met)
+		defer close(otherDone)
 		pr.attempt(&other, vm(1), rq)
 	}()
 	pr.attempt(&as, vm(0), rq)
-	<-met
-	// Which of the two came first is not known, so neither can lie by having run
-	// before the other's answer.
+	<-otherDone
+	// The order of the two attempts is not known. So it is no violation if one reports "not run" after
+	// the other has run.
 	as.attempts = append(as.attempts, other.attempts...)
 	for k := range as.attempts {
-		as.attempts[k].runsThen = 0
+		as.attempts[k].runsAtAnswer = 0
 	}
 	pr.attempt(&as, vm(2), rq)
-	pr.keep(as)
+	pr.recordSearch(as)
 }
 
-// pairQuery finds all members in their own order; its text is like no other's.
+// pairQuery returns a query that finds all members in their default order and has a unique text.
 func pairQuery(kind string, i, n int) string {
 	return fmt.Sprintf(`{"orderBy":"%s %d %d"}`, kind, i, n)
 }
 
-func (pr *pair) attempt(as *asked, nd *node.Node, rq wire.SearchRequest) {
-	cl, err := client.NewCaller(client.Config{URL: "http://" + nd.Addrs().Caller, Timeout: patience})
+func (pr *pairRun) attempt(as *searchRecord, nd *node.Node, rq wire.SearchRequest) {
+	cl, err := client.NewCaller(client.Config{URL: "http://" + nd.Addrs().Caller, Timeout: waitTimeout})
 	if err != nil {
 		pr.t.Error(err)
 		return
@@ -185,19 +185,19 @@
 	an, err := cl.Search(context.Background(), rq)
 	at := attempt{answer: an, err: err}
 	if err == nil && an.Outcome == wire.OutcomeNotRun {
-		at.runsThen = len(pr.st.Fleet().RunsOf(as.query))
+		at.runsAtAnswer = len(pr.st.Fleet().RunsOf(as.query))
 	}
 	as.attempts = append(as.attempts, at)
 }
 
-func (pr *pair) keep(as asked) {
+func (pr *pairRun) recordSearch(as searchRecord) {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
-	pr.asked = append(pr.asked, as)
+	pr.searches = append(pr.searches, as)
 }
 
-// look notes the revision of each VM where it changed.
-func (pr *pair) look() {
+// recordRevisions records the revision of each VM if it has changed.
+func (pr *pairRun) recordRevisions() {
 	for _, nd := range pr.vms() {
 		for _, tm := range nd.Status().Teams {
 			pr.mu.Lock()
@@ -210,12 +210,12 @@
 	}
 }
 
-// count is how many kept searches fit.
-func (pr *pair) count(fits func(asked) bool) int {
+// countSearches returns the number of recorded searches that fit.
+func (pr *pairRun) countSearches(fits func(searchRecord) bool) int {
 	pr.mu.Lock()
 	defer pr.mu.Unlock()
 	n := 0
-	for _, as := range pr.asked {
+	for _, as := range pr.searches {
 		if fits(as) {
 			n++
 		}
@@ -223,19 +223,21 @@
 	return n
 }
 
-// answered waits until so many more searches came to an end.
-func (pr *pair) answered(more int) {
+// awaitSearches waits until the given number of further searches have ended.
+func (pr *pairRun) awaitSearches(more int) {
 	pr.t.Helper()
-	all := func(asked) bool { return true }
-	from := pr.count(all)
-	within(pr.t, "searches at an end", func() bool { return pr.count(all) >= from+more })
+	all := func(searchRecord) bool { return true }
+	from := pr.countSearches(all)
+	eventually(pr.t, "searches that have ended", func() bool { return pr.countSearches(all) >= from+more })
 }
 
-// round waits until every caller ended two searches, of which the second began
-// after now.
-func (pr *pair) round() {
+// awaitRound waits until every caller has ended two searches, the second of which started after the
+// call.
+func (pr *pairRun) awaitRound() {
 	pr.t.Helper()
-	by := func(name string) int { return pr.count(func(as asked) bool { return as.by == name }) }
+	by := func(name string) int {
+		return pr.countSearches(func(as searchRecord) bool { return as.caller == name })
+	}
 	from := map[string]int{}
 	for i := range pairSearchers {
 		name := fmt.Sprint("search ", i)
@@ -245,7 +247,7 @@
 		name := fmt.Sprint("renewal ", i)
 		from[name] = by(name)
 	}
-	within(pr.t, "two searches of each caller", func() bool {
+	eventually(pr.t, "two searches of each caller", func() bool {
 		for name, n := range from {
 			if by(name) < n+2 {
 				return false
@@ -255,12 +257,12 @@
 	})
 }
 
-// publish makes new members and splits them into so many shards.
-func (pr *pair) publish(shards int) {
+// publishSnapshot updates the members and publishes them as a snapshot of the given number of shards.
+func (pr *pairRun) publishSnapshot(shards int) {
 	pr.t.Helper()
 	is := is.New(pr.t)
 	pr.version++
-	is.NoErr(renewMembers(pr.rg, pr.version))
+	is.NoErr(updateMembers(pr.rg, pr.version))
 	sn, err := pr.st.Fleet().Publish(shards)
 	is.NoErr(err)
 	pr.mu.Lock()
@@ -268,8 +270,8 @@
 	pr.snapshots[sn.Version] = sn
 }
 
-// servers are one replica of each service.
-func (pr *pair) servers(replica int) []emul.Server {
+// replicas returns the replica with this index of each service.
+func (pr *pairRun) replicas(replica int) []emul.Server {
 	var out []emul.Server
 	for i, sv := range pr.st.Fleet().Servers() {
 		if i%emul.DefaultReplicas == replica {
@@ -279,14 +281,14 @@
 	return out
 }
 
-// restart brings a crashed server back.
-func (pr *pair) restart(sv emul.Server) {
+// restart restarts a crashed server.
+func (pr *pairRun) restart(sv emul.Server) {
 	pr.t.Helper()
 	is.New(pr.t).NoErr(sv.Upstream.Restart(wire.UpstreamServing))
 }
 
-// propose sends a change through a VM and gives its result.
-func (pr *pair) propose(nd *node.Node, actor string, limit int, expect *uint64) wire.ChangeReply {
+// propose submits a change through a VM and returns the result.
+func (pr *pairRun) propose(nd *node.Node, actor string, limit int, expect *uint64) wire.ChangeReply {
 	doc := pr.st.Document()
 	se := doc.Searches["lookup"]
 	se.HitLimit = limit
@@ -302,10 +304,10 @@
 	return reply
 }
 
-// revision waits until every VM has this revision or a later one, and the same.
-func (pr *pair) revision(least uint64) {
+// awaitRevision waits until all VMs have the same revision, which is at least this one.
+func (pr *pairRun) awaitRevision(least uint64) {
 	pr.t.Helper()
-	within(pr.t, "the revision at every VM", func() bool {
+	eventually(pr.t, "the revision at every VM", func() bool {
 		seen := map[uint64]bool{}
 		for _, nd := range pr.st.Nodes() {
 			for _, tm := range nd.Status().Teams {
@@ -317,30 +319,29 @@
 	})
 }
 
-// healed waits until complete answers come from the newest snapshot again.
-func (pr *pair) healed() {
+// awaitRecovered waits for 50 complete answers of the newest snapshot.
+func (pr *pairRun) awaitRecovered() {
 	pr.t.Helper()
 	newest := pr.st.Fleet().Current().Version
-	whole := func(as asked) bool {
+	whole := func(as searchRecord) bool {
 		an := as.attempts[0].answer
 		return an.Outcome == wire.OutcomeComplete && an.Snapshot == newest
 	}
-	from := pr.count(whole)
-	within(pr.t, "complete answers of the newest snapshot", func() bool { return pr.count(whole) >= from+50 })
+	from := pr.countSearches(whole)
+	eventually(pr.t, "complete answers of the newest snapshot", func() bool { return pr.countSearches(whole) >= from+50 })
 }
 
-// halt stops the traffic.
-func (pr *pair) halt() {
+// stopTraffic stops the callers and waits for them. It may be called more than once.
+func (pr *pairRun) stopTraffic() {
 	pr.once.Do(func() { close(pr.stop) })
 	pr.done.Wait()
 }
 
-// end stops the traffic, lets the servers finish what they still have, and gives
-// the record.
-func (pr *pair) end() record {
+// finish stops the traffic, waits until the servers are idle, and returns the record.
+func (pr *pairRun) finish() trafficRecord {
 	pr.t.Helper()
-	pr.halt()
-	within(pr.t, "idle servers", func() bool {
+	pr.stopTraffic()
+	eventually(pr.t, "idle servers", func() bool {
 		for _, sv := range pr.st.Fleet().Servers() {
 			if lo := sv.Upstream.Load(); lo.InFlight+lo.Queued > 0 {
 				return false
@@ -348,10 +349,10 @@
 		}
 		return true
 	})
-	return record{
+	return trafficRecord{
 		snapshots: pr.snapshots,
 		runsOf:    pr.st.Fleet().RunsOf,
-		asked:     pr.asked,
+		searches:  pr.searches,
 		revisions: pr.revisions,
 	}
 }
--- a/io/site/platform.go
+++ b/io/site/platform.go
@@ -10,8 +10,8 @@
 	"laburnumvane/io/wire"
 )
 
-// put writes a key that is absent.
-func (st *Site) put(key string, value []byte) error {
+// writeKey writes a key that does not exist yet.
+func (st *Site) writeKey(key string, value []byte) error {
 	cl := plat.New(plat.Config{Addrs: []string{st.kv.Addr()}, Timeout: 5 * time.Second})
 	defer cl.Close()
 	rp, err := cl.Swap(context.Background(), wire.KVSwapRequest{Key: key, Value: value})
@@ -19,7 +19,7 @@
 		return err
 	}
 	if !rp.Swapped {
-		return errors.Errorf("key %s is there already", key)
+		return errors.Errorf("key %s already exists", key)
 	}
 	return nil
 }
--- a/io/site/quiet_test.go
+++ b/io/site/quiet_test.go
@@ -1,4 +1,4 @@
 package site_test
 
-// Servers die on purpose here.
+// The tests crash servers on purpose.
 import _ "laburnumvane/internal/quiet"
--- a/io/site/site.go
+++ b/io/site/site.go
@@ -1,6 +1,6 @@
-// Package site runs a whole installation in one process on loopback: stand-ins
-// for the platform and the upstreams, and real entry VMs before them. The
-// demonstration and the tests of whole paths use it.
+// Package site runs a whole installation in one process on loopback: emulators of
+// the platform and the upstreams, and real entry VMs that use them. The demo
+// command and end-to-end tests use it.
 //
 // # Usage
 //
@@ -26,55 +26,55 @@
 	"laburnumvane/io/wire"
 )
 
-// Config sets an installation.
+// Config configures an installation.
 type Config struct {
-	// Team is the name of the one team.
+	// Team is the name of the only team.
 	Team string
-	// VMs are placed in the data centres in turn.
+	// VMs is the number of VMs, which are placed in the data centres in turn.
 	VMs         int
 	DataCentres []string
 	Region      string
 	Register    *emul.Register
-	// Services hold the shards; each has three servers.
+	// Services is the number of services that hold the shards; each has three servers.
 	Services int
 	Slots    int
-	// Queue is how many sub-requests wait at a server; 0 takes the default.
+	// Queue is the number of sub-requests that can wait at a server; 0 means the default.
 	Queue       int
 	Connections int
-	// ConnectTime is what a new connection to an upstream costs.
+	// ConnectTime is the time that a new connection to an upstream takes.
 	ConnectTime time.Duration
 	ServiceTime emul.ServiceTime
-	// Searches are the team's searches; their register is filled in.
+	// Searches are the team's searches. Their Register field is set by Document.
 	Searches map[string]team.Search
 	Limits   team.Limits
 	Log      *log.Logger
-	// BalancerLag is how long a stopping VM goes on listening.
+	// BalancerLag is the time for which a stopping VM keeps listening.
 	BalancerLag time.Duration
-	// TicketTTL is how long a ticket can be used.
+	// TicketTTL is the time for which a ticket can be used; 0 means the default.
 	TicketTTL time.Duration
-	// StopGrace bounds a planned stop; 0 takes the default.
+	// StopGrace is the longest time of a planned stop; 0 means the default.
 	StopGrace time.Duration
-	// Unlimited turns the VMs' limits off, to measure what they are worth.
+	// Unlimited turns off the VMs' limits, to measure their effect.
 	Unlimited bool
-	// CallerAddr is the first VM's callers' listener; empty for any port.
+	// CallerAddr is the address of the first VM's callers' listener; empty means a free port.
 	CallerAddr string
 }
 
-// ticketKey signs the tickets of a site's VMs.
+// ticketKey signs the tickets of all VMs of a site.
 const ticketKey = "one key for all VMs of a site"
 
 // Site is a running installation.
 type Site struct {
-	cfg   Config
-	kv    *emul.KV
-	vms   *emul.VMs
-	fleet *emul.Fleet
-	nodes []*node.Node
-	boots uint64
+	cfg       Config
+	kv        *emul.KV
+	vms       *emul.VMs
+	fleet     *emul.Fleet
+	nodes     []*node.Node
+	bootCount uint64
 }
 
-// Start starts platform, upstreams and VMs, with the team's configuration in
-// the key-value service.
+// Start starts platform, upstreams and VMs, and writes the team's configuration to the key-value
+// service. After an error nothing is left running.
 func Start(cfg Config) (*Site, error) {
 	st := &Site{
 		cfg: cfg,
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// Document is the team's first configuration.
+// Document returns the team's first configuration.
 func (st *Site) Document() team.Document {
 	searches := make(map[string]team.Search, len(st.cfg.Searches))
 	for name, se := range st.cfg.Searches {
@@ -145,7 +145,7 @@
 	}
 }
 
-// writeConfig puts the first configuration where operators' changes go too.
+// writeConfig writes the first configuration to the key that also holds operators' changes.
 func (st *Site) writeConfig() error {
 	raw, err := json.Marshal(st.Document())
 	if err != nil {
@@ -156,22 +156,22 @@
 	if err != nil {
 		return err
 	}
-	return st.put(change.KeyOf(st.cfg.Team), value)
+	return st.writeKey(change.KeyOf(st.cfg.Team), value)
 }
 
-// Config is what the site was started with.
+// Config returns the configuration that the site was started with.
 func (st *Site) Config() Config { return st.cfg }
 
-// Boot starts one more VM in a data centre and puts it on the VM list.
+// Boot starts another VM in a data centre and adds it to the VM list.
 func (st *Site) Boot(dataCentre string) (*node.Node, error) {
 	return st.BootWith(st.cfg, dataCentre)
 }
 
-// BootWith is Boot with other settings of the VM than the site's.
+// BootWith is Boot with a configuration other than the site's; only its settings of VMs are used.
 func (st *Site) BootWith(cfg Config, dataCentre string) (*node.Node, error) {
 	set := setup.Defaults()
 	set.CallerAddr = "127.0.0.1:0"
-	if st.boots == 0 && cfg.CallerAddr != "" {
+	if st.bootCount == 0 && cfg.CallerAddr != "" {
 		set.CallerAddr = cfg.CallerAddr
 	}
 	set.OperatorAddr = "127.0.0.1:0"
@@ -188,8 +188,8 @@
 	if cfg.StopGrace > 0 {
 		set.StopGrace = cfg.StopGrace
 	}
-	st.boots++
-	set = set.WithIncarnation(time.Now().Add(time.Duration(st.boots) * time.Microsecond))
+	st.bootCount++
+	set = set.WithIncarnation(time.Now().Add(time.Duration(st.bootCount) * time.Microsecond))
 	nd, err := node.Start(node.Config{Settings: set, Log: cfg.Log, Version: "site", Unlimited: cfg.Unlimited})
 	if err != nil {
 		return nil, err
@@ -199,36 +199,37 @@
 	return nd, nil
 }
 
-// Kill ends a VM without notice. The VM list goes on naming it.
+// Kill ends a VM without a planned stop. The VM stays on the VM list.
 func (st *Site) Kill(nd *node.Node) {
 	nd.Kill()
-	st.drop(nd)
+	st.removeNode(nd)
 }
 
-// Forget takes a VM that was stopped off the VM list, as the platform does.
+// Forget removes a stopped VM from the VM list, as the platform does.
 func (st *Site) Forget(nd *node.Node) {
 	st.vms.Remove(nd.Addrs().Inner)
-	st.drop(nd)
+	st.removeNode(nd)
 }
 
-func (st *Site) drop(nd *node.Node) {
-	st.nodes = slices.DeleteFunc(st.nodes, func(one *node.Node) bool { return one == nd })
+func (st *Site) removeNode(nd *node.Node) {
+	st.nodes = slices.DeleteFunc(st.nodes, func(other *node.Node) bool { return other == nd })
 }
 
-// Nodes lists the VMs in the order of their boot.
+// Nodes returns the VMs in the order in which they were started, without those given to Kill or
+// Forget.
 func (st *Site) Nodes() []*node.Node { return st.nodes }
 
-// KV is the stand-in of the key-value service.
+// KV returns the emulated key-value service.
 func (st *Site) KV() *emul.KV { return st.kv }
 
-// VMs is the stand-in of the VM list.
+// VMs returns the emulated VM list.
 func (st *Site) VMs() *emul.VMs { return st.vms }
 
-// Fleet is the upstreams.
+// Fleet returns the emulated upstreams.
 func (st *Site) Fleet() *emul.Fleet { return st.fleet }
 
-// WaitReady returns when every VM has the configuration and has seen a whole
-// snapshot of the register.
+// WaitReady returns when every VM has the configuration and a live server for every shard of the
+// register. It returns an error if ctx ends first.
 func (st *Site) WaitReady(ctx context.Context) error {
 	for _, nd := range st.nodes {
 		for !ready(nd) {
@@ -245,16 +246,15 @@
 	return len(registers) > 0 && registers[0].Shards > 0 && registers[0].Live == registers[0].Shards
 }
 
-// Close stops everything, VMs first.
+// Close stops the VMs and then the emulators.
 func (st *Site) Close() {
-	// Nobody will come with a ticket any more, so the VMs need not wait until
-	// the last has expired.
+	// No more tickets will be used, so the VMs do not wait until the last one has expired.
 	ctx, cancel := context.WithTimeout(context.Background(), st.cfg.BalancerLag+closeGrace)
 	defer cancel()
 	done := make(chan struct{}, len(st.nodes))
 	for _, nd := range st.nodes {
 		go func() {
-			// What could not be stopped in time ends with the process.
+			// An error means that requests were cut off, which does not matter here.
 			_ = nd.Stop(ctx)
 			done <- struct{}{}
 		}()
@@ -269,7 +269,7 @@
 	st.kv.Close()
 }
 
-// closeGrace is what is left in flight when a site closes.
+// closeGrace is the time that Close gives requests in flight, beyond the balancer lag.
 const closeGrace = 500 * time.Millisecond
 
 func sleep(ctx context.Context, d time.Duration) error {
--- a/io/site/upstreams_test.go
+++ b/io/site/upstreams_test.go
@@ -21,14 +21,16 @@
 	"laburnumvane/io/wire"
 )
 
-const patience = 60 * time.Second
+// waitTimeout is the longest wait for a condition.
+const waitTimeout = 60 * time.Second
 
-// within polls until ok; a verdict comes from what is seen and not from when.
-func within(t *testing.T, what string, ok func() bool) {
+// eventually polls until ok holds, and fails the test after waitTimeout. No test depends on how long
+// it takes.
+func eventually(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not seen: %s", what)
+			t.Fatalf("time-out while waiting for: %s", what)
 		}
 	}
 }
@@ -52,24 +54,23 @@
 	st, err := site.Start(cfg)
 	is.NoErr(err)
 	t.Cleanup(st.Close)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	is.NoErr(st.WaitReady(ctx))
 	return st
 }
 
-// load sends searches to the VMs until the returned function is called, which
-// gives the report.
-func load(t *testing.T, st *site.Site, rate float64) func() emul.LoadReport {
+// startLoad sends searches to all VMs until the returned function is called, which returns the report.
+func startLoad(t *testing.T, st *site.Site, rate float64) func() emul.LoadReport {
 	t.Helper()
 	var targets []string
 	for _, nd := range st.Nodes() {
 		targets = append(targets, nd.Addrs().Caller)
 	}
-	return loadAt(t, rate, targets...)
+	return startLoadAt(t, rate, targets...)
 }
 
-func loadAt(t *testing.T, rate float64, targets ...string) func() emul.LoadReport {
+func startLoadAt(t *testing.T, rate float64, targets ...string) func() emul.LoadReport {
 	t.Helper()
 	is := is.New(t)
 	lo, err := emul.NewLoad(emul.LoadConfig{
@@ -95,9 +96,9 @@
 	}
 }
 
-// The server refuses no connection: six VMs, under load, together never open
-// more connections to a server than it accepts. In the first version each VM
-// worked out its part before it knew the other VMs, so each took the whole.
+// Six VMs under load together must never open more connections to a server than it accepts, so that it
+// refuses none. In the first version each VM computed its share before it knew of the other VMs, and
+// so took the whole limit.
 func TestConnectionsStayWithinLimit(t *testing.T) {
 	is := is.New(t)
 	const limit = 8
@@ -105,7 +106,7 @@
 		VMs: 6, DataCentres: []string{"east", "west"}, Services: 2, Connections: limit,
 		ServiceTime: func(rd *rand.Rand) time.Duration { return time.Duration(10+rd.IntN(30)) * time.Millisecond },
 	})
-	stop := load(t, st, 1500)
+	stop := startLoad(t, st, 1500)
 	most := 0
 	for range 1600 {
 		for _, sv := range st.Fleet().Servers() {
@@ -125,8 +126,8 @@
 	is.Equal(refused, uint64(0))
 }
 
-// statusOf is the server that a VM's status shows at an address.
-func statusOf(st *site.Site, vm int, addr string) wire.UpstreamOfVM {
+// upstreamStatus returns the status of the server at addr as a VM reports it, or the zero value.
+func upstreamStatus(st *site.Site, vm int, addr string) wire.UpstreamOfVM {
 	for _, sv := range st.Nodes()[vm].Status().Upstreams {
 		if sv.Addr == addr {
 			return sv
@@ -135,71 +136,69 @@
 	return wire.UpstreamOfVM{}
 }
 
-func everywhere(st *site.Site, addr string, ok func(wire.UpstreamOfVM) bool) bool {
+func atEveryVM(st *site.Site, addr string, ok func(wire.UpstreamOfVM) bool) bool {
 	for vm := range st.Nodes() {
-		if !ok(statusOf(st, vm, addr)) {
+		if !ok(upstreamStatus(st, vm, addr)) {
 			return false
 		}
 	}
 	return true
 }
 
-// drained waits until every VM holds a server for draining, and tells how long it
-// took from begun.
-func drained(t *testing.T, st *site.Site, addr string, begun time.Time) {
+// awaitDrained waits until every VM lists a server as draining, and logs the time since start.
+func awaitDrained(t *testing.T, st *site.Site, addr string, start time.Time) {
 	t.Helper()
-	within(t, "draining at every VM", func() bool {
-		return everywhere(st, addr, func(up wire.UpstreamOfVM) bool { return up.State == "draining" })
+	eventually(t, "draining at every VM", func() bool {
+		return atEveryVM(st, addr, func(up wire.UpstreamOfVM) bool { return up.State == "draining" })
 	})
-	t.Logf("known to %d VMs after %v", len(st.Nodes()), time.Since(begun).Round(time.Millisecond))
+	t.Logf("known to %d VMs after %v", len(st.Nodes()), time.Since(start).Round(time.Millisecond))
 }
 
-// work waits until the servers have run n more sub-requests.
-func work(t *testing.T, st *site.Site, n uint64) {
+// awaitRuns waits until the servers have run n more sub-requests.
+func awaitRuns(t *testing.T, st *site.Site, n uint64) {
 	t.Helper()
 	from := st.Fleet().Runs()
-	within(t, "work on other servers", func() bool { return st.Fleet().Runs() >= from+n })
+	eventually(t, "sub-requests on the servers", func() bool { return st.Fleet().Runs() >= from+n })
 }
 
-// The caller sees complete answers all along. One server begins to drain under
-// load while its load and health endpoints go on saying that it serves. The
-// first refusal tells one VM, its sign tells the others of the data centre; from
-// then on none sends it anything, and what it had begun it finishes. The
-// endpoint's lie changes nothing for as long as the incarnation lives; the next
-// incarnation is ramped up and used.
+// A server begins to drain under load while its load and health endpoints still report that it serves.
+// One VM learns of the drain from the first refusal and signals it to the others of the data centre.
+// From then on no VM may send anything to the server, which finishes what it has started. The false
+// endpoint reports must have no effect during this incarnation; the next incarnation is ramped up and
+// used. All answers must be complete.
 func TestDrainUnderLoadWithLyingHealth(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 4, DataCentres: []string{"east"}, Services: 2, Connections: 30})
-	stop := load(t, st, 300)
+	stop := startLoad(t, st, 300)
 	sv := st.Fleet().Servers()[0]
-	within(t, "work on the server", func() bool { return sv.Upstream.Runs() > 50 })
+	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 50 })
 	sv.Upstream.SetFaults(emul.UpstreamFaults{Claim: wire.UpstreamServing})
-	begun := time.Now()
+	start := time.Now()
 	sv.Upstream.SetState(wire.UpstreamDraining)
-	drained(t, st, sv.Addr, begun)
-	work(t, st, 100) // searches that began before the drain was known end
+	awaitDrained(t, st, sv.Addr, start)
+	awaitRuns(t, st, 100) // searches that started before the drain was known have ended
 	refused, runs := sv.Upstream.Refused(wire.RefusalDraining), sv.Upstream.Runs()
-	work(t, st, 1000)
+	awaitRuns(t, st, 1000)
 	is.Equal(sv.Upstream.Refused(wire.RefusalDraining), refused) // no new work
 	is.Equal(sv.Upstream.Runs(), runs)
-	is.True(everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "draining" }))
+	is.True(atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "draining" }))
 
 	sv.Upstream.Crash()
 	sv.Upstream.SetFaults(emul.UpstreamFaults{})
 	is.NoErr(sv.Upstream.Restart(wire.UpstreamServing))
-	within(t, "work on the next incarnation", func() bool { return sv.Upstream.Runs() > runs })
+	eventually(t, "sub-requests on the next incarnation", func() bool { return sv.Upstream.Runs() > runs })
 	report := stop()
 	t.Logf("%d refusals for draining; %+v", refused, report)
 	is.Equal(report.Outcomes[wire.OutcomeComplete], report.Arrivals)
 }
 
-// The caller of a quiet VM is never sent to a drained server: only the first VM
-// has traffic and is refused. The others learn it by the sign alone: the
-// endpoints lie, and the VM list lags by a minute.
+// Only the first VM has traffic, and is refused by a draining server. The VMs without traffic can learn
+// of the drain only from the first VM's signal: the server's endpoints report that it serves, and the
+// VM list lags by a minute.
 func TestDrainIsToldToQuietVM(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 9, DataCentres: []string{"east"}, Services: 1, Connections: 30})
-	within(t, "VMs that know each other", func() bool {
+	eventually(t, "VMs that list each other", func() bool {
 		for _, nd := range st.Nodes() {
 			if len(nd.Status().VMs) != len(st.Nodes()) {
 				return false
@@ -207,35 +206,35 @@
 		}
 		return true
 	})
-	st.VMs().SetLag(time.Minute) // as of when none of them was there
+	st.VMs().SetLag(time.Minute) // the list of a minute ago has none of the VMs
 	sv := st.Fleet().Servers()[1]
 	sv.Upstream.SetFaults(emul.UpstreamFaults{Claim: wire.UpstreamServing})
 	sv.Upstream.SetState(wire.UpstreamDraining)
-	stop := loadAt(t, 200, st.Nodes()[0].Addrs().Caller)
-	within(t, "the first refusal", func() bool { return sv.Upstream.Refused(wire.RefusalDraining) > 0 })
-	drained(t, st, sv.Addr, time.Now())
+	stop := startLoadAt(t, 200, st.Nodes()[0].Addrs().Caller)
+	eventually(t, "the first refusal", func() bool { return sv.Upstream.Refused(wire.RefusalDraining) > 0 })
+	awaitDrained(t, st, sv.Addr, time.Now())
 	for vm := 1; vm < len(st.Nodes()); vm++ {
-		is.Equal(statusOf(st, vm, sv.Addr).Why, server.WhySignLeaving)
+		is.Equal(upstreamStatus(st, vm, sv.Addr).Why, server.WhySignLeaving)
 	}
 	is.Equal(stop().Failed, uint64(0))
 }
 
-// The caller gets its answers, a few of them later: a server dies with work in
-// flight. After failures of real traffic and of probes it is gone and gets no
-// more; when it is back, a probe meets the new incarnation, and it is ramped.
+// A server crashes with sub-requests in flight. After failures of traffic and of probes its state is
+// "gone", and it gets no more sub-requests. After its restart a probe finds the new incarnation, and it
+// is ramped up. All searches must be answered, a few of them later.
 func TestCrashAndRestart(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east"}, Services: 2, Connections: 30})
-	stop := load(t, st, 200)
+	stop := startLoad(t, st, 200)
 	sv := st.Fleet().Servers()[0]
-	within(t, "work on the server", func() bool { return sv.Upstream.Runs() > 20 })
+	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 20 })
 	sv.Upstream.Crash()
-	within(t, "gone everywhere", func() bool {
-		return everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "gone" })
+	eventually(t, "state gone at every VM", func() bool {
+		return atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "gone" })
 	})
 	is.NoErr(sv.Upstream.Restart(wire.UpstreamServing))
-	within(t, "serving again everywhere", func() bool {
-		return everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool {
+	eventually(t, "serving again at every VM", func() bool {
+		return atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool {
 			return up.State == "serving" && up.Incarnation == 2
 		})
 	})
@@ -245,17 +244,16 @@
 	is.Equal(report.Failed, uint64(0))
 }
 
-// The caller's answers move to each new snapshot, also to one with another
-// number of shards, without a search that mixes them; and the snapshot that the
-// servers drop is not asked for again.
+// Answers must follow each new snapshot, including one with another number of shards, and no search may
+// mix snapshots. A snapshot that the servers have dropped must not be requested again.
 func TestSnapshotsFollow(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east", "west"}, Services: 3, Connections: 30})
-	stop := load(t, st, 100)
+	stop := startLoad(t, st, 100)
 	for _, shards := range []int{3, 6, 6, 3, 9} {
 		sn, err := st.Fleet().Publish(shards)
 		is.NoErr(err)
-		within(t, "the new snapshot at every VM", func() bool {
+		eventually(t, "the new snapshot at every VM", func() bool {
 			for _, nd := range st.Nodes() {
 				rg := nd.Status().Registers[0]
 				if rg.Snapshot != sn.Version || rg.Shards != shards || rg.Live != shards {
@@ -270,15 +268,15 @@
 	is.Equal(report.Outcomes[wire.OutcomeComplete], report.Arrivals)
 }
 
-// The caller never sees a shard missing when an operator takes a server out of
-// the configuration: it drains, leaves the maps, gets no connection and no
-// poll; put back, it is used again.
+// An operator removes a server from the configuration. The server must be drained, removed from the
+// maps, and get no more connections or polls, and no answer may lack a shard. Once it is in the
+// configuration again, it must be used again.
 func TestServerLeavesConfiguration(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east"}, Services: 1, Connections: 30})
-	stop := load(t, st, 200)
+	stop := startLoad(t, st, 200)
 	sv := st.Fleet().Servers()[0]
-	within(t, "work on the server", func() bool { return sv.Upstream.Runs() > 20 })
+	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 20 })
 	whole := st.Document()
 	less := st.Document()
 	for _, rg := range less.Registers {
@@ -287,25 +285,25 @@
 			rg.Services[name] = sc
 		}
 	}
-	change(t, st, less)
-	within(t, "drained everywhere", func() bool {
-		return everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.Why == server.WhyRemoved })
+	changeConfig(t, st, less)
+	eventually(t, "drained at every VM", func() bool {
+		return atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.Why == server.WhyRemoved })
 	})
-	within(t, "no connection left", func() bool {
+	eventually(t, "no connection left", func() bool {
 		open, _ := sv.Upstream.Connections()
 		return open == 0
 	})
 	runs := sv.Upstream.Runs()
-	work(t, st, 200)
+	awaitRuns(t, st, 200)
 	is.Equal(sv.Upstream.Runs(), runs)
-	change(t, st, whole)
-	within(t, "used again", func() bool { return sv.Upstream.Runs() > runs })
+	changeConfig(t, st, whole)
+	eventually(t, "used again", func() bool { return sv.Upstream.Runs() > runs })
 	report := stop()
 	t.Logf("%+v", report)
 	is.Equal(report.Outcomes[wire.OutcomeComplete], report.Arrivals)
 }
 
-func change(t *testing.T, st *site.Site, doc team.Document) {
+func changeConfig(t *testing.T, st *site.Site, doc team.Document) {
 	t.Helper()
 	is := is.New(t)
 	raw, err := json.Marshal(doc)
@@ -315,38 +313,38 @@
 	is.Equal(reply.Result, wire.ChangeAccepted)
 }
 
-// The caller still gets complete answers, a few of them late: one server accepts
-// and never answers, neither searches nor its endpoints. Timeouts alone make it
-// suspect and unanswered probes gone; once it answers again it is used again.
+// A server accepts connections but never answers, neither searches nor on its endpoints. Time-outs must
+// make its state "suspect", and unanswered probes "gone". Once it answers again, it must be used again.
+// Callers still get complete answers, a few of them late.
 func TestServerThatNeverAnswers(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east"}, Services: 2, Connections: 30})
-	stop := load(t, st, 200)
+	stop := startLoad(t, st, 200)
 	sv := st.Fleet().Servers()[0]
-	within(t, "work on the server", func() bool { return sv.Upstream.Runs() > 20 })
+	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 20 })
 	sv.Upstream.SetFaults(emul.UpstreamFaults{Mute: true})
-	within(t, "left out everywhere", func() bool {
-		return everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "gone" || up.State == "suspect" })
+	eventually(t, "suspect or gone at every VM", func() bool {
+		return atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "gone" || up.State == "suspect" })
 	})
 	sv.Upstream.SetFaults(emul.UpstreamFaults{})
-	within(t, "used again everywhere", func() bool {
-		return everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "serving" })
+	eventually(t, "used again at every VM", func() bool {
+		return atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "serving" })
 	})
 	report := stop()
 	t.Logf("%+v", report)
 	is.Equal(report.Failed, uint64(0))
 }
 
-// The caller gets partial answers or refusals for as long as no server runs, and
-// complete ones soon after: every server of the register crashes and comes back
-// cold in the same moment, refuses for coldness, and then serves. Each stays in
-// the maps, as a shard's last replica is never gone.
+// Every server of the register crashes and restarts cold at the same time, refuses sub-requests while it
+// is cold, and then serves. Callers get partial answers or refusals while no server serves, and
+// complete answers soon after. All servers stay in the maps, as the last replica of a shard is never
+// "gone".
 func TestColdStartOfAllServers(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east"}, Services: 2, Connections: 30})
-	stop := load(t, st, 100)
+	stop := startLoad(t, st, 100)
 	servers := st.Fleet().Servers()
-	within(t, "work", func() bool { return st.Fleet().Runs() > 50 })
+	eventually(t, "sub-requests on the servers", func() bool { return st.Fleet().Runs() > 50 })
 	for _, sv := range servers {
 		sv.Upstream.Crash()
 	}
@@ -358,25 +356,25 @@
 	for _, sv := range servers {
 		sv.Upstream.SetState(wire.UpstreamServing)
 	}
-	within(t, "all serving everywhere", func() bool {
+	eventually(t, "all servers serving at every VM", func() bool {
 		for _, sv := range servers {
-			if !everywhere(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "serving" && up.Incarnation == 2 }) {
+			if !atEveryVM(st, sv.Addr, func(up wire.UpstreamOfVM) bool { return up.State == "serving" && up.Incarnation == 2 }) {
 				return false
 			}
 		}
 		return true
 	})
 	stop()
-	report := load(t, st, 100)
+	report := startLoad(t, st, 100)
 	runs := st.Fleet().Runs()
-	within(t, "searches after the start", func() bool { return st.Fleet().Runs() > runs+100 })
+	eventually(t, "searches after the restart", func() bool { return st.Fleet().Runs() > runs+100 })
 	after := report()
 	t.Logf("%+v", after)
 	is.Equal(after.Outcomes[wire.OutcomeComplete], after.Arrivals)
 }
 
-// The servers refuse no connection when all VMs are replaced at once: the new
-// ones, whose list is that of the dead, begin with one connection each.
+// All VMs are replaced at once. The new ones still get the VM list with the killed VMs, and start with
+// one connection each. The servers must refuse no connection.
 func TestAllVMsReplacedAtOnce(t *testing.T) {
 	is := is.New(t)
 	const limit = 8
@@ -390,13 +388,13 @@
 	}
 	var targets []string
 	for _, nd := range st.Nodes() {
-		within(t, "a map of the register", func() bool {
+		eventually(t, "a map of the register", func() bool {
 			registers := nd.Status().Registers
 			return len(registers) > 0 && registers[0].Live == registers[0].Shards
 		})
 		targets = append(targets, nd.Addrs().Caller)
 	}
-	stop := loadAt(t, 500, targets...)
+	stop := startLoadAt(t, 500, targets...)
 	time.Sleep(8 * time.Second)
 	t.Logf("%+v", stop())
 	for _, sv := range st.Fleet().Servers() {
@@ -405,24 +403,24 @@
 	}
 }
 
-// The caller's answers stay complete when one server drops the pinned snapshot
-// before the others: its first refusal takes it off the map at that VM, so that
-// few sub-requests are lost on it, and the snapshot stays pinned.
+// One server drops the pinned snapshot before the others. Its first refusal must remove it from the map
+// of that VM, so that few sub-requests are wasted on it, and the snapshot must stay pinned. All answers
+// must be complete.
 func TestServerDropsSnapshot(t *testing.T) {
 	is := is.New(t)
 	st := startSite(t, site.Config{VMs: 2, DataCentres: []string{"east"}, Services: 1, Connections: 30})
-	stop := load(t, st, 300)
+	stop := startLoad(t, st, 300)
 	sv := st.Fleet().Servers()[0]
-	within(t, "work on the server", func() bool { return sv.Upstream.Runs() > 20 })
+	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 20 })
 	sn, err := st.Fleet().Publish(1)
 	is.NoErr(err)
-	within(t, "the second snapshot at every VM", func() bool {
+	eventually(t, "the second snapshot at every VM", func() bool {
 		return !slices.ContainsFunc(st.Nodes(), func(nd *node.Node) bool { return nd.Status().Registers[0].Snapshot != sn.Version })
 	})
 	sv.Upstream.Retire(sn.Version)
-	work(t, st, 100) // searches that hold the old map end
+	awaitRuns(t, st, 100) // searches with the old map have ended
 	refused := sv.Upstream.Refused(wire.RefusalSnapshotGone)
-	work(t, st, 500)
+	awaitRuns(t, st, 500)
 	is.Equal(sv.Upstream.Refused(wire.RefusalSnapshotGone), refused)
 	for _, nd := range st.Nodes() {
 		is.Equal(nd.Status().Registers[0].Snapshot, sn.Version)
