--- a/io/costs/caller_test.go
+++ b/io/costs/caller_test.go
@@ -10,23 +10,23 @@
 	"laburnumvane/io/wire"
 )
 
-// The callers' side of a search: reading the request and writing the answer.
-// The listener is at the other end, so it is the peer's figures that count.
+// BenchmarkCaller measures the callers' side of a search: reading the request and writing the answer.
+// The listener runs in the peer process, so that only the peer's metrics matter.
 func BenchmarkCaller(b *testing.B) {
 	for _, hits := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("hits=%d", hits), func(b *testing.B) {
 			is := is.New(b)
 			ad := startPeer(b)
-			pl := dialPlain(b, ad.Caller)
+			hc := dialHTTP(b, ad.Caller)
 			rq := searchRequest()
 			rq.ID = strconv.Itoa(hits)
-			bi := openBill(b, ad)
+			cm := startMeter(b, ad)
 			for b.Loop() {
 				var an wire.SearchAnswer
-				pl.call(b, wire.RouteSearch, rq, &an)
+				hc.call(b, wire.RouteSearch, rq, &an)
 				is.Equal(len(an.Hits), hits)
 			}
-			bi.report(b, "search", b.N)
+			cm.report(b, "search", b.N)
 		})
 	}
 }
--- a/io/costs/exchange_test.go
+++ b/io/costs/exchange_test.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	teamName = "wash"
-	register = "members"
-	patience = 20 * time.Second
-	workers  = 4096
+	teamName    = "wash"
+	register    = "members"
+	waitTimeout = 20 * time.Second
+	workers     = 4096
 )
 
-// nobody watches what replies show.
-type nobody struct{}
+// ignoreObserver ignores what replies report about servers.
+type ignoreObserver struct{}
 
-func (nobody) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (nobody) Failed(view.ServerID, string)                           {}
+func (ignoreObserver) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
+func (ignoreObserver) Failed(view.ServerID, string)                           {}
 
-// alone has no other VM to forward to.
-type alone struct{}
+// noForwarder fails every forwarded search: there is no other VM.
+type noForwarder struct{}
 
-func (alone) Run(context.Context, ticket.Issuer, wire.SearchRequest) (wire.SearchAnswer, error) {
+func (noForwarder) Run(context.Context, ticket.Issuer, wire.SearchRequest) (wire.SearchAnswer, error) {
 	return wire.SearchAnswer{}, context.Canceled
 }
 
-// newDriver makes a driver with as many servers as shards, each with its own
-// connections, and all of them at one address.
+// newDriver returns a driver with one server per shard, each with its own connections and all at the
+// same address.
 func newDriver(tb testing.TB, addr string, shards, hits int) *drive.Driver {
 	tb.Helper()
 	is := is.New(tb)
@@ -61,16 +61,16 @@
 		Upstream:    func(id view.ServerID) drive.Upstream { return servers[id] },
 		Table:       table,
 		Workers:     pool,
-		Forward:     alone{},
-		Observe:     nobody{},
+		Forward:     noForwarder{},
+		Observe:     ignoreObserver{},
 		Meter:       meter.New(),
 		Incarnation: 1,
 		MaxDeadline: time.Minute,
 	})
 }
 
-// viewOf has a snapshot whose version is its number of shards: the other end
-// learns it so.
+// viewOf returns a view with a snapshot whose version is its number of shards. The peer process learns
+// the number of shards from the version.
 func viewOf(shards, hits int) view.View {
 	servers := make([]view.Server, shards)
 	sn := view.Snapshot{Version: uint64(shards), Replicas: make([][]view.ServerID, shards)}
@@ -81,7 +81,7 @@
 	}
 	search := team.Search{
 		Register:       register,
-		HardDeadlineMs: patience.Milliseconds(),
+		HardDeadlineMs: waitTimeout.Milliseconds(),
 		HitLimit:       hits,
 		Hedge:          team.Hedge{Quantile: 0.99, Budget: 0.03, MinDelayMs: 1000},
 		Retry:          team.Retry{Budget: 0.1, PerShard: 2},
@@ -98,8 +98,8 @@
 	return wire.SearchRequest{Team: teamName, Search: "s", Query: json.RawMessage(`{"plate":"QKD-4821"}`)}
 }
 
-// The whole cost of a sub-request in this VM with its connections: decisions,
-// encoding, both system calls, decoding and merging; all but the caller's side.
+// BenchmarkExchange measures the whole cost of a sub-request in this VM, connections included:
+// decisions, encoding, both system calls, decoding and merging, but not the callers' side.
 func BenchmarkExchange(b *testing.B) {
 	for _, shards := range []int{10, 270} {
 		for _, hits := range []int{1, 10} {
@@ -114,21 +114,21 @@
 				}
 				run() // opens the connections
 				b.ReportAllocs()
-				bi := openBill(b, ad)
+				cm := startMeter(b, ad)
 				for b.Loop() {
 					run()
 				}
-				bi.report(b, "sub", b.N*shards)
+				cm.report(b, "sub", b.N*shards)
 			})
 		}
 	}
 }
 
-// The JSON of one shard's reply, by its number of hits.
+// BenchmarkDecodeReply measures decoding the JSON of one shard's reply, by its number of hits.
 func BenchmarkDecodeReply(b *testing.B) {
 	for _, hits := range []int{0, 1, 10, 100} {
 		b.Run(fmt.Sprintf("hits=%d", hits), func(b *testing.B) {
-			raw, err := json.Marshal(replyTo(wire.ShardRequest{ID: "1x2y3z.17.270", Shard: 17, Snapshot: 270, Limit: hits}))
+			raw, err := json.Marshal(shardReplyTo(wire.ShardRequest{ID: "1x2y3z.17.270", Shard: 17, Snapshot: 270, Limit: hits}))
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/io/costs/forward_test.go
+++ b/io/costs/forward_test.go
@@ -14,35 +14,35 @@
 	"laburnumvane/io/peer"
 )
 
-// One more hop for a whole search: the request to another VM and its answer
-// back, both re-encoded, as tickets are forwarded today.
+// BenchmarkForward measures an additional hop for a whole search: the request to another VM and its
+// answer, both re-encoded, as searches with tickets are forwarded.
 func BenchmarkForward(b *testing.B) {
 	for _, hits := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("hits=%d", hits), func(b *testing.B) {
 			is := is.New(b)
 			ad := startPeer(b)
-			cl := peer.NewClient(peer.ClientConfig{Self: &inner.VM{Addr: "10.0.0.1:7702", DataCentre: "east"}, Timeout: patience})
+			cl := peer.NewClient(peer.ClientConfig{Self: &inner.VM{Addr: "10.0.0.1:7702", DataCentre: "east"}, Timeout: waitTimeout})
 			b.Cleanup(cl.Close)
 			rq := searchRequest()
 			rq.ID = strconv.Itoa(hits)
-			rq.DeadlineMs = patience.Milliseconds()
+			rq.DeadlineMs = waitTimeout.Milliseconds()
 			run := func() {
 				an, err := cl.Run(context.Background(), ticket.Issuer{Addr: ad.Inner}, rq)
 				is.NoErr(err)
 				is.Equal(len(an.Hits), hits)
 			}
 			run()
-			bi := openBill(b, ad)
+			cm := startMeter(b, ad)
 			for b.Loop() {
 				run()
 			}
-			bi.report(b, "search", b.N)
+			cm.report(b, "search", b.N)
 		})
 	}
 }
 
-// One heartbeat of the inner protocol, with as many members in its message as
-// ride on one.
+// BenchmarkBeat measures one heartbeat of the inner protocol, with up to as many members as one
+// message carries.
 func BenchmarkBeat(b *testing.B) {
 	for _, members := range []int{0, 8, 32} {
 		b.Run(fmt.Sprintf("members=%d", members), func(b *testing.B) {
@@ -62,16 +62,16 @@
 				is.NoErr(err)
 			}
 			run()
-			bi := openBill(b, ad)
+			cm := startMeter(b, ad)
 			for b.Loop() {
 				run()
 			}
-			bi.report(b, "call", b.N)
+			cm.report(b, "call", b.N)
 		})
 	}
 }
 
-// emptyBeat is a heartbeat with nothing on it.
+// emptyBeat returns a heartbeat without members.
 func emptyBeat() *inner.BeatRequest {
 	return &inner.BeatRequest{
 		Version:  inner.Version,
--- a/io/costs/main_test.go
+++ b/io/costs/main_test.go
@@ -15,34 +15,35 @@
 	"github.com/matryer/is"
 )
 
-// responderEnv makes the test binary the other end instead of running tests.
+// responderEnv is the environment variable that makes the test binary run as the peer process instead
+// of running tests.
 const responderEnv = "LABURNUMVANE_COSTS_RESPONDER"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(responderEnv) != "" {
-		os.Exit(respond())
+		os.Exit(runResponder())
 	}
 	os.Exit(m.Run())
 }
 
-// addrs is where the other end listens.
-type addrs struct {
+// peerAddrs are the addresses on which the peer process listens.
+type peerAddrs struct {
 	Upstream string `json:"upstream"`
 	Inner    string `json:"inner"`
-	Account  string `json:"account"`
+	Usage    string `json:"account"`
 	Caller   string `json:"caller"`
 }
 
-// account is what the other end has used and carried.
-type account struct {
+// usage is the processor time and the bytes received and sent by the peer process so far.
+type usage struct {
 	CPU      time.Duration `json:"cpu"`
 	Received int64         `json:"received"`
 	Sent     int64         `json:"sent"`
 }
 
-// startPeer starts the other end; it ends when its standard input does, so it
-// cannot outlive the benchmark.
-func startPeer(tb testing.TB) addrs {
+// startPeer starts the peer process. It exits when its standard input is closed, so that it cannot
+// outlive the benchmark.
+func startPeer(tb testing.TB) peerAddrs {
 	tb.Helper()
 	is := is.New(tb)
 	cmd := exec.Command(os.Args[0], "-test.run=^$")
@@ -59,27 +60,26 @@
 	})
 	line, err := bufio.NewReader(out).ReadBytes('\n')
 	is.NoErr(err)
-	var ad addrs
+	var ad peerAddrs
 	is.NoErr(json.Unmarshal(line, &ad))
 	return ad
 }
 
-// accountOf asks the other end.
-func accountOf(tb testing.TB, ad addrs) account {
+// fetchUsage requests the usage from the peer process.
+func fetchUsage(tb testing.TB, ad peerAddrs) usage {
 	tb.Helper()
 	is := is.New(tb)
-	rs, err := http.Get("http://" + ad.Account)
+	rs, err := http.Get("http://" + ad.Usage)
 	is.NoErr(err)
 	raw, err := io.ReadAll(rs.Body)
 	is.NoErr(err)
 	is.NoErr(rs.Body.Close())
-	var ac account
+	var ac usage
 	is.NoErr(json.Unmarshal(raw, &ac))
 	return ac
 }
 
-// cpuTime is the processor time of this process, in its own code and in the
-// kernel's on its behalf.
+// cpuTime returns the user and system processor time of this process.
 func cpuTime() time.Duration {
 	var ru syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &ru); err != nil {
@@ -88,29 +88,29 @@
 	return time.Duration(ru.Utime.Nano() + ru.Stime.Nano())
 }
 
-// bill measures a stretch of work.
-type bill struct {
+// costMeter measures the costs of work since startMeter.
+type costMeter struct {
 	tb    testing.TB
-	ad    addrs
+	ad    peerAddrs
 	cpu   time.Duration
-	other account
+	other usage
 }
 
-func openBill(tb testing.TB, ad addrs) bill {
+func startMeter(tb testing.TB, ad peerAddrs) costMeter {
 	tb.Helper()
-	other := accountOf(tb, ad)
-	return bill{tb: tb, ad: ad, cpu: cpuTime(), other: other}
+	other := fetchUsage(tb, ad)
+	return costMeter{tb: tb, ad: ad, cpu: cpuTime(), other: other}
 }
 
-// report prints what one of n units cost. What the other end received was sent
-// here.
-func (bi bill) report(b *testing.B, unit string, n int) {
+// report reports the cost of one of n units. The bytes that the peer process received are the ones
+// that this process sent.
+func (cm costMeter) report(b *testing.B, unit string, n int) {
 	b.Helper()
-	cpu := cpuTime() - bi.cpu
-	other := accountOf(b, bi.ad)
+	cpu := cpuTime() - cm.cpu
+	other := fetchUsage(b, cm.ad)
 	each := 1 / float64(n)
 	b.ReportMetric(cpu.Seconds()*1e6*each, "cpu-us/"+unit)
-	b.ReportMetric((other.CPU-bi.other.CPU).Seconds()*1e6*each, "peer-cpu-us/"+unit)
-	b.ReportMetric(float64(other.Received-bi.other.Received)*each, "sent-B/"+unit)
-	b.ReportMetric(float64(other.Sent-bi.other.Sent)*each, "received-B/"+unit)
+	b.ReportMetric((other.CPU-cm.other.CPU).Seconds()*1e6*each, "peer-cpu-us/"+unit)
+	b.ReportMetric(float64(other.Received-cm.other.Received)*each, "sent-B/"+unit)
+	b.ReportMetric(float64(other.Sent-cm.other.Sent)*each, "received-B/"+unit)
 }
--- a/io/costs/memory_test.go
+++ b/io/costs/memory_test.go
@@ -13,8 +13,8 @@
 	"laburnumvane/io/upst"
 )
 
-// memory is what the process holds, heap and stacks, after collection.
-func memory() float64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var ms runtime.MemStats
@@ -22,12 +22,13 @@
 	return float64(ms.HeapAlloc + ms.StackInuse)
 }
 
-// What an idle connection holds in this process; the kernel's part is not in it.
+// BenchmarkIdleConnection measures the memory that an idle connection uses in this process, without
+// that of the kernel.
 func BenchmarkIdleConnection(b *testing.B) {
 	const conns = 400
 	ad := startPeer(b)
 	for b.Loop() {
-		before := memory()
+		before := memoryInUse()
 		sv := upst.New(upst.Config{Addr: ad.Upstream, MaxConns: conns, Floor: conns})
 		for tries := 0; sv.Open() < conns; tries++ {
 			if tries > 10_000 {
@@ -36,19 +37,19 @@
 			sv.Tick(true)
 			time.Sleep(time.Millisecond)
 		}
-		after := memory()
+		after := memoryInUse()
 		runtime.KeepAlive(sv)
 		sv.Close()
 		b.ReportMetric((after-before)/conns, "B/conn")
 	}
 }
 
-// What a server without connections holds: in the published view, in the
-// tables of the control goroutine and of the picker, and in its pool.
+// BenchmarkServerMemory measures the memory of a server without connections: in the published view, in
+// the tables of the control goroutine and of the picker, and in its pool.
 func BenchmarkServerMemory(b *testing.B) {
 	const n = 2_460
 	for b.Loop() {
-		before := memory()
+		before := memoryInUse()
 		tb := server.New(server.Config{Rand: rand.New(rand.NewPCG(1, 1))})
 		list := make([]view.Server, n)
 		pools := make([]*upst.Server, n)
@@ -62,7 +63,7 @@
 		list = nil
 		table := pick.New(pick.Config{DataCentre: "east"})
 		table.Grow(n)
-		after := memory()
+		after := memoryInUse()
 		runtime.KeepAlive(tb)
 		runtime.KeepAlive(pools)
 		runtime.KeepAlive(vw)
--- a/io/costs/payload_test.go
+++ b/io/costs/payload_test.go
@@ -8,7 +8,7 @@
 	"laburnumvane/io/inner"
 )
 
-// The bytes of messages themselves, without twirp and HTTP around them.
+// BenchmarkPayload reports the bytes of messages alone, without those of twirp and HTTP.
 func BenchmarkPayload(b *testing.B) {
 	vm := &inner.VM{Addr: "10.0.0.1:7703", DataCentre: "east", Region: "north", Incarnation: 1 << 50}
 	for _, bc := range []struct {
--- a/io/costs/responder_test.go
+++ b/io/costs/responder_test.go
@@ -28,7 +28,7 @@
 	routeMerged = "/merged"
 )
 
-// traffic counts what passed through the other end's sockets.
+// traffic counts the bytes that passed through the sockets of the peer process.
 type traffic struct {
 	received, sent atomic.Int64
 }
@@ -63,8 +63,8 @@
 	return n, err
 }
 
-// respond is the other end's whole life.
-func respond() int {
+// runResponder runs the peer process until its standard input ends, and returns its exit code.
+func runResponder() int {
 	hlog.SetLevel(hlog.LevelFatal)
 	tr := new(traffic)
 	var lns [4]net.Listener
@@ -77,27 +77,27 @@
 		lns[i] = ln
 	}
 	go serveUpstream(countedListener{lns[0], tr})
-	inn := peer.NewServer(peer.ServerConfig{Listener: countedListener{lns[1], tr}, Service: holder{}})
+	inn := peer.NewServer(peer.ServerConfig{Listener: countedListener{lns[1], tr}, Service: cannedPeer{}})
 	go func() { _ = inn.Serve() }()
-	go func() { _ = http.Serve(lns[2], http.HandlerFunc(tr.account)) }()
+	go func() { _ = http.Serve(lns[2], http.HandlerFunc(tr.usage)) }()
 	go func() { _ = newFront(countedListener{lns[3], tr}).Serve() }()
-	line, err := json.Marshal(addrs{
+	line, err := json.Marshal(peerAddrs{
 		Upstream: lns[0].Addr().String(),
 		Inner:    lns[1].Addr().String(),
-		Account:  lns[2].Addr().String(),
+		Usage:    lns[2].Addr().String(),
 		Caller:   lns[3].Addr().String(),
 	})
 	if err != nil {
 		return 1
 	}
 	fmt.Println(string(line))
-	// The end of the input is the end of the benchmark.
+	// The input ends when the benchmark does.
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	return 0
 }
 
-func (tr *traffic) account(rw http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(rw).Encode(account{CPU: cpuTime(), Received: tr.received.Load(), Sent: tr.sent.Load()})
+func (tr *traffic) usage(rw http.ResponseWriter, _ *http.Request) {
+	_ = json.NewEncoder(rw).Encode(usage{CPU: cpuTime(), Received: tr.received.Load(), Sent: tr.sent.Load()})
 }
 
 func serveUpstream(ln net.Listener) {
@@ -118,7 +118,7 @@
 		if err != nil {
 			return
 		}
-		rp, err := json.Marshal(answerTo(path, body))
+		rp, err := json.Marshal(replyToPath(path, body))
 		if err != nil {
 			return
 		}
@@ -129,7 +129,7 @@
 	}
 }
 
-// readRequest reads what the benchmarks send, and no more of HTTP than that.
+// readRequest reads a request. It supports only the parts of HTTP that the benchmarks use.
 func readRequest(rd *bufio.Reader) (string, []byte, error) {
 	first, err := rd.ReadBytes('\n')
 	if err != nil {
@@ -158,44 +158,44 @@
 	return string(bytes.Fields(first)[1]), body, err
 }
 
-func answerTo(path string, body []byte) any {
+func replyToPath(path string, body []byte) any {
 	switch path {
 	case wire.RouteShardSearch:
 		var rq wire.ShardRequest
 		_ = json.Unmarshal(body, &rq)
-		return replyTo(rq)
+		return shardReplyTo(rq)
 	case routeBatch:
 		var rqs []wire.ShardRequest
 		_ = json.Unmarshal(body, &rqs)
 		rps := make([]wire.ShardReply, len(rqs))
 		for i, rq := range rqs {
-			rps[i] = replyTo(rq)
+			rps[i] = shardReplyTo(rq)
 		}
 		return rps
 	case routeMerged:
 		var rq mergedRequest
 		_ = json.Unmarshal(body, &rq)
-		return mergedOf(rq)
+		return mergedReplyTo(rq)
 	default:
 		return struct{}{}
 	}
 }
 
-// replyTo answers with as many hits as the limit. The version of a snapshot is
-// its number of shards here.
-func replyTo(rq wire.ShardRequest) wire.ShardReply {
+// shardReplyTo returns a reply with as many hits as the limit. In these benchmarks the version of a
+// snapshot is its number of shards.
+func shardReplyTo(rq wire.ShardRequest) wire.ShardReply {
 	return wire.ShardReply{
 		ID:       rq.ID,
 		Shard:    rq.Shard,
 		Snapshot: rq.Snapshot,
 		Shards:   int(rq.Snapshot),
-		Hits:     hitsOf(rq.Shard, rq.Limit),
+		Hits:     makeHits(rq.Shard, rq.Limit),
 		Load:     wire.UpstreamLoad{Incarnation: 1, State: wire.UpstreamServing, InFlight: 3},
 	}
 }
 
-// hitsOf makes hits of the size of a member with a handful of fields.
-func hitsOf(shard, n int) []wire.Hit {
+// makeHits returns n hits, each of the size of a member with five fields.
+func makeHits(shard, n int) []wire.Hit {
 	out := make([]wire.Hit, n)
 	for i := range out {
 		out[i] = wire.Hit{
@@ -207,13 +207,13 @@
 	return out
 }
 
-// mergedRequest asks for one list over many shards.
+// mergedRequest requests one merged list over many shards.
 type mergedRequest struct {
 	Request wire.ShardRequest `json:"request"`
 	Shards  []int             `json:"shards"`
 }
 
-// mergedReply is one list over many shards, with which of them it covers.
+// mergedReply is one merged list over many shards, and the shards that it covers.
 type mergedReply struct {
 	ID       string     `json:"id"`
 	Snapshot uint64     `json:"snapshot"`
@@ -222,20 +222,20 @@
 	More     bool       `json:"more"`
 }
 
-func mergedOf(rq mergedRequest) mergedReply {
+func mergedReplyTo(rq mergedRequest) mergedReply {
 	mg := merge.New(merge.Config{Limit: rq.Request.Limit})
 	for _, sh := range rq.Shards {
-		mg.Add(hitsOf(sh, rq.Request.Limit), false)
+		mg.Add(makeHits(sh, rq.Request.Limit), false)
 	}
 	hits, more := mg.Result()
 	return mergedReply{ID: rq.Request.ID, Snapshot: rq.Request.Snapshot, Answered: rq.Shards, Hits: hits, More: more}
 }
 
-// holder is a VM that gets searches forwarded; the id of a search says how many
-// hits its answer has.
-type holder struct{ inner.Peer }
+// cannedPeer is a VM to which searches are forwarded. The id of a search is the number of hits in its
+// answer.
+type cannedPeer struct{ inner.Peer }
 
-func (holder) Run(_ context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
+func (cannedPeer) Run(_ context.Context, rq *inner.RunRequest) (*inner.RunReply, error) {
 	var sr wire.SearchRequest
 	if err := json.Unmarshal(rq.GetRequest(), &sr); err != nil {
 		return nil, err
@@ -244,42 +244,42 @@
 	if err != nil {
 		return nil, err
 	}
-	raw, err := json.Marshal(answerOf(sr, n))
+	raw, err := json.Marshal(cannedAnswer(sr, n))
 	if err != nil {
 		return nil, err
 	}
 	return &inner.RunReply{Version: inner.Version, Answer: raw}, nil
 }
 
-func answerOf(rq wire.SearchRequest, hits int) wire.SearchAnswer {
+func cannedAnswer(rq wire.SearchRequest, hits int) wire.SearchAnswer {
 	return wire.SearchAnswer{
 		ID:       rq.ID,
 		Outcome:  wire.OutcomeComplete,
 		Snapshot: 7,
 		Coverage: wire.Coverage{Shards: 270, Answered: 270, Share: 1},
-		Hits:     hitsOf(1, hits),
+		Hits:     makeHits(1, hits),
 		Work:     wire.Work{Primaries: 270},
 	}
 }
 
-// canned answers searches at once; the id says how many hits.
-type canned struct{}
+// cannedSearcher answers searches at once. The id of a search is the number of hits in its answer.
+type cannedSearcher struct{}
 
-func (canned) Search(_ context.Context, rq wire.SearchRequest) wire.SearchAnswer {
+func (cannedSearcher) Search(_ context.Context, rq wire.SearchRequest) wire.SearchAnswer {
 	n, _ := strconv.Atoi(rq.ID)
-	return answerOf(rq, n)
+	return cannedAnswer(rq, n)
 }
 
-func (canned) Tickets(string, int) []string { return nil }
+func (cannedSearcher) Tickets(string, int) []string { return nil }
 
-// newFront is the callers' listener before searches that cost nothing.
+// newFront returns a callers' listener whose searches cost nothing.
 func newFront(ln net.Listener) *front.Front {
 	return front.New(front.Config{
 		Listener:    ln,
-		Search:      canned{},
+		Search:      cannedSearcher{},
 		Leaving:     func() bool { return false },
 		MaxBody:     1 << 20,
-		ReadTimeout: patience,
+		ReadTimeout: waitTimeout,
 		MaxDeadline: time.Minute,
 		TicketTTL:   time.Minute,
 		NewID:       func() string { return "x" },
@@ -288,7 +288,7 @@
 	})
 }
 
-func (holder) Beat(_ context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
+func (cannedPeer) Beat(_ context.Context, rq *inner.BeatRequest) (*inner.BeatReply, error) {
 	return &inner.BeatReply{
 		Version:  rq.GetVersion(),
 		From:     rq.GetFrom(),
