--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test made with a file that was read and
-// approved once, the golden file.
+// Package golden compares the output of a test with a golden file, whose content
+// was reviewed when it was committed.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //		golden.Check(t, "session", play(events)) // testdata/session.golden
 //	}
 //
-// After a change that is meant, write the files anew and read the difference
-// before it is committed:
+// After an intended change, rewrite the files and review the difference before
+// committing it:
 //
 //	go test ./core/drain -update
 //	git diff core/drain/testdata
@@ -28,27 +28,27 @@
 
 const readable = 0o644
 
-var update = flag.Bool("update", false, "write the golden files anew") //nolint:gochecknoglobals // a flag of the test binary
+var update = flag.Bool("update", false, "rewrite the golden files") //nolint:gochecknoglobals // a flag of the test binary
 
-// Path is where the golden file of that name is, seen from the test's folder.
+// Path returns the path of the golden file with this name, relative to the test's folder.
 func Path(name string) string { return filepath.Join("testdata", name+".golden") }
 
-// Check fails the test unless got is what the golden file holds, and names the
-// first line that differs: a whole session beside another shows nothing.
+// Check fails the test unless got equals the golden file. It prints only the first line that differs:
+// two whole sessions are too long to compare by eye.
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	is := is.New(t)
 	gls, wls := strings.Split(got, "\n"), strings.Split(Want(t, name, got), "\n")
 	for i := range min(len(gls), len(wls)) {
 		if gls[i] != wls[i] {
-			t.Fatalf("%s:%d: run with -update to write it anew\ngot  %s\nwant %s", Path(name), i+1, gls[i], wls[i])
+			t.Fatalf("%s:%d: run with -update to rewrite it\ngot  %s\nwant %s", Path(name), i+1, gls[i], wls[i])
 		}
 	}
-	is.Equal(len(gls), len(wls)) // lines of the session
+	is.Equal(len(gls), len(wls)) // number of lines
 }
 
-// Want is what the golden file holds, for tests that compare in their own way.
-// With -update it is got, which is then in the file.
+// Want returns the content of the golden file, for tests that do the comparison themselves. With
+// -update it writes got to the file first.
 func Want(t testing.TB, name, got string) string {
 	t.Helper()
 	is := is.New(t)
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -10,19 +10,19 @@
 	"laburnumvane/internal/golden"
 )
 
-// spy is a test that may fail without failing this one.
-type spy struct {
+// recordingTB records whether a check fails, without failing the test that runs it.
+type recordingTB struct {
 	testing.TB
 	failed bool
 }
 
-func (sp *spy) Helper()               {}
-func (sp *spy) FailNow()              { sp.failed = true }
-func (sp *spy) Fatalf(string, ...any) { sp.failed = true }
-func (sp *spy) Fail()                 { sp.failed = true }
-func (sp *spy) Name() string          { return "spy" }
-func (sp *spy) Log(...any)            {}
-func (sp *spy) Logf(string, ...any)   {}
+func (tb *recordingTB) Helper()               {}
+func (tb *recordingTB) FailNow()              { tb.failed = true }
+func (tb *recordingTB) Fatalf(string, ...any) { tb.failed = true }
+func (tb *recordingTB) Fail()                 { tb.failed = true }
+func (tb *recordingTB) Name() string          { return "recordingTB" }
+func (tb *recordingTB) Log(...any)            {}
+func (tb *recordingTB) Logf(string, ...any)   {}
 
 func TestCheck(t *testing.T) {
 	for _, tt := range []struct {
@@ -32,12 +32,12 @@
 		failed bool
 		after  string
 	}{
-		{"same", "a\n", "false", false, "a\n"},
-		{"other", "b\n", "false", true, "b\n"},
-		{"shorter", "a\nb\n", "false", true, "a\nb\n"},
-		{"otherWithUpdate", "b\n", "true", false, "a\n"},
-		{"noFile", "", "false", true, ""},
-		{"noFileWithUpdate", "", "true", false, "a\n"},
+		{"equal", "a\n", "false", false, "a\n"},
+		{"different", "b\n", "false", true, "b\n"},
+		{"fewer lines", "a\nb\n", "false", true, "a\nb\n"},
+		{"different, with -update", "b\n", "true", false, "a\n"},
+		{"no file", "", "false", true, ""},
+		{"no file, with -update", "", "true", false, "a\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,9 +48,9 @@
 			}
 			is.NoErr(flag.Set("update", tt.update))
 			defer func() { is.NoErr(flag.Set("update", "false")) }()
-			sp := &spy{TB: t}
-			golden.Check(sp, "it", "a\n")
-			is.Equal(sp.failed, tt.failed)
+			tb := &recordingTB{TB: t}
+			golden.Check(tb, "it", "a\n")
+			is.Equal(tb.failed, tt.failed)
 			after, err := os.ReadFile(golden.Path("it"))
 			is.Equal(err == nil, tt.after != "")
 			is.Equal(string(after), tt.after)
--- a/internal/quiet/quiet.go
+++ b/internal/quiet/quiet.go
@@ -1,15 +1,14 @@
-// Package quiet keeps the HTTP library silent in tests. It logs each connection
-// that a failure test breaks on purpose; hundreds of such lines hide the one
-// that says which test failed.
+// Package quiet turns off the log of the HTTP library in tests. The library logs
+// each connection that a failure test breaks on purpose, and hundreds of such
+// lines hide the one that names the failed test.
 //
 // # Usage
 //
-// Import it for its effect in a test package that starts servers:
+// Import it for its side effect in a test package that starts servers:
 //
 //	import _ "laburnumvane/internal/quiet"
 //
-// No verdict is lost: what a test holds is in answers and counters, never in the
-// library's log.
+// No test depends on the library's log: tests check answers and counters.
 package quiet
 
 import "github.com/cloudwego/hertz/pkg/common/hlog"
--- a/internal/seed/seed.go
+++ b/internal/seed/seed.go
@@ -1,13 +1,13 @@
-// Package seed fixes the seed of property tests, so that a run of the tests
-// gives the same verdict every time.
+// Package seed fixes the seed of property tests, so that every run of the tests
+// gives the same result.
 //
 // # Usage
 //
-// Import it for its effect in each test package that uses rapid:
+// Import it for its side effect in each test package that uses rapid:
 //
 //	import _ "laburnumvane/internal/seed"
 //
-// To look for new failures, give another seed and more checks by flag:
+// To search for new failures, set another seed and more checks with flags:
 //
 //	go test ./core/search -rapid.seed=7 -rapid.checks=100000
 package seed
@@ -19,10 +19,10 @@
 	_ "pgregory.net/rapid"
 )
 
-// fixed is the seed of every run that does not name another.
-const fixed = "20261202"
+// defaultSeed is the seed of every run that does not set another one by flag.
+const defaultSeed = "20261202"
 
-func init() { //nolint:gochecknoinits // a test binary has no other place before its flags are read
-	// The flag is there, since rapid is imported above.
-	_ = flag.Set("rapid.seed", fixed)
+func init() { //nolint:gochecknoinits // must run before the flags of the test binary are parsed
+	// Set cannot fail: the import of rapid above defines the flag.
+	_ = flag.Set("rapid.seed", defaultSeed)
 }
--- a/internal/vtime/agenda.go
+++ b/internal/vtime/agenda.go
@@ -7,24 +7,23 @@
 	"laburnumvane/core/sched"
 )
 
-// Agenda is a virtual clock and the events to come. The zero value stands at 0
-// and has no events. Not safe for concurrent use.
+// Agenda is a virtual clock and a queue of future events. The zero value is at time 0 and has no
+// events. Not safe for concurrent use.
 type Agenda[T any] struct {
 	now   time.Duration
 	queue sched.Queue[T]
 }
 
-// Now is the virtual time since the beginning.
+// Now returns the virtual time since the start.
 func (ag *Agenda[T]) Now() time.Duration { return ag.now }
 
-// After puts in an event that is due d from now. One in the past is due now,
-// as time never goes back.
+// After schedules an event in d from now. A negative d means now, as time never goes back.
 func (ag *Agenda[T]) After(d time.Duration, ev T) {
 	ag.queue.Push(ag.now+max(0, d), ev)
 }
 
-// Next takes the earliest event that is due by end, and the time is its time.
-// Without one the time is end and the second result false.
+// Next removes and returns the earliest event due by end, and advances the clock to its time. If there
+// is none, it advances the clock to end and returns false.
 func (ag *Agenda[T]) Next(end time.Duration) (T, bool) {
 	if at, ok := ag.queue.Next(); ok && at <= end {
 		ag.now = at
@@ -35,8 +34,8 @@
 	return none, false
 }
 
-// Until gives all events that are due by end in their order, those included that
-// are put in meanwhile. After a break the time is that of the last event.
+// Until yields all events due by end in order, including those scheduled meanwhile. If the loop stops
+// early, the clock stays at the time of the last event.
 func (ag *Agenda[T]) Until(end time.Duration) iter.Seq[T] {
 	return func(yield func(T) bool) {
 		for ev, ok := ag.Next(end); ok; ev, ok = ag.Next(end) {
@@ -47,9 +46,8 @@
 	}
 }
 
-// Len is how many events are to come.
+// Len returns the number of scheduled events.
 func (ag *Agenda[T]) Len() int { return ag.queue.Len() }
 
-// All gives the events to come, in no particular order but the same one in every
-// run.
+// All yields the scheduled events in an unspecified order, which is the same in every run.
 func (ag *Agenda[T]) All() iter.Seq[T] { return ag.queue.All() }
--- a/internal/vtime/doc.go
+++ b/internal/vtime/doc.go
@@ -1,6 +1,6 @@
-// Package vtime runs several state machines against each other in virtual time:
-// an agenda of events and a network that loses and delays messages. Tests and
-// benchmarks of core build their fleets on it.
+// Package vtime simulates several state machines in virtual time, with an agenda
+// of events and a network that loses and delays messages. Tests and benchmarks of
+// core build simulated fleets with it.
 //
 // # Usage
 //
@@ -19,12 +19,13 @@
 //		run()
 //	}
 //
-// An event is a function where that reads well, and a value where a run has
-// millions of them, or where it must be seen what is under way (Agenda.All).
+// Functions are convenient as events. Use values instead if a run has millions of
+// events, or if pending events must be inspected (Agenda.All).
 //
-// # The same run every time
+// # Reproducible runs
 //
-// Events of one time come out in the order in which they were put in, and all
-// chance comes from the generator in Link. A run is thus given by its seed: a
-// failure found once is found again, and two policies meet the same losses.
+// Events due at the same time are returned in the order in which they were
+// scheduled, and the generator in Link is the only source of randomness. A run is
+// thus determined by its seed: failures can be reproduced, and two policies can
+// be compared with the same losses.
 package vtime
--- a/internal/vtime/link.go
+++ b/internal/vtime/link.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// Link is a network that loses and delays messages. The draws come from Rand, so
-// that a seed gives the same losses and delays in every run.
+// Link simulates a network that loses and delays messages. All random draws come from Rand, so that a
+// seed gives the same losses and delays in every run.
 type Link struct {
 	Rand *rand.Rand
-	// Loss is the share of messages that never arrive, from 0 to 1.
+	// Loss is the probability that a message is lost, from 0 to 1.
 	Loss float64
-	// Jitter is the longest time that a message takes beyond its distance.
-	// Above the time between two messages, they overtake each other.
+	// Jitter is the maximum additional delay of a message. If it is longer than the time between two
+	// messages, they can arrive out of order.
 	Jitter time.Duration
 }
 
-// Lost draws whether a message is lost. It draws at any Loss, so that the rest
-// of a run stays comparable between losses.
+// Lost reports at random whether a message is lost. It draws a random number even if Loss is 0, so
+// that the other draws of a run do not depend on Loss.
 func (li *Link) Lost() bool { return li.Rand.Float64() < li.Loss }
 
-// Delay draws the time that a message takes over a distance: from distance up to
-// and including distance and Jitter.
+// Delay returns a random delay from distance up to and including distance plus Jitter.
 func (li *Link) Delay(distance time.Duration) time.Duration {
 	return distance + time.Duration(li.Rand.Int64N(int64(li.Jitter)+1))
 }
--- a/internal/vtime/vtime_test.go
+++ b/internal/vtime/vtime_test.go
@@ -19,7 +19,7 @@
 	for ev := range ag.Until(time.Minute) {
 		fmt.Println(ag.Now(), ev)
 		if ev == "request" {
-			ag.After(time.Second, "hedge") // after the reply, which was put in first
+			ag.After(time.Second, "hedge") // after the reply, which was scheduled first
 		}
 	}
 	fmt.Println(ag.Now())
@@ -37,22 +37,22 @@
 	ag.After(1, 10)
 	ag.After(1, 11)
 	is.Equal(slices.Collect(ag.Until(2)), []int{10, 11})
-	is.Equal(ag.Now(), time.Duration(2)) // the end, though nothing was due
+	is.Equal(ag.Now(), time.Duration(2)) // advances to the end, although no event was due
 	ag.After(-5, 20)
 	for ev := range ag.Until(2) {
 		is.Equal(ev, 20)
-		is.Equal(ag.Now(), time.Duration(2)) // no event goes back in time
+		is.Equal(ag.Now(), time.Duration(2)) // the event does not set the clock back
 	}
 	_, ok := ag.Next(1)
 	is.True(!ok)
-	is.Equal(ag.Now(), time.Duration(2)) // nor does an end in the past
+	is.Equal(ag.Now(), time.Duration(2)) // neither does an end in the past
 	is.Equal(ag.Len(), 1)
 	is.Equal(slices.Collect(ag.All()), []int{30})
 	ag.After(5, 70)
 	for range ag.Until(9) {
 		break
 	}
-	is.Equal(ag.Now(), time.Duration(3)) // of the last event
+	is.Equal(ag.Now(), time.Duration(3)) // the time of the last event
 }
 
 func TestLink(t *testing.T) {
@@ -67,16 +67,16 @@
 		lost := 0
 		seen := map[time.Duration]bool{}
 		for range messages {
-			gone, delay := one.Lost(), one.Delay(distance)
-			is.Equal(other.Lost(), gone) // the same seed, the same losses
+			isLost, delay := one.Lost(), one.Delay(distance)
+			is.Equal(other.Lost(), isLost) // the same seed, the same losses
 			is.Equal(other.Delay(distance), delay)
 			is.True(delay >= distance && delay <= distance+jitter)
 			seen[delay] = true
-			if gone {
+			if isLost {
 				lost++
 			}
 		}
 		is.True(lost >= tt.least && lost <= tt.most)
-		is.Equal(len(seen), jitter+1) // both ends are drawn
+		is.Equal(len(seen), jitter+1) // both bounds occur
 	}
 }
