--- a/tools/nogo/main.go
+++ b/tools/nogo/main.go
@@ -1,13 +1,13 @@
-// Command nogo fails where Go files below a directory start a goroutine, which
-// no stock linter can forbid for a part of the tree.
+// Command nogo fails if a Go file below a directory starts a goroutine. No
+// standard linter can forbid that for a part of the tree.
 //
 // # Usage
 //
 //	go run -C tools ./nogo ../core
 //
-// It prints each go statement with its place and exits 1 if there was any, 2 if
-// a file could not be read. Tests are left out: they may start goroutines to
-// show that what is meant to be shared can be.
+// It prints the position of each go statement and exits with 1 if there is any,
+// and with 2 if a file cannot be read. Test files are skipped: tests may start
+// goroutines to show that shared types are safe for concurrent use.
 package main
 
 import (
@@ -38,14 +38,14 @@
 		os.Exit(exitError)
 	}
 	for _, pos := range found {
-		fmt.Printf("%s: core starts no goroutine: a second one could make the same events give other actions\n", pos)
+		fmt.Printf("%s: core must not start goroutines: with a second one, the same events could lead to different actions\n", pos)
 	}
 	if len(found) > 0 {
 		os.Exit(exitFound)
 	}
 }
 
-// search lists the go statements of the Go files below root.
+// search returns the positions of all go statements in Go files below root, except test files.
 func search(root string) ([]token.Position, error) {
 	var found []token.Position
 	err := filepath.WalkDir(root, func(path string, de fs.DirEntry, err error) error {
--- a/tools/nogo/main_test.go
+++ b/tools/nogo/main_test.go
@@ -11,11 +11,11 @@
 		name, file, source string
 		want               int
 	}{
-		{"none", "a.go", "package a\n\nfunc f() { defer f() }\n", 0},
-		{"plain", "a.go", "package a\n\nfunc f() { go f() }\n", 1},
-		{"nested twice", "a.go", "package a\n\nfunc f() {\n\tgo func() {\n\t\tgo f()\n\t}()\n}\n", 2},
-		{"test", "a_test.go", "package a\n\nfunc f() { go f() }\n", 0},
-		{"below", "b/c/a.go", "package a\n\nfunc f() { if true { go f() } }\n", 1},
+		{"no go statement", "a.go", "package a\n\nfunc f() { defer f() }\n", 0},
+		{"one go statement", "a.go", "package a\n\nfunc f() { go f() }\n", 1},
+		{"nested go statements", "a.go", "package a\n\nfunc f() {\n\tgo func() {\n\t\tgo f()\n\t}()\n}\n", 2},
+		{"test file", "a_test.go", "package a\n\nfunc f() { go f() }\n", 0},
+		{"file in a subdirectory", "b/c/a.go", "package a\n\nfunc f() { if true { go f() } }\n", 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -34,13 +34,13 @@
 				t.Fatal(err)
 			}
 			if len(found) != tt.want {
-				t.Errorf("search = %v, want %d places", found, tt.want)
+				t.Errorf("search = %v, want %d positions", found, tt.want)
 			}
 		})
 	}
 }
 
-func TestSearchReportsUnreadable(t *testing.T) {
+func TestSearchReportsMissingDirectory(t *testing.T) {
 	_, err := search(filepath.Join(t.TempDir(), "absent"))
 	if err == nil {
 		t.Error("search of an absent directory gave no error")
--- a/tools/tally/main.go
+++ b/tools/tally/main.go
@@ -1,14 +1,14 @@
-// Command tally reads the events of go test -json, shows the packages' lines and
-// what failing tests printed, and closes with one line that counts the tests.
+// Command tally reads the events of go test -json, prints the output of packages
+// and of failed tests, and ends with one line that counts the tests.
 //
 // # Usage
 //
 //	go test -json ./... | go run -C tools ./tally
 //
 // The last line is "N passed, N failed", with ", N skipped" after it if any
-// were; subtests count. It exits 1 if a test failed or none passed, 2 if the
-// events cannot be read. A package that fails without a failing test of its
-// own, as one that doesn't build or exits, counts as one failure.
+// were; subtests count. It exits with 1 if a test failed or none passed, and with
+// 2 if the events cannot be read. A package that fails without a failed test, for
+// example because it does not build or calls os.Exit, counts as one failure.
 package main
 
 import (
@@ -26,7 +26,7 @@
 	exitError  = 2
 )
 
-// Actions of the events that matter here, as "go doc test2json" lists them.
+// Actions of the events that are used here; "go doc test2json" lists all.
 const (
 	actionOutput      = "output"
 	actionBuildOutput = "build-output"
@@ -35,7 +35,7 @@
 	actionSkip        = "skip"
 )
 
-// event is a line of go test -json.
+// event is one line of go test -json.
 type event struct {
 	Action  string
 	Package string
@@ -43,11 +43,10 @@
 	Output  string
 }
 
-// test names a test; one without Test is the package itself.
+// test identifies a test; an empty Test means the package itself.
 type test struct{ Package, Test string }
 
-// tally counts tests and keeps their output until it is known whether it
-// matters.
+// tally counts tests and keeps the output of each until its result is known.
 type tally struct {
 	to                      io.Writer
 	passed, failed, skipped int
@@ -67,7 +66,7 @@
 	out := bufio.NewWriter(os.Stdout)
 	ta := newTally(out)
 	err := ta.read(os.Stdin)
-	ta.close()
+	ta.printSummary()
 	flushErr := out.Flush()
 	if err = errors.Join(err, flushErr); err != nil {
 		fmt.Fprintln(os.Stderr, "tally:", err)
@@ -78,7 +77,7 @@
 	}
 }
 
-// read takes events until the end.
+// read processes all events of from.
 func (ta *tally) read(from io.Reader) error {
 	dec := json.NewDecoder(from)
 	for {
@@ -102,15 +101,15 @@
 	case actionOutput:
 		ta.addOutput(te, ev.Output)
 	case actionPass:
-		ta.drop(te, &ta.passed)
+		ta.finish(te, &ta.passed)
 	case actionSkip:
-		ta.drop(te, &ta.skipped)
+		ta.finish(te, &ta.skipped)
 	case actionFail:
 		ta.fail(te)
 	}
 }
 
-// addOutput shows what a package prints and keeps what a test prints.
+// addOutput prints the output of a package at once and keeps that of a test.
 func (ta *tally) addOutput(te test, text string) {
 	if te.Test == "" {
 		fmt.Fprint(ta.to, text)
@@ -119,8 +118,8 @@
 	ta.output[te] = append(ta.output[te], text)
 }
 
-// drop counts a test that did not fail; a package itself isn't counted.
-func (ta *tally) drop(te test, count *int) {
+// finish counts a test that did not fail and discards its output. It does not count packages.
+func (ta *tally) finish(te test, count *int) {
 	delete(ta.output, te)
 	if te.Test != "" {
 		*count++
@@ -134,14 +133,15 @@
 	}
 	ta.failed++
 	ta.failedIn[te.Package]++
-	ta.show(te)
+	ta.printOutput(te)
 }
 
-// failPackage shows the output of tests that never ended, as in a panic.
+// failPackage prints the output of tests without a result, for example after a panic, and counts the
+// package as a failure if none of its tests failed.
 func (ta *tally) failPackage(name string) {
 	for te := range ta.output {
 		if te.Package == name {
-			ta.show(te)
+			ta.printOutput(te)
 		}
 	}
 	if ta.failedIn[name] == 0 {
@@ -149,15 +149,15 @@
 	}
 }
 
-func (ta *tally) show(te test) {
+func (ta *tally) printOutput(te test) {
 	for _, text := range ta.output[te] {
 		fmt.Fprint(ta.to, text)
 	}
 	delete(ta.output, te)
 }
 
-// close prints the last line.
-func (ta *tally) close() {
+// printSummary prints the last line.
+func (ta *tally) printSummary() {
 	fmt.Fprintf(ta.to, "%d passed, %d failed", ta.passed, ta.failed)
 	if ta.skipped > 0 {
 		fmt.Fprintf(ta.to, ", %d skipped", ta.skipped)
--- a/tools/tally/main_test.go
+++ b/tools/tally/main_test.go
@@ -11,9 +11,9 @@
 		events []string
 		want   string
 	}{
-		{"nothing", nil, "0 passed, 0 failed\n"},
+		{"no events", nil, "0 passed, 0 failed\n"},
 		{
-			"output of a passing test is left out",
+			"output of a passed test is not printed",
 			[]string{
 				`{"Action":"run","Package":"p","Test":"A"}`,
 				`{"Action":"output","Package":"p","Test":"A","Output":"noise\n"}`,
@@ -24,7 +24,7 @@
 			"ok p\n1 passed, 0 failed\n",
 		},
 		{
-			"output of a failing test is shown, its package not counted",
+			"output of a failed test is printed, its package is not counted",
 			[]string{
 				`{"Action":"output","Package":"p","Test":"A/b","Output":"cause\n"}`,
 				`{"Action":"fail","Package":"p","Test":"A/b"}`,
@@ -35,7 +35,7 @@
 			"cause\n0 passed, 2 failed, 1 skipped\n",
 		},
 		{
-			"a panic leaves its test without an end",
+			"test without a result after a panic",
 			[]string{
 				`{"Action":"pass","Package":"p","Test":"A"}`,
 				`{"Action":"output","Package":"p","Test":"B","Output":"panic: B\n"}`,
@@ -46,7 +46,7 @@
 			"panic: B\n2 passed, 1 failed\n",
 		},
 		{
-			"a package that does not build",
+			"package that does not build",
 			[]string{
 				`{"ImportPath":"p","Action":"build-output","Output":"syntax error\n"}`,
 				`{"ImportPath":"p","Action":"build-fail"}`,
@@ -63,7 +63,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ta.close()
+			ta.printSummary()
 			if out.String() != tt.want {
 				t.Errorf("got %q, want %q", out.String(), tt.want)
 			}
@@ -71,10 +71,10 @@
 	}
 }
 
-func TestTallyRefusesOtherInput(t *testing.T) {
+func TestTallyRejectsInvalidInput(t *testing.T) {
 	ta := newTally(&strings.Builder{})
 	err := ta.read(strings.NewReader("FAIL p"))
 	if err == nil {
-		t.Error("read took text for events")
+		t.Error("read accepted text that is not JSON")
 	}
 }
