--- a/docs/capacity/format.go
+++ b/docs/capacity/format.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// num shows three digits that count, with separators for thousands.
-func num(val float64) string {
+// formatNumber formats a number with three significant digits and thousands separators.
+func formatNumber(val float64) string {
 	if val == 0 {
 		return "0"
 	}
@@ -32,6 +32,6 @@
 	return sb.String()
 }
 
-func whole(val float64) string {
+func formatWhole(val float64) string {
 	return thousands(fmt.Sprintf("%.0f", val))
 }
--- a/docs/capacity/main.go
+++ b/docs/capacity/main.go
@@ -18,7 +18,7 @@
 	dir := flag.String("dir", "docs/capacity", "the folder of "+slopesFile)
 	page := flag.String("page", "docs/capacity/serve.md", "the page")
 	measure := flag.Bool("measure", false, "run the benchmarks of the slopes first; takes minutes")
-	only := flag.String("only", "", "measure only slopes whose names begin so")
+	only := flag.String("only", "", "measure only slopes whose names have this prefix")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	err := run(ctx, *dir, *page, *measure, *only)
@@ -47,7 +47,7 @@
 	if err != nil {
 		return err
 	}
-	text, err := fill(string(old), tables(sl))
+	text, err := fillTables(string(old), tables(sl))
 	if err != nil {
 		return err
 	}
--- a/docs/capacity/page.go
+++ b/docs/capacity/page.go
@@ -6,7 +6,7 @@
 	"github.com/go-faster/errors"
 )
 
-// Table is one table of the page, which stands between its markers.
+// Table is one table of the page, where it is enclosed in markers with its name.
 type Table struct {
 	Name string
 	Head []string
@@ -30,8 +30,8 @@
 	return sb.String()
 }
 
-// fill replaces what stands between the markers of each table.
-func fill(page string, tbs []Table) (string, error) {
+// fillTables replaces the text between the markers of each table. A missing marker is an error.
+func fillTables(page string, tbs []Table) (string, error) {
 	for _, tb := range tbs {
 		begin := "<!-- begin " + tb.Name + " -->\n"
 		end := "<!-- end " + tb.Name + " -->"
@@ -41,7 +41,7 @@
 		}
 		_, after, ok := strings.Cut(rest, end)
 		if !ok {
-			return "", errors.Errorf("table %s of the page has no end", tb.Name)
+			return "", errors.Errorf("table %s of the page has no end marker", tb.Name)
 		}
 		page = before + begin + tb.markdown() + end + after
 	}
--- a/docs/capacity/page_test.go
+++ b/docs/capacity/page_test.go
@@ -10,21 +10,20 @@
 	"github.com/matryer/is"
 )
 
-// The page says what the slopes say: else one of them was changed alone, and
-// `go generate ./docs/capacity` mends it.
+// The page must match the slopes. If it does not, run `go generate ./docs/capacity`.
 func TestPageAgreesWithSlopes(t *testing.T) {
 	is := is.New(t)
 	sl, err := readSlopes(slopesFile)
 	is.NoErr(err)
 	page, err := os.ReadFile("serve.md")
 	is.NoErr(err)
-	want, err := fill(string(page), tables(sl))
+	want, err := fillTables(string(page), tables(sl))
 	is.NoErr(err)
 	is.Equal(string(page), want)
 	for _, line := range strings.Split(want, "\n") {
 		if strings.HasPrefix(line, "<!-- begin ") {
 			name := strings.TrimSuffix(strings.TrimPrefix(line, "<!-- begin "), " -->")
-			is.True(hasTable(tables(sl), name)) // a table that nothing fills
+			is.True(hasTable(tables(sl), name)) // every table on the page is filled
 		}
 	}
 }
@@ -38,8 +37,8 @@
 	return false
 }
 
-// Each slope has a value, a day and a benchmark that is there, or the command
-// that a person ran.
+// Each slope must have a value, a date, and either an existing benchmark or the command that was run
+// by hand.
 func TestSlopesCanBeMeasured(t *testing.T) {
 	sl, err := readSlopes(slopesFile)
 	is.New(t).NoErr(err)
@@ -47,7 +46,7 @@
 	for _, one := range sl.list {
 		t.Run(one.Name, func(t *testing.T) {
 			is := is.New(t)
-			is.True(!seen[one.Name]) // listed twice
+			is.True(!seen[one.Name]) // no duplicate names
 			seen[one.Name] = true
 			is.True(one.Value > 0)
 			is.True(one.Unit != "")
@@ -80,22 +79,22 @@
 	return false
 }
 
-// Bounds that the tables take from the code are those of the code.
+// The bounds in the tables must equal the constants in the code.
 func TestBoundsAreTheCodes(t *testing.T) {
 	for _, tt := range []struct {
 		file, name string
 		want       int
 	}{
-		{"io/node/members_riders.go", "riderBytes", riderBytes},
+		{"io/node/members_riders.go", "riderBytes", piggybackBytes},
 		{"io/node/upstreams.go", "hintBytes", pollBytes},
-		{"io/upst/keep.go", "fillsPerTick", fillsPerSecond / ticksPerSecond},
+		{"io/upst/keep.go", "fillsPerTick", connsOpenedPerSecond / ticksPerSecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			raw, err := os.ReadFile("../../" + tt.file)
 			is.NoErr(err)
 			found := regexp.MustCompile(`\b` + tt.name + ` *= (\d+)(?: << (\d+))?\n`).FindSubmatch(raw)
-			is.True(found != nil) // the constant has another name now
+			is.True(found != nil) // the constant exists under this name
 			got, err := strconv.Atoi(string(found[1]))
 			is.NoErr(err)
 			if len(found[2]) > 0 {
@@ -118,9 +117,9 @@
 		want                float64
 		ok                  bool
 	}{
-		{"least of two", "BenchmarkA/n=1", "ns/op", 8.5, true},
-		{"each metric has its own", "BenchmarkA/n=1", "B/op", 7, true},
-		{"a longer name is another", "BenchmarkA/n=10", "ns/op", 1, true},
+		{"minimum of two runs", "BenchmarkA/n=1", "ns/op", 8.5, true},
+		{"minimum of another metric", "BenchmarkA/n=1", "B/op", 7, true},
+		{"name that has another one as prefix", "BenchmarkA/n=10", "ns/op", 1, true},
 		{"no such metric", "BenchmarkA/n=1", "us/op", 0, false},
 		{"no such benchmark", "BenchmarkB", "ns/op", 0, false},
 	}
--- a/docs/capacity/size.go
+++ b/docs/capacity/size.go
@@ -1,6 +1,6 @@
 package main
 
-// The size that the tables are worked out for.
+// The size of the fleet for which the tables are computed.
 const (
 	nodes              = 4300
 	servers            = 32000
@@ -13,9 +13,9 @@
 	secondsPerDay      = 86_400
 )
 
-// What a node may spend on control.
+// The budget of a node for control work.
 const (
-	maxControlCore  = 1.4 // per cent of a core
+	maxControlCore  = 1.4 // percent of a core
 	maxControlMB    = 64
 	maxControlBytes = 8 * 1024 // a second
 )
@@ -26,14 +26,14 @@
 	rackNodes     = 20
 	rackServers   = 40
 	partitionMins = 5
-	// inFlight is how long a search takes at the most, in seconds.
-	inFlight = 0.2
-	// spareConns is how many connections to a server a fan-out needs so that
-	// its sub-requests seldom wait for one another.
-	spareConns = 2
+	// searchSeconds is the longest time that a search takes.
+	searchSeconds = 0.2
+	// connsPerFanOut is the number of connections to a server that a fan-out needs for its
+	// sub-requests to seldom wait for each other.
+	connsPerFanOut = 2
 )
 
-// Parts of the size.
+// Figures derived from the size.
 const (
 	nodesPerCentre    = float64(nodes) / dataCentres
 	serversPerCentre  = float64(servers) / dataCentres
@@ -46,10 +46,10 @@
 	replicasPerShard  = serversPerCentre / shardsPerSearch
 )
 
-// leastConnLimit is the least that servers allow.
+// leastConnLimit is the lowest connection limit of servers.
 const leastConnLimit = 25
 
-// connLimits are the connections that servers allow.
+// connLimits returns the connection limits for which the tables are computed.
 func connLimits() []int {
 	return []int{leastConnLimit, 30, 50, 100}
 }
--- a/docs/capacity/slopes.go
+++ b/docs/capacity/slopes.go
@@ -14,13 +14,13 @@
 	"github.com/go-faster/errors"
 )
 
-// Slope is one measured figure.
+// Slope is slope measured cost.
 type Slope struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Package, Bench and Metric name a benchmark and one of its figures. Where
-	// they are empty, a person ran Command and read the figure.
+	// Package, Bench and Metric name a benchmark and slope of its metrics. If they are empty, the value
+	// was read by hand from the output of Command.
 	Package string `json:"package,omitempty"`
 	Bench   string `json:"bench,omitempty"`
 	Metric  string `json:"metric,omitempty"`
@@ -28,15 +28,15 @@
 	Date    string `json:"date"`
 }
 
-// command measures the slope; the least of its runs counts.
+// command returns the command that measures the slope. The minimum of its runs is the value.
 func (sl Slope) command() string {
 	if sl.Command != "" {
 		return sl.Command
 	}
-	return fmt.Sprintf("go test -run '^$' -bench '%s' -count %d ./%s", sl.pattern(), runs, sl.Package)
+	return fmt.Sprintf("go test -run '^$' -bench '%s' -count %d ./%s", sl.pattern(), benchRuns, sl.Package)
 }
 
-// pattern matches this one benchmark and no other.
+// pattern returns the -bench pattern that matches only this benchmark.
 func (sl Slope) pattern() string {
 	parts := strings.Split(sl.Bench, "/")
 	for i, part := range parts {
@@ -45,21 +45,21 @@
 	return strings.Join(parts, "/")
 }
 
-// runs is how often a benchmark is run: other load on the machine only ever
-// adds, so the least of a few runs is nearest to the truth.
-const runs = 3
+// benchRuns is the number of runs of a benchmark. Other load on the machine can only increase a
+// result, so the minimum of a few runs is the best estimate.
+const benchRuns = 3
 
-// slopes is the list as it is checked in, in its order.
-type slopes struct {
+// slopeList is the committed list of slopes, in its order.
+type slopeList struct {
 	list []Slope
 }
 
-func readSlopes(path string) (*slopes, error) {
+func readSlopes(path string) (*slopeList, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	sl := new(slopes)
+	sl := new(slopeList)
 	dec := json.NewDecoder(bytes.NewReader(raw))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&sl.list); err != nil {
@@ -68,7 +68,7 @@
 	return sl, nil
 }
 
-func (sl *slopes) write(path string) error {
+func (sl *slopeList) write(path string) error {
 	raw, err := json.MarshalIndent(sl.list, "", "  ")
 	if err != nil {
 		return err
@@ -76,44 +76,45 @@
 	return os.WriteFile(path, append(raw, '\n'), fileMode)
 }
 
-// of is a slope's value. A name that is not listed is a fault of this program.
-func (sl *slopes) of(name string) float64 {
-	for _, one := range sl.list {
-		if one.Name == name {
-			return one.Value
+// value returns the value of a slope. It panics if the name is not listed.
+func (sl *slopeList) value(name string) float64 {
+	for _, slope := range sl.list {
+		if slope.Name == name {
+			return slope.Value
 		}
 	}
 	panic("no slope named " + name)
 }
 
-// measure runs the benchmarks. Slopes of one benchmark share a run.
-func (sl *slopes) measure(ctx context.Context, only string) error {
+// measure runs the benchmarks of the slopes whose names begin with prefix, and updates their values
+// and dates. Slopes of the same benchmark share its run.
+func (sl *slopeList) measure(ctx context.Context, prefix string) error {
 	done := make(map[string]string)
 	for i := range sl.list {
-		one := &sl.list[i]
-		if one.Command != "" || !strings.HasPrefix(one.Name, only) {
+		slope := &sl.list[i]
+		if slope.Command != "" || !strings.HasPrefix(slope.Name, prefix) {
 			continue
 		}
-		out, ok := done[one.command()]
+		out, ok := done[slope.command()]
 		if !ok {
 			var err error
-			if out, err = bench(ctx, *one); err != nil {
+			if out, err = bench(ctx, *slope); err != nil {
 				return err
 			}
-			done[one.command()] = out
+			done[slope.command()] = out
 		}
-		val, err := least(out, one.Bench, one.Metric)
+		val, err := least(out, slope.Bench, slope.Metric)
 		if err != nil {
 			return err
 		}
-		one.Value = val
-		one.Date = time.Now().UTC().Format(time.DateOnly)
+		slope.Value = val
+		slope.Date = time.Now().UTC().Format(time.DateOnly)
 	}
 	return nil
 }
 
 func bench(ctx context.Context, sl Slope) (string, error) {
-	cmd := exec.CommandContext(ctx, "go", "test", "-run", "^$", "-bench", sl.pattern(), "-count", strconv.Itoa(runs), "./"+sl.Package)
+	cmd := exec.CommandContext(ctx, "go", "test", "-run", "^$", "-bench", sl.pattern(), "-count", strconv.Itoa(benchRuns), "./"+sl.Package)
 	out, err := cmd.CombinedOutput()
 	if err != nil {
 		return "", errors.Wrapf(err, "%s: %s", sl.command(), out)
@@ -122,7 +123,7 @@
 	return string(out), nil
 }
 
-// least reads the smallest of a benchmark's figures of one metric.
+// least returns the minimum of slope metric of a benchmark in the output out.
 func least(out, name, metric string) (float64, error) {
 	best, found := 0.0, false
 	for line := range strings.Lines(out) {
@@ -149,8 +150,8 @@
 	return best, nil
 }
 
-// sameBench tells whether a line is of a benchmark; lines end in the number of
-// processors.
+// sameBench reports whether field names the benchmark, with or without the number of processors as a
+// suffix.
 func sameBench(field, name string) bool {
 	rest, ok := strings.CutPrefix(field, name)
 	if !ok {
--- a/docs/capacity/today.go
+++ b/docs/capacity/today.go
@@ -4,8 +4,8 @@
 	"laburnumvane/core/conns"
 )
 
-// shape is one kind of upstream of today.
-type shape struct {
+// upstreamKind is one kind of upstream in today's installations.
+type upstreamKind struct {
 	name             string
 	services         int
 	replicas         int
@@ -13,9 +13,9 @@
 	vms, dataCentres int
 }
 
-// shapes are the upstreams of today's two users.
-func shapes() []shape {
-	return []shape{
+// upstreamKinds returns the kinds of upstreams of today's two users.
+func upstreamKinds() []upstreamKind {
+	return []upstreamKind{
 		{"Pettigrew: member-desk, renew", 25, 3, 30, 9, 3},
 		{"Pettigrew: partner-ledger, promo", 15, 1, 100, 9, 3},
 		{"Kalimba: enrol-desk, contrib-ledger", 25, 3, 25, 8, 4},
@@ -23,14 +23,14 @@
 	}
 }
 
-// todayTable is what a VM may open today, where each server is reached from all
-// data centres.
+// todayTable returns the numbers of connections that a VM may open today, where each server is used
+// from all data centres.
 func todayTable() Table {
 	tb := Table{
 		Name: "today",
 		Head: []string{"upstreams", "limit", "to a server of the own data centre", "to one of another", "of a VM in all"},
 	}
-	for _, sh := range shapes() {
+	for _, sh := range upstreamKinds() {
 		near, far := conns.Split(sh.limit, true)
 		inCentre := float64(sh.vms) / float64(sh.dataCentres)
 		nearEach := float64(near) / inCentre
@@ -39,10 +39,10 @@
 		own := servers / float64(sh.dataCentres)
 		tb.Rows = append(tb.Rows, []string{
 			sh.name,
-			whole(float64(sh.limit)),
-			num(nearEach),
-			num(farEach),
-			whole(own*nearEach + (servers-own)*farEach),
+			formatWhole(float64(sh.limit)),
+			formatNumber(nearEach),
+			formatNumber(farEach),
+			formatWhole(own*nearEach + (servers-own)*farEach),
 		})
 	}
 	return tb
--- a/docs/failures/doc.go
+++ b/docs/failures/doc.go
@@ -4,9 +4,9 @@
 //
 //	go generate ./docs/failures
 //
-// Each matter keeps its own table here, beside the change that adds a test; the
-// page is what operators and callers read. A test fails where a table names a
-// test that is not in the tree, or the page lags behind the tables.
+// Each topic has its own table in this folder, which is changed together with its
+// tests; operators and callers read the page. A test fails if a table names a test
+// that does not exist, or if the page is not up to date with the tables.
 package main
 
 //go:generate go run . -dir . -page ../FAILURES.md
--- a/docs/failures/main.go
+++ b/docs/failures/main.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	beginMark = "<!-- begin joined -->\n"
-	endMark   = "<!-- end joined -->"
-	fileMode  = 0o644
+	beginMarker = "<!-- begin joined -->\n"
+	endMarker   = "<!-- end joined -->"
+	fileMode    = 0o644
 )
 
 func main() {
@@ -38,16 +38,15 @@
 	return os.WriteFile(page, []byte(text), fileMode)
 }
 
-// join replaces what stands between the page's markers by all tables, in the
-// order of their files' names.
+// join replaces the text between the page's markers by all tables, in the order of their file names.
 func join(page, dir string) (string, error) {
-	before, rest, ok := strings.Cut(page, beginMark)
+	before, rest, ok := strings.Cut(page, beginMarker)
 	if !ok {
-		return "", errors.New("the page has no beginning mark")
+		return "", errors.New("the page has no begin marker")
 	}
-	_, after, ok := strings.Cut(rest, endMark)
+	_, after, ok := strings.Cut(rest, endMarker)
 	if !ok {
-		return "", errors.New("the page has no end mark")
+		return "", errors.New("the page has no end marker")
 	}
 	paths, err := filepath.Glob(filepath.Join(dir, "*.md"))
 	if err != nil {
@@ -59,16 +58,16 @@
 		if err != nil {
 			return "", err
 		}
-		matter := strings.TrimSuffix(filepath.Base(path), ".md")
-		sb.WriteString("### " + strings.ToUpper(matter[:1]) + matter[1:] + "\n\n")
-		sb.WriteString(demoted(string(raw)) + "\n\n")
+		topic := strings.TrimSuffix(filepath.Base(path), ".md")
+		sb.WriteString("### " + strings.ToUpper(topic[:1]) + topic[1:] + "\n\n")
+		sb.WriteString(demoteHeadings(string(raw)) + "\n\n")
 	}
-	return before + beginMark + sb.String() + endMark + after, nil
+	return before + beginMarker + sb.String() + endMarker + after, nil
 }
 
-// demoted is a file without its title, as a part of the page: other headings go
-// below that of the matter.
-func demoted(text string) string {
+// demoteHeadings removes the title of a file and moves its other headings two levels down, below the
+// heading of the topic.
+func demoteHeadings(text string) string {
 	var out []string
 	for line := range strings.Lines(text) {
 		line = strings.TrimRight(line, "\n")
@@ -80,6 +79,6 @@
 			out = append(out, line)
 		}
 	}
-	// Links lead from the page, which is one folder up.
+	// Links are relative to the page, which is one folder up.
 	return strings.ReplaceAll(strings.TrimSpace(strings.Join(out, "\n")), "](../", "](")
 }
--- a/docs/schema/doc.go
+++ b/docs/schema/doc.go
@@ -4,8 +4,8 @@
 //
 //	go generate ./docs/schema
 //
-// The schema comes from the same table of fields that team.Parse reads by. Its
-// file is committed, for editors and for operators who have only the page.
+// The schema is generated from the same table of fields that team.Parse uses. The
+// file is committed for editors, and for operators who have only the documentation.
 package main
 
 //go:generate go run . -out team.schema.json
--- a/docs/schema/schema_test.go
+++ b/docs/schema/schema_test.go
@@ -43,19 +43,19 @@
 	}
 }
 
-// An operator's editor knows the schema alone. What it lets through and Parse
-// refuses comes as a surprise later, so the list of those faults is kept here
-// and is exact: each compares two places, or needs an address to be understood.
+// An operator's editor checks a document only against the schema, and misses the faults that Parse
+// rejects but the schema accepts. The list of these faults must be exact. Each of them needs a
+// comparison of two fields or the parsing of an address.
 func TestSchema_Bad(t *testing.T) {
-	beyond := []string{
+	notInSchema := []string{
 		"addr-any", "addr-octet", "addr-twice",
 		"fewer-connections-than-slots", "hedge-after-deadline", "hedge-never-repeat",
 		"hedge-without-budget", "hedge-without-quantile",
 		"register-absent", "retry-without-attempts", "retry-without-budget",
 		"soft-after-hard", "team-other",
 	}
-	// Repeated names and text that is no JSON never reach a schema.
-	unread := []string{"cut-short", "empty", "field-twice", "search-twice", "two-documents"}
+	// Duplicate names and invalid JSON are not seen by a schema check.
+	notJSON := []string{"cut-short", "empty", "field-twice", "search-twice", "two-documents"}
 
 	sch := compile(t)
 	paths, err := filepath.Glob(badFiles)
@@ -63,25 +63,24 @@
 	var accepted []string
 	for _, path := range paths {
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
-		if slices.Contains(unread, name) {
+		if slices.Contains(notJSON, name) {
 			continue
 		}
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			raw := readFile(t, path)
 			_, err := team.Parse("wash", []byte(raw))
-			is.True(err != nil) // Parse refuses every file
+			is.True(err != nil) // Parse rejects every file
 			if validate(t, sch, raw) == nil {
 				accepted = append(accepted, name)
 			}
 		})
 	}
 	sort.Strings(accepted)
-	is.New(t).Equal(accepted, beyond) // what the schema lets through
+	is.New(t).Equal(accepted, notInSchema) // the faults that the schema accepts
 }
 
-// Each field of the format has a row in the page for operators, and each row
-// is a field.
+// Each field of the format must have a row on the page for operators, and each row must be a field.
 func TestSchema_Page(t *testing.T) {
 	is := is.New(t)
 	var want []string
@@ -99,19 +98,18 @@
 	is.Equal(got, want)
 }
 
-// walk visits the path of every field, with * for names and [] for places in a
-// list.
-func walk(at string, sch *jsonschema.Schema, visit func(path string)) {
+// walk visits the path of every field, with * for arbitrary names and [] for list elements.
+func walk(parent string, sch *jsonschema.Schema, visit func(path string)) {
 	for name, sub := range sch.Properties {
-		path := strings.TrimPrefix(at+"."+name, ".")
+		path := strings.TrimPrefix(parent+"."+name, ".")
 		visit(path)
 		walk(path, sub, visit)
 	}
 	if sub, ok := sch.AdditionalProperties.(*jsonschema.Schema); ok {
-		walk(at+".*", sub, visit)
+		walk(parent+".*", sub, visit)
 	}
 	if sch.Items2020 != nil {
-		walk(at+"[]", sch.Items2020, visit)
+		walk(parent+"[]", sch.Items2020, visit)
 	}
 }
 
