--- a/cmd/laburnumvane/config_set.go
+++ b/cmd/laburnumvane/config_set.go
@@ -35,7 +35,7 @@
 taken, which protects only against changes made while the command runs.
 
 Every change has an id. One is made up unless --id gives it; offering the same
-id again never makes the change twice, it tells what became of the first offer.
+id again never makes the change twice; it returns the result of the first offer.
 
 Exit codes: 0 accepted, 2 a fault in the document, 3 not made: a conflict with
 another change, which is shown, or a refusal, 4 unknown: the change may have
--- a/cmd/laburnumvane/config_status.go
+++ b/cmd/laburnumvane/config_status.go
@@ -12,11 +12,11 @@
 func configStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "status",
-		Usage:     "tell what became of a change and where it is in force",
+		Usage:     "show the state of a change and where it is in force",
 		ArgsUsage: "ID",
 		Description: `Asks for a change by its id, and shows for each data centre and each VM whether
-the change, or a later one, is in force there. What did not answer is shown as
-not reachable: it takes the change up when it is back.
+the change, or a later one, is in force there. Those that did not answer are
+shown as not reachable; they apply the change when they are back.
 
 Exit codes: 0 in force on every VM, 1 not on all of them yet, 4 the change is
 not known: it was not accepted, or is older than the history.
--- a/cmd/laburnumvane/emulate.go
+++ b/cmd/laburnumvane/emulate.go
@@ -47,9 +47,9 @@
 --register FILE holds your own register: one JSON object a line, each with a
 string field "member".
 
-"emulate fault" brings about faults while it runs, and "emulate show" and
-"emulate runs" tell what the stand-ins saw. SIGTERM or Ctrl-C ends it, and what
-was written to its key-value service with it.
+"emulate fault" injects faults while it runs, and "emulate show" and "emulate
+runs" show what the stand-ins recorded. SIGTERM or Ctrl-C ends it; the contents
+of its key-value service are then lost.
 
 Exit codes:
    0  stopped
@@ -68,9 +68,9 @@
 			&cli.IntFlag{Name: "vms", Value: 3, Local: true, Usage: "`NUMBER` of VMs on the list, in two data centres in turn"},
 			&cli.IntFlag{Name: "services", Value: emulateServices, Local: true, Usage: "`NUMBER` of services, each with a shard and three servers"},
 			&cli.IntFlag{Name: "slots", Value: demoSlots, Local: true, Usage: "sub-requests that a server runs at once"},
-			&cli.DurationFlag{Name: "service-time", Value: time.Millisecond, Local: true, Usage: "what a sub-request takes"},
-			&cli.BoolFlag{Name: "reports-only", Local: true, Usage: "servers give the newest snapshot, whichever is asked for"},
-			&cli.DurationFlag{Name: "lag", Local: true, Usage: "how far the VM list is behind"},
+			&cli.DurationFlag{Name: "service-time", Value: time.Millisecond, Local: true, Usage: "time that a sub-request takes"},
+			&cli.BoolFlag{Name: "reports-only", Local: true, Usage: "servers use the newest snapshot, whichever is requested"},
+			&cli.DurationFlag{Name: "lag", Local: true, Usage: "how old the served VM list is"},
 			&cli.BoolFlag{Name: "json", Local: true, Usage: "print JSON, for scripts"},
 		},
 		Commands: []*cli.Command{
--- a/cmd/laburnumvane/emulate_fault.go
+++ b/cmd/laburnumvane/emulate_fault.go
@@ -24,10 +24,10 @@
 func emulateFaultCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "fault",
-		Usage: "bring about a fault in the stand-ins, or mend it",
-		Description: `Brings about faults in an "emulate" that runs. Each command replaces the faults
-of what it names; without any flag it mends it. VMs are processes: kill, freeze
-and stop them with signals.
+		Usage: "inject a fault into the stand-ins, or end it",
+		Description: `Injects faults into a running "emulate". Each command replaces the current
+faults of its target; without flags it ends them. VMs are processes: kill,
+freeze and stop them with signals.
 
 Examples:
    laburnumvane emulate fault kv --slow 10s
@@ -48,11 +48,11 @@
 func faultKVCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "kv",
-		Usage: "key-value service: down, failing, slow, lost answers, silent watches, the past",
+		Usage: "key-value service: down, failing, slow, lost answers, silent watches, stale reads",
 		Description: `Replaces the faults of the key-value service; without a flag it works again.
---past answers reads from the state that --remember kept, as a replica does that
-has fallen behind, and swaps from the present one; --restore goes back to that
-state for good.
+--past answers reads from the state that --remember saved, like a replica that
+lags behind, and swaps from the current state; --restore makes the saved state
+the current one.
 
 Examples:
    laburnumvane emulate fault kv --down
@@ -65,9 +65,9 @@
 			&cli.DurationFlag{Name: "slow", Usage: "calls are delayed before they take effect"},
 			&cli.BoolFlag{Name: "lose-swaps", Usage: "swaps take effect and their answers are lost"},
 			&cli.BoolFlag{Name: "silent-watches", Usage: "watches are never answered"},
-			&cli.BoolFlag{Name: "past", Usage: "reads see the state remembered"},
-			&cli.BoolFlag{Name: "remember", Usage: "keep the present state for --past"},
-			&cli.BoolFlag{Name: "restore", Usage: "go back to the state remembered, as from a backup"},
+			&cli.BoolFlag{Name: "past", Usage: "reads return the state saved by --remember"},
+			&cli.BoolFlag{Name: "remember", Usage: "save the current state for --past and --restore"},
+			&cli.BoolFlag{Name: "restore", Usage: "return to the saved state, as from a backup"},
 			&cli.BoolFlag{Name: "compact", Usage: "forget all events, once"},
 		),
 		Action: faultKVAction,
@@ -107,17 +107,17 @@
 		Flags: adminFlags(
 			&cli.BoolFlag{Name: string(emul.ActionCrash), Usage: "close its listener and all connections"},
 			&cli.BoolFlag{Name: string(emul.ActionRestart), Usage: "crash it, if it runs, and start it again"},
-			&cli.BoolFlag{Name: string(emul.ActionDrain), Usage: "refuse new work as one that is leaving"},
-			&cli.BoolFlag{Name: string(emul.ActionCold), Usage: "refuse new work as one that has yet to load"},
+			&cli.BoolFlag{Name: string(emul.ActionDrain), Usage: "refuse new work as a draining server does"},
+			&cli.BoolFlag{Name: string(emul.ActionCold), Usage: "refuse new work as a server does that is still loading"},
 			&cli.BoolFlag{Name: string(emul.ActionServe), Usage: "serve again after --drain or --cold"},
-			&cli.BoolFlag{Name: string(emul.ActionSilence), Usage: "let the connections open now go silent for good"},
+			&cli.BoolFlag{Name: string(emul.ActionSilence), Usage: "make all open connections silent permanently"},
 			&cli.FloatFlag{Name: "slow-share", Usage: "`SHARE` of sub-requests that are slow"},
-			&cli.FloatFlag{Name: "slow-times", Value: 10, Usage: "how many times as long these take"},
+			&cli.FloatFlag{Name: "slow-times", Value: 10, Usage: "factor by which these take longer"},
 			&cli.FloatFlag{Name: "error-share", Usage: "`SHARE` of sub-requests that fail at once"},
-			&cli.BoolFlag{Name: "mute", Usage: "run requests and answer none"},
-			&cli.Int64Flag{Name: "silent-after", Usage: "new connections go silent after so many `BYTES`"},
-			&cli.DurationFlag{Name: "status-lag", Usage: "the load endpoint tells what was so long ago"},
-			&cli.StringFlag{Name: "claim", Usage: "`STATE` that the load endpoint pretends: serving, draining or cold"},
+			&cli.BoolFlag{Name: "mute", Usage: "run requests but send no answers"},
+			&cli.Int64Flag{Name: "silent-after", Usage: "new connections go silent after this many `BYTES`"},
+			&cli.DurationFlag{Name: "status-lag", Usage: "the load endpoint reports the state of this time ago"},
+			&cli.StringFlag{Name: "claim", Usage: "`STATE` that the load endpoint reports falsely: serving, draining or cold"},
 		),
 		Action: faultUpstreamAction,
 	}
@@ -177,9 +177,9 @@
 func faultSnapshotCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "snapshot",
-		Usage: "publish a new snapshot, or one split otherwise",
-		Description: `Publishes the next snapshot of the register on all upstreams; each keeps the one
-before as well. --shards splits it anew.
+		Usage: "publish a new snapshot, with another number of shards if given",
+		Description: `Publishes the next snapshot of the register on all upstreams, which also keep
+the previous one. --shards changes the number of shards.
 
 Examples:
    laburnumvane emulate fault snapshot
@@ -211,7 +211,7 @@
 		Name:  "vm-list",
 		Usage: "VM list: add and remove VMs, lag, down",
 		Description: `Changes the platform's VM list. VMs are named by their inner address. What is not
-named stays; --lag 0s and --down=false mend.
+named does not change; --lag 0s and --down=false end these faults.
 
 Examples:
    laburnumvane emulate fault vm-list --add east=127.0.0.1:9003
@@ -221,7 +221,7 @@
 			&cli.StringSliceFlag{Name: "add", Usage: "`DATA-CENTRE=IP:PORT` to put on the list"},
 			&cli.StringSliceFlag{Name: "leaving", Usage: "`IP:PORT` to mark as leaving"},
 			&cli.StringSliceFlag{Name: "remove", Usage: "`IP:PORT` to take off the list"},
-			&cli.DurationFlag{Name: "lag", Usage: "how far the list is behind"},
+			&cli.DurationFlag{Name: "lag", Usage: "how old the served list is"},
 			&cli.BoolFlag{Name: "down", Usage: "the list cannot be reached"},
 		),
 		Action: faultVMListAction,
--- a/cmd/laburnumvane/gateway.go
+++ b/cmd/laburnumvane/gateway.go
@@ -39,12 +39,13 @@
 everything else in the store.
 
 SIGTERM begins a planned stop: the balancer's check fails, requests are served
-as long as any may come, and the process ends within the platform's grace.
-SIGHUP reads the settings file again; it is also looked at every two seconds.
+as long as the balancer may send them, and the process exits within the
+platform's grace. SIGHUP reads the settings file again; it is also read every
+two seconds.
 
---off switches a mechanism off that decides about requests, for operators who
-suspect it in trouble; docs/operate/mechanisms.md says what each is for and what it
-is worth. No rule hangs on one.
+--off switches off a mechanism that decides about requests, for operators who
+suspect that it causes a problem; docs/operate/mechanisms.md describes each one
+and its effect. No guarantee depends on them.
 
 Exit codes:
    0  stopped as planned, nothing was cut off
--- a/cmd/laburnumvane/load.go
+++ b/cmd/laburnumvane/load.go
@@ -31,21 +31,19 @@
 		Usage:     "send a bounded load of searches to VMs on this machine",
 		ArgsUsage: "IP:PORT ...",
 		Description: `Sends searches to the callers' listeners given as arguments, each search to one
-of them by chance, and reports what became of them.
+of them at random, and reports the outcomes.
 
-Arrivals are drawn from a seed and come at their own times, whether or not the
-answers to earlier ones are back: a VM that slows down gets no relief, and its
-delay shows in the latencies, which count from the scheduled arrival. Arrivals
-above --max-in-flight are dropped and counted. "lag" is how late this tool
-itself was at worst: with a large one, the figures tell of the machine more than
-of the VMs.
+Arrival times are drawn from a seed and do not depend on the answers to earlier
+searches: the rate does not drop when a VM slows down, and its delay shows in
+the latencies, which count from the scheduled arrival. Arrivals above
+--max-in-flight are dropped and counted. "lag" is the longest delay of this tool
+itself: if it is large, the figures measure the machine rather than the VMs.
 
 Without --query each search looks up one plate of a sample register of so many
 --members, as "laburnumvane demo --stay" serves one.
 
-Only loopback addresses are taken, and every load ends by itself, at --count
-arrivals or after --for, whichever is first; Ctrl-C ends it sooner, with the
-report.
+Only loopback addresses are accepted. The load ends at --count arrivals or after
+--for, whichever is first; Ctrl-C ends it sooner, with the report.
 
 Exit codes: 0 where at least one search was answered, 1 where none was, 2 for
 wrong flags.
@@ -65,8 +63,8 @@
 			&cli.IntFlag{Name: "count", Value: defaultLoadCount, Usage: "end after `NUMBER` arrivals"},
 			&cli.DurationFlag{Name: "for", Value: defaultLoadFor, Usage: "end after this time"},
 			&cli.DurationFlag{Name: "timeout", Value: emul.DefaultLoadTimeout, Usage: "how long to wait for an answer"},
-			&cli.IntFlag{Name: "max-in-flight", Value: emul.DefaultMaxInFlight, Usage: "`NUMBER` of searches under way above which arrivals are dropped"},
-			&cli.Uint64Flag{Name: "seed", Value: demoSeed, Usage: "`NUMBER` that decides arrivals, targets and plates"},
+			&cli.IntFlag{Name: "max-in-flight", Value: emul.DefaultMaxInFlight, Usage: "`NUMBER` of searches in flight above which arrivals are dropped"},
+			&cli.Uint64Flag{Name: "seed", Value: demoSeed, Usage: "`NUMBER` that seeds arrivals, targets and plates"},
 			jsonFlag(),
 		},
 		Action: loadAction,
--- a/cmd/laburnumvane/main.go
+++ b/cmd/laburnumvane/main.go
@@ -82,7 +82,7 @@
    1  failure: no connection, a fault reported, a file that cannot be read
    2  usage: wrong flags, arguments, settings or configuration
    3  not accepted: a search that did not run, a change that conflicts
-   4  unknown: it may have run, or may have been taken, and nothing tells
+   4  unknown: the search may have run, or the change may have been accepted
 
 Examples:
    laburnumvane demo
--- a/cmd/laburnumvane/serve.go
+++ b/cmd/laburnumvane/serve.go
@@ -20,14 +20,14 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an entry VM",
-		Description: `serve runs one entry VM until it is told to stop. All settings are flags or
+		Description: `serve runs one entry VM until it receives a stop signal. All settings are flags or
 environment variables; they are checked together at start, with one line for
 each that is wrong. What may change while it runs is the teams' configuration,
 which lives in the platform's key-value service.
 
 SIGTERM or SIGINT begins a planned stop: the health check fails, the listeners
-go on for as long as the balancer may lag, keep-alive connections are closed
-with their next answer, and what is in flight is finished. A second signal
+stay open for the balancer lag, keep-alive connections are closed with their
+next answer, and requests in flight are finished. A second signal
 changes nothing; the stop is bounded by --stop-grace.
 
 Exit codes:
--- a/cmd/laburnumvane/status.go
+++ b/cmd/laburnumvane/status.go
@@ -16,8 +16,8 @@
 		Usage: "show a VM's view of itself, its peers and its upstreams",
 		Description: `Shows what one VM believes: its own phase, each team's revision, the snapshot
 that new searches of each register pin, every upstream with its state and the
-reason for it, the other VMs, the limits in force and any alarms. Views of two
-VMs may differ for a second or two.
+reason for it, the other VMs, the limits in force and any alarms. The views of
+two VMs may differ for a second or two.
 
 Of the limits it shows, for each upstream, the sub-requests in flight and
 allowed by its replies, and the connections open and planned; for each team the
--- a/cmd/laburnumvane/story.go
+++ b/cmd/laburnumvane/story.go
@@ -27,15 +27,15 @@
 func storyCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "story",
-		Usage:     "print what the logs of many VMs say of one request, in order",
+		Usage:     "print the log lines of one request from many VMs, in order",
 		ArgsUsage: "ID FILE [FILE ...]",
 		Description: `Reads the logs of any number of VMs of "gateway" ("-" for standard input) and
 prints the lines of one request in the order of their times: the VM that a client
 reached, the one that took the request, those that joined answers for it. Lines of
 several VMs may stand in one file, each with its VM's name before the JSON.
 
-Memory does not grow with the logs. Lines that cannot be read are counted and passed
-over; of a request with more than 1,000 lines the first read are shown.
+Memory does not grow with the logs. Lines that cannot be read are counted and skipped;
+of a request with more than 1,000 lines the first ones read are shown.
 
 The time is that of each VM's clock. docs/OPERATIONS.md says what the fields mean.
 
--- a/cmd/laburnumvane/ticket.go
+++ b/cmd/laburnumvane/ticket.go
@@ -20,8 +20,8 @@
 search, for as long as the second line on standard error says. A ticket that is
 not used costs nothing.
 
-A ticket belongs to the VM process that issued it; any VM of the fleet takes it
-and passes the search on. When that process is gone, the ticket is void: the
+A ticket belongs to the VM process that issued it; any VM of the fleet accepts
+it and forwards the search. When that process is gone, the ticket is void: the
 search is refused as not run, and may be sent with a new ticket only if it was
 never sent before.
 
--- a/cmd/laburnumvane/try.go
+++ b/cmd/laburnumvane/try.go
@@ -28,11 +28,11 @@
 func tryCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "try",
-		Usage: "take routed requests through three VMs and stand-ins",
+		Usage: "send routed requests through three VMs and stand-ins",
 		Description: `try starts stand-ins for the platform's store and for upstream servers, and
 three VMs of "gateway", all in one process on loopback. It sends requests while a
-server leaves, the configuration changes and the store is away, and prints what a
-client gets.
+server drains, the configuration changes and the store does not answer, and prints
+the responses that a client gets.
 
 Examples:
    laburnumvane try`,
