--- a/cmd/laburnumvane/config_status.go
+++ b/cmd/laburnumvane/config_status.go
@@ -12,11 +12,11 @@
 func configStatusCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "status",
-		Usage:     "tell what became of a change and where it is in force",
+		Usage:     "show the state of a change and where it is in force",
 		ArgsUsage: "ID",
 		Description: `Asks for a change by its id, and shows for each data centre and each VM whether
-the change, or a later one, is in force there. What did not answer is shown as
-not reachable: it takes the change up when it is back.
+the change, or a later one, is in force there. Those that did not answer are
+shown as not reachable; they apply the change when they are back.
 
 Exit codes: 0 in force on every VM, 1 not on all of them yet, 4 the change is
 not known: it was not accepted, or is older than the history.
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return changeStatusError(cmd, cs)
+	return notInForceError(cmd, cs)
 }
 
 func printChangeStatus(cmd *cli.Command, cs wire.ChangeStatus) {
@@ -75,18 +75,18 @@
 	tbl.flush()
 }
 
-func changeStatusError(cmd *cli.Command, cs wire.ChangeStatus) error {
+func notInForceError(cmd *cli.Command, cs wire.ChangeStatus) error {
 	if !cs.Known {
-		return silent(cmd.FullName(), KindUnknown)
+		return silentError(cmd.FullName(), KindUnknown)
 	}
 	if inForce, vms := countInForce(cs); inForce < vms || anyUnreachable(cs) {
-		return silent(cmd.FullName(), KindFailure)
+		return silentError(cmd.FullName(), KindFailure)
 	}
 	return nil
 }
 
-// countInForce sums up the data centres; the rows of single VMs may leave out
-// those of a data centre that did not answer.
+// countInForce adds up the counts of the data centres. It does not count the entries of single VMs,
+// which may lack those of a data centre that did not answer.
 func countInForce(cs wire.ChangeStatus) (inForce, vms int) {
 	for _, dc := range cs.DataCentres {
 		inForce += dc.InForce
--- a/cmd/laburnumvane/serve.go
+++ b/cmd/laburnumvane/serve.go
@@ -20,14 +20,14 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an entry VM",
-		Description: `serve runs one entry VM until it is told to stop. All settings are flags or
+		Description: `serve runs one entry VM until it receives a stop signal. All settings are flags or
 environment variables; they are checked together at start, with one line for
 each that is wrong. What may change while it runs is the teams' configuration,
 which lives in the platform's key-value service.
 
 SIGTERM or SIGINT begins a planned stop: the health check fails, the listeners
-go on for as long as the balancer may lag, keep-alive connections are closed
-with their next answer, and what is in flight is finished. A second signal
+stay open for the balancer lag, keep-alive connections are closed with their
+next answer, and requests in flight are finished. A second signal
 changes nothing; the stop is bounded by --stop-grace.
 
 Exit codes:
@@ -51,8 +51,8 @@
 	if err := set.Check(); err != nil {
 		return &Error{Op: cmd.FullName(), Kind: KindUsage, Err: err}
 	}
-	// The signals are taken before anything is started, so that one that
-	// comes during the boot still stops the VM as planned.
+	// The signal handlers are installed before anything is started, so that a signal during
+	// start-up still causes a planned stop.
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	return serve(ctx, cmd.FullName(), set.WithIncarnation(time.Now()))
@@ -72,10 +72,10 @@
 	return nil
 }
 
-// newLogger writes JSON lines.
+// newLogger returns a logger that writes JSON lines to out.
 func newLogger(out io.Writer, level string) *log.Logger {
-	// The HTTP library logs in a format of its own; what it would say shows
-	// in the counters.
+	// The HTTP library logs in its own format, so its logging is turned off. The events that it
+	// would log are counted in the metrics.
 	hlog.SetLevel(hlog.LevelFatal)
 	return &log.Logger{
 		Level:      log.ParseLevel(level),
--- a/cmd/laburnumvane/status.go
+++ b/cmd/laburnumvane/status.go
@@ -16,8 +16,8 @@
 		Usage: "show a VM's view of itself, its peers and its upstreams",
 		Description: `Shows what one VM believes: its own phase, each team's revision, the snapshot
 that new searches of each register pin, every upstream with its state and the
-reason for it, the other VMs, the limits in force and any alarms. Views of two
-VMs may differ for a second or two.
+reason for it, the other VMs, the limits in force and any alarms. The views of
+two VMs may differ for a second or two.
 
 Of the limits it shows, for each upstream, the sub-requests in flight and
 allowed by its replies, and the connections open and planned; for each team the
@@ -103,8 +103,8 @@
 	fmt.Fprintln(out)
 	tbl := newTable(out, "UPSTREAM", "DATA CENTRE", "SERVICE", "STATE", "WHY", "IN FLIGHT", "CONNECTIONS", "LATENCY")
 	for _, up := range ups {
-		open := of(up.Connections, up.ConnectionPlan)
-		tbl.row(up.Addr, up.DataCentre, up.Service, up.State, up.Why, of(up.InFlight, up.Limit), open, millis(up.LatencyMs))
+		open := usedOf(up.Connections, up.ConnectionPlan)
+		tbl.row(up.Addr, up.DataCentre, up.Service, up.State, up.Why, usedOf(up.InFlight, up.Limit), open, millis(up.LatencyMs))
 	}
 	tbl.flush()
 }
