--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -16,7 +16,7 @@
 // newSwitchable returns a machine and a switch that sets whether there is capacity.
 func newSwitchable(cfg admit.Config) (*admit.Machine[string], *bool) {
 	available := false
-	cfg.Room = func(time.Duration, int) bool { return available }
+	cfg.HasCapacity = func(time.Duration, int) bool { return available }
 	return admit.New[string](cfg), &available
 }
 
@@ -33,7 +33,7 @@
 		for _, gr := range mc.Step(now) {
 			if gr.Start {
 				out += gr.Waiter
-				mc.Begun()
+				mc.ConfirmStart()
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 	now := time.Duration(0)
 	for range 200 {
 		is.Equal(mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "").Kind, admit.Admitted)
-		mc.Begun()
+		mc.ConfirmStart()
 		now += second
 		mc.Done(now, admit.Urgent, second, false)
 	}
@@ -198,19 +198,19 @@
 // searches, with at most one decrease in the duration of a search.
 func TestVMLimitAdapts(t *testing.T) {
 	is := is.New(t)
-	mc := admit.New[string](admit.Config{Room: alwaysCapacity, MinLimit: 4, MaxLimit: 100})
+	mc := admit.New[string](admit.Config{HasCapacity: alwaysCapacity, MinLimit: 4, MaxLimit: 100})
 	now := time.Duration(0)
 	fill := func() int {
 		n := 0
 		for mc.Offer(now, request(admit.Batch, 1), "").Kind == admit.Admitted {
-			mc.Begun()
+			mc.ConfirmStart()
 			n++
 		}
 		return n
 	}
 	is.Equal(fill(), 80) // four fifths; the rest is reserved for higher classes
 	is.Equal(mc.Offer(now, request(admit.Urgent, 1), "").Kind, admit.Admitted)
-	mc.Begun()
+	mc.ConfirmStart()
 	drain := func(behind bool) {
 		for mc.InFlight() > 0 {
 			now += time.Millisecond
@@ -224,7 +224,7 @@
 	now += 20 * second
 	low := 0
 	for mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "").Kind == admit.Admitted {
-		mc.Begun()
+		mc.ConfirmStart()
 		low++
 	}
 	is.Equal(low, 4)
@@ -233,11 +233,11 @@
 		mc.Step(now + 30*second)
 		now += 30 * second
 		mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "")
-		mc.Begun()
+		mc.ConfirmStart()
 	}
 	high := mc.InFlight()
 	for mc.Offer(now, admit.Request{Class: admit.Urgent, Cost: 1, Deadline: now + second}, "").Kind == admit.Admitted {
-		mc.Begun()
+		mc.ConfirmStart()
 		high++
 	}
 	is.True(high > 80)
@@ -304,9 +304,9 @@
 	de := rr.mc.Offer(rr.now, rq, id)
 	switch {
 	case de.Kind == admit.Admitted:
-		rr.mc.Begun()
+		rr.mc.ConfirmStart()
 		rr.running = append(rr.running, rq.Class)
-	case de.Kind == admit.Queued && de.Until <= rq.Deadline:
+	case de.Kind == admit.Queued && de.StartBy <= rq.Deadline:
 		rr.waiting[id] = de
 	case de.Kind == admit.Refused && de.RetryAfter > 0:
 	default:
@@ -340,10 +340,10 @@
 		}
 		delete(rr.waiting, gr.Waiter)
 		switch {
-		case gr.Start && rr.latest >= de.Until:
-			rr.rt.Fatalf("search %d started at %v, after %v", gr.Waiter, rr.latest, de.Until)
+		case gr.Start && rr.latest >= de.StartBy:
+			rr.rt.Fatalf("search %d started at %v, after %v", gr.Waiter, rr.latest, de.StartBy)
 		case gr.Start:
-			rr.mc.Begun()
+			rr.mc.ConfirmStart()
 			rr.running = append(rr.running, rr.class[gr.Waiter])
 		case gr.RetryAfter <= 0:
 			rr.rt.Fatal("refused without RetryAfter")
@@ -358,7 +358,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		rr := &randomRun{rt: rt, available: true, waiting: map[int]admit.Decision{}, class: map[int]admit.Class{}}
 		hasCapacity := func(time.Duration, int) bool { return rr.available }
-		rr.mc = admit.New[int](admit.Config{Room: hasCapacity, MaxQueue: randomRunMaxQueue, MaxTeamQueue: 3, MaxLimit: 8})
+		rr.mc = admit.New[int](admit.Config{HasCapacity: hasCapacity, MaxQueue: randomRunMaxQueue, MaxTeamQueue: 3, MaxLimit: 8})
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			rr.step()
 		}
--- a/core/admit/bench_test.go
+++ b/core/admit/bench_test.go
@@ -17,13 +17,13 @@
 // admitted search.
 func BenchmarkDecision(b *testing.B) {
 	b.Run("admit", func(b *testing.B) {
-		mc := admit.New[int](admit.Config{Room: alwaysCapacity})
+		mc := admit.New[int](admit.Config{HasCapacity: alwaysCapacity})
 		b.ReportAllocs()
 		now := time.Duration(0)
 		for b.Loop() {
 			now += time.Microsecond
 			mc.Offer(now, admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: now + time.Second}, 0)
-			mc.Begun()
+			mc.ConfirmStart()
 			mc.Done(now, admit.Interactive, time.Millisecond, false)
 		}
 	})
@@ -39,7 +39,7 @@
 	for _, teams := range []int{1, 10, 1000} {
 		b.Run(fmt.Sprintf("queue and start/teams=%d", teams), func(b *testing.B) {
 			hasCapacity := false
-			mc := admit.New[int](admit.Config{Room: func(time.Duration, int) bool { return hasCapacity }, MaxTeamQueue: 1 << 20, MaxQueue: 1 << 20})
+			mc := admit.New[int](admit.Config{HasCapacity: func(time.Duration, int) bool { return hasCapacity }, MaxTeamQueue: 1 << 20, MaxQueue: 1 << 20})
 			now := time.Duration(0)
 			rq := func(i int) admit.Request {
 				return admit.Request{Class: admit.Interactive, Team: admit.TeamID(i % teams), Cost: 10, Deadline: now + time.Hour}
@@ -56,7 +56,7 @@
 				hasCapacity = true
 				for _, gr := range mc.Step(now) {
 					if gr.Start {
-						mc.Begun()
+						mc.ConfirmStart()
 						mc.Done(now, admit.Interactive, time.Millisecond, false)
 					}
 				}
@@ -68,7 +68,7 @@
 
 // machineWithFullQueue returns a machine whose interactive queue of n searches is full.
 func machineWithFullQueue(n int) *admit.Machine[int] {
-	mc := admit.New[int](admit.Config{Room: neverCapacity, MaxQueue: n, MaxTeamQueue: n})
+	mc := admit.New[int](admit.Config{HasCapacity: neverCapacity, MaxQueue: n, MaxTeamQueue: n})
 	for range n {
 		mc.Offer(0, admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: time.Hour}, 0)
 	}
@@ -85,11 +85,11 @@
 		now += time.Microsecond
 		mc.Offer(now, admit.Request{Class: admit.Interactive, Team: 1, Cost: 10, Deadline: now + time.Second}, 0)
 	}), 0.0)
-	idle := admit.New[int](admit.Config{Room: alwaysCapacity})
+	idle := admit.New[int](admit.Config{HasCapacity: alwaysCapacity})
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Microsecond
 		idle.Offer(now, admit.Request{Class: admit.Urgent, Cost: 10, Deadline: now + time.Second}, 0)
-		idle.Begun()
+		idle.ConfirmStart()
 		idle.Done(now, admit.Urgent, time.Millisecond, false)
 	}), 0.0)
 }
--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -41,7 +41,7 @@
 	// ReasonTeamQueueFull: the team's part of that queue is full.
 	ReasonTeamQueueFull Reason = "teamQueueFull"
 	// ReasonWaited: it waited and could not start in time.
-	ReasonWaited Reason = "waited"
+	ReasonQueueTimeout Reason = "waited"
 )
 
 // Handle identifies a queued search.
@@ -58,7 +58,7 @@
 	// Handle and Until are set if Kind is Queued. Until is the time by which the
 	// search must start.
 	Handle Handle
-	Until  time.Duration
+	StartBy  time.Duration
 }
 
 // Grant ends the wait of a search: if Start is set it may start, otherwise it is
--- a/core/admit/machine.go
+++ b/core/admit/machine.go
@@ -8,7 +8,7 @@
 // Config configures a machine. Fields that are 0 take default values.
 type Config struct {
 	// Room is called before each start. It is required.
-	Room CapacityFunc
+	HasCapacity CapacityFunc
 	// MinLimit and MaxLimit bound the VM's own limit of searches in flight, which
 	// applies whatever Room returns. The limit decreases when the VM itself
 	// cannot keep up.
@@ -131,7 +131,7 @@
 	if mc.estimateWait(rq) > allowed {
 		return mc.refuse(rq, ReasonWaitTooLong)
 	}
-	return Decision{Kind: Queued, Handle: mc.enqueue(rq, startBy, waiter), Until: startBy}
+	return Decision{Kind: Queued, Handle: mc.enqueue(rq, startBy, waiter), StartBy: startBy}
 }
 
 // nothingAhead reports whether no search of this or a higher class waits.
@@ -148,7 +148,7 @@
 	if mc.inFlight > 0 && float64(mc.inFlight) >= mc.limit*mc.cfg.LimitShares[cl] {
 		return false
 	}
-	return mc.pending == 0 && mc.cfg.Room(mc.now, int(cl))
+	return mc.pending == 0 && mc.cfg.HasCapacity(mc.now, int(cl))
 }
 
 func (mc *Machine[W]) countStart(cl Class) {
@@ -241,7 +241,7 @@
 // are sent, so that Room counts them; also for a search that ends without sending
 // any. Until then no other search starts. Otherwise a whole queue could start into
 // capacity that is already used, and the servers would shed the burst.
-func (mc *Machine[W]) Begun() {
+func (mc *Machine[W]) ConfirmStart() {
 	mc.pending--
 }
 
--- a/core/admit/simulation_test.go
+++ b/core/admit/simulation_test.go
@@ -138,11 +138,11 @@
 	}
 	vm := &simVM{sm: sm, tb: limit.New(cfg), rnd: rand.New(rand.NewPCG(sm.rnd.Uint64(), 2))}
 	for i := range sm.servers {
-		vm.tb.Place(view.ServerID(i), limit.GroupKey{Service: string(rune('a' + i/sm.de.replicas))})
+		vm.tb.Add(view.ServerID(i), limit.GroupKey{Service: string(rune('a' + i/sm.de.replicas))})
 	}
 	vm.pool = vm.tb.Pool(limit.PoolKey{})
 	vm.retryBudget = budget.New(budget.Config{Share: retryShare, Burst: retryBurst})
-	vm.mc = admit.New[*simSearch](admit.Config{Room: vm.pool.Room})
+	vm.mc = admit.New[*simSearch](admit.Config{HasCapacity: vm.pool.HasCapacity})
 	return vm
 }
 
@@ -194,9 +194,9 @@
 		se.start()
 	case admit.Queued:
 		mc := vm.mc // a restart of the VM replaces vm.mc
-		sm.After(de.Until-sm.Now(), func() {
+		sm.After(de.StartBy-sm.Now(), func() {
 			if mc.Withdraw(sm.Now(), de.Handle) {
-				se.reason = admit.ReasonWaited
+				se.reason = admit.ReasonQueueTimeout
 				se.refuse()
 			}
 		})
@@ -265,7 +265,7 @@
 		se.send(&simSub{se: se, shard: sh})
 	}
 	if sm.mode != unlimited {
-		se.mc.Begun()
+		se.mc.ConfirmStart()
 	}
 	sm.After(se.deadline-sm.Now(), func() { se.finish(false) })
 }
@@ -303,7 +303,7 @@
 			continue
 		}
 		all = append(all, id)
-		if vm.sm.mode == unlimited || vm.tb.Room(vm.sm.Now(), id) {
+		if vm.sm.mode == unlimited || vm.tb.HasCapacity(vm.sm.Now(), id) {
 			ids = append(ids, id)
 		}
 	}
--- a/core/admit/step.go
+++ b/core/admit/step.go
@@ -26,7 +26,7 @@
 		if en.startBy <= mc.now {
 			mc.grants = append(mc.grants, Grant[W]{
 				Waiter:     en.waiter,
-				Reason:     ReasonWaited,
+				Reason:     ReasonQueueTimeout,
 				RetryAfter: mc.retryAfter(en.rq),
 			})
 			mc.unlink(i)
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -28,7 +28,7 @@
 	// Rounds raises this maximum with the number of requests sent at once: to Rounds tokens for
 	// each primary request of the latest round. A lost server affects its share of many rounds,
 	// however large they are.
-	Rounds float64
+	BurstPerPrimary float64
 }
 
 // Budget is a token bucket. Over any period it allows at most Share times the primary requests of
@@ -45,7 +45,7 @@
 	bu := &Budget{
 		share:           int64(cfg.Share * scale),
 		burst:           int64(cfg.Burst * scale),
-		burstPerPrimary: int64(cfg.Rounds * scale),
+		burstPerPrimary: int64(cfg.BurstPerPrimary * scale),
 	}
 	bu.units.Store(bu.burst)
 	return bu
--- a/core/budget/budget_test.go
+++ b/core/budget/budget_test.go
@@ -74,7 +74,7 @@
 // round, but tokens still have to be earned.
 func TestBudgetGrowsWithRound(t *testing.T) {
 	is := is.New(t)
-	bu := budget.New(budget.Config{Share: 0.1, Burst: 50, Rounds: 5})
+	bu := budget.New(budget.Config{Share: 0.1, Burst: 50, BurstPerPrimary: 5})
 	bu.Earn(10)
 	is.Equal(bu.Tokens(), 50)
 	for range 100 {
--- a/core/change/decode.go
+++ b/core/change/decode.go
@@ -50,7 +50,7 @@
 	if va.Format != format {
 		return Envelope{}, errors.Errorf("format %d", va.Format)
 	}
-	en := Envelope{Cut: va.Cut}
+	en := Envelope{DroppedUpTo: va.Cut}
 	if va.Current != nil {
 		en.Changes = append(en.Changes, *va.Current)
 	}
@@ -92,7 +92,7 @@
 		switch {
 		case et.ID == "" || ids[et.ID]:
 			return errors.Errorf("change %d: id %q is empty or stands twice", i, et.ID)
-		case et.Revision <= en.Cut:
+		case et.Revision <= en.DroppedUpTo:
 			return errors.Errorf("change %d: revision %d is not above the cut", i, et.Revision)
 		case i > 0 && et.Revision >= previous:
 			return errors.Errorf("change %d: revision %d is not below the one before", i, et.Revision)
--- a/core/change/encode.go
+++ b/core/change/encode.go
@@ -22,7 +22,7 @@
 
 // Encode returns the stored form of the envelope.
 func (en Envelope) Encode() ([]byte, error) {
-	va := value{Format: format, Cut: en.Cut}
+	va := value{Format: format, Cut: en.DroppedUpTo}
 	if len(en.Changes) > 0 {
 		va.Current = &en.Changes[0]
 	}
--- a/core/change/envelope.go
+++ b/core/change/envelope.go
@@ -55,7 +55,7 @@
 }
 
 // Same reports whether the entry's document equals raw, ignoring white space.
-func (et Entry) Same(raw []byte) bool {
+func (et Entry) SameDocument(raw []byte) bool {
 	sum := et.Sum
 	if len(et.Document) > 0 {
 		sum = sumOf(et.Document)
@@ -89,7 +89,7 @@
 type Envelope struct {
 	Changes []Entry
 	// Cut is the highest revision dropped from the history; 0 while the history is complete.
-	Cut uint64
+	DroppedUpTo uint64
 }
 
 // Current returns the change in force; ok is false before the first change.
@@ -118,8 +118,8 @@
 
 // WholeSince reports whether the history lists every change after a revision. If it does, a change
 // based on that revision that is not listed was never made.
-func (en Envelope) WholeSince(revision uint64) bool {
-	return en.Cut <= revision
+func (en Envelope) CompleteSince(revision uint64) bool {
+	return en.DroppedUpTo <= revision
 }
 
 // WithChange returns the envelope with one more change, whose revision is one above both the last
@@ -143,7 +143,7 @@
 	for _, old := range en.Changes {
 		if len(changes) == idLimit {
 			// The list is newest first, so this is the highest revision that is dropped.
-			en.Cut = max(en.Cut, old.Revision)
+			en.DroppedUpTo = max(en.DroppedUpTo, old.Revision)
 			break
 		}
 		size += len(old.Document)
--- a/core/change/envelope_test.go
+++ b/core/change/envelope_test.go
@@ -95,9 +95,9 @@
 	is.NoErr(err)
 	is.True(len(value) < 1<<20)
 	is.Equal(len(en.Changes), idLimit)
-	is.Equal(en.Cut, uint64(10))
-	is.True(en.WholeSince(10))
-	is.True(!en.WholeSince(9))
+	is.Equal(en.DroppedUpTo, uint64(10))
+	is.True(en.CompleteSince(10))
+	is.True(!en.CompleteSince(9))
 	_, err = Decode(value)
 	is.NoErr(err)
 }
@@ -161,7 +161,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", again, err)
 		}
-		if back.Revision() != en.Revision() || back.Cut != en.Cut || len(back.Changes) != len(en.Changes) {
+		if back.Revision() != en.Revision() || back.DroppedUpTo != en.DroppedUpTo || len(back.Changes) != len(en.Changes) {
 			t.Fatalf("%s became %s", value, again)
 		}
 	})
--- a/core/change/event.go
+++ b/core/change/event.go
@@ -27,7 +27,7 @@
 // SwapFailed reports that a Swap got no answer. Doubtful is false only if it is certain that the
 // service did not receive the swap.
 type SwapFailed struct {
-	Doubtful bool
+	MayHaveApplied bool
 	Err      error
 }
 
@@ -97,7 +97,7 @@
 	Current Entry
 	// Behind is set if the service's revision was lower than this VM's, as after a restore from a
 	// backup.
-	Behind bool
+	ServiceBehind bool
 	// Swaps counts the swaps that were requested.
 	Swaps int
 	Err   error
--- a/core/change/example_test.go
+++ b/core/change/example_test.go
@@ -15,7 +15,7 @@
 	var pair change.Pair
 	now := time.Duration(0)
 	pr := change.NewProposer(change.Config{
-		Proposal: change.Proposal{ID: "c1", Fresh: true, Team: "wash", Document: []byte(`{"version":1,"team":"wash","limits":{},"searches":{},"registers":{}}`)},
+		Proposal: change.Proposal{ID: "c1", NewID: true, Team: "wash", Document: []byte(`{"version":1,"team":"wash","limits":{},"searches":{},"registers":{}}`)},
 		Deadline: now + 10*time.Second,
 		Rand:     rand.New(rand.NewPCG(1, 1)),
 	})
@@ -29,7 +29,7 @@
 		case change.Swap:
 			fmt.Println("swap", ac.Key, "expecting", ac.Expect)
 			pair = change.Pair{Value: ac.Value, Revision: 1}
-			acts = pr.Step(now, change.SwapFailed{Doubtful: true, Err: errors.New("connection reset")})
+			acts = pr.Step(now, change.SwapFailed{MayHaveApplied: true, Err: errors.New("connection reset")})
 		case change.Wake:
 			now = ac.At
 			acts = pr.Step(now, change.Tick{})
--- a/core/change/fake_test.go
+++ b/core/change/fake_test.go
@@ -104,7 +104,7 @@
 		ev, oc, done := sc.perform(acts)
 		if done {
 			fmt.Fprintf(&sc.log, "%8s  %s revision=%d current=%s/%d swaps=%d behind=%t err=%v\n",
-				sc.now, oc.Result, oc.Entry.Revision, oc.Current.ID, oc.Current.Revision, oc.Swaps, oc.Behind, oc.Err)
+				sc.now, oc.Result, oc.Entry.Revision, oc.Current.ID, oc.Current.Revision, oc.Swaps, oc.ServiceBehind, oc.Err)
 			return oc
 		}
 		acts = pr.Step(sc.now, ev)
@@ -162,9 +162,9 @@
 		return SwapFailed{Err: errLost}
 	case sp.lost:
 		sc.st.swap(sw)
-		return SwapFailed{Doubtful: true, Err: errLost}
+		return SwapFailed{MayHaveApplied: true, Err: errLost}
 	case sp.name == "request lost":
-		return SwapFailed{Doubtful: true, Err: errLost}
+		return SwapFailed{MayHaveApplied: true, Err: errLost}
 	}
 	return sc.st.swap(sw)
 }
--- a/core/change/proposer.go
+++ b/core/change/proposer.go
@@ -30,7 +30,7 @@
 	ID string
 	// Fresh is set if the id was generated for this proposal, so that no earlier attempt can have
 	// used it.
-	Fresh    bool
+	NewID    bool
 	Team     string
 	Actor    string
 	UnixMs   int64
@@ -45,7 +45,7 @@
 	Proposal Proposal
 	// Held is the team's change in force on this VM; the zero value if there is none. The revision
 	// of a new change must be higher.
-	Held Entry
+	InForce Entry
 	// Deadline is when the machine reports the result as far as known.
 	Deadline time.Duration
 	Rand     *rand.Rand
@@ -121,7 +121,7 @@
 		}
 	case SwapFailed:
 		if pr.phase == phaseSwap {
-			pr.mayHaveApplied = pr.mayHaveApplied || ev.Doubtful
+			pr.mayHaveApplied = pr.mayHaveApplied || ev.MayHaveApplied
 			return pr.scheduleRetry(now, ev.Err)
 		}
 	}
@@ -229,7 +229,7 @@
 // handleKnownID handles an id found in the history: the proposal was accepted, possibly through
 // another attempt, unless the id belongs to another document.
 func (pr *Proposer) handleKnownID(et Entry, en Envelope) []Action {
-	if et.Same(pr.cfg.Proposal.Document) {
+	if et.SameDocument(pr.cfg.Proposal.Document) {
 		return pr.report(Outcome{Result: ResultAccepted, Entry: et})
 	}
 	return pr.reportConflict(en, errors.Errorf("the id %s names another change", et.ID))
@@ -238,8 +238,8 @@
 // propose requests the first swap, based on the service's value.
 func (pr *Proposer) propose(now time.Duration, pair Pair, en Envelope) []Action {
 	pl := pr.cfg.Proposal
-	seen := max(en.Revision(), pr.cfg.Held.Revision)
-	pr.behind = en.Revision() < pr.cfg.Held.Revision
+	seen := max(en.Revision(), pr.cfg.InForce.Revision)
+	pr.behind = en.Revision() < pr.cfg.InForce.Revision
 	if pl.Expect != nil && *pl.Expect > seen && pr.rereads < maxRereads {
 		// The operator has seen a higher revision than this read returned, so the read may be
 		// stale. A conflict reported now could name a change that has long been replaced.
@@ -249,7 +249,7 @@
 	if pl.Expect != nil && *pl.Expect != seen {
 		return pr.reportOutdated(en, *pl.Expect)
 	}
-	if pl.Expect == nil && !pl.Fresh && en.Cut > 0 {
+	if pl.Expect == nil && !pl.NewID && en.DroppedUpTo > 0 {
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.New("the history no longer tells whether the id was used; give the revision that the change was made from")})
 	}
 	if pl.DryRun {
@@ -261,7 +261,7 @@
 // reportOutdated ends a proposal that is based on another revision. A change whose id was used
 // before may have been accepted and since dropped from the history.
 func (pr *Proposer) reportOutdated(en Envelope, expect uint64) []Action {
-	if !pr.cfg.Proposal.Fresh && !en.WholeSince(expect) {
+	if !pr.cfg.Proposal.NewID && !en.CompleteSince(expect) {
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.Errorf("the history no longer reaches back to revision %d", expect)})
 	}
 	return pr.reportConflict(en, errors.Errorf("made from revision %d", expect))
@@ -269,7 +269,7 @@
 
 func (pr *Proposer) prepareSwap(pair Pair, en Envelope) []Action {
 	pl := pr.cfg.Proposal
-	floor := pr.cfg.Held.Revision
+	floor := pr.cfg.InForce.Revision
 	if pr.behind {
 		floor += revisionGap
 	}
@@ -312,7 +312,7 @@
 		return pr.prepareSwap(pair, en)
 	case en.Revision() <= pr.base.Revision():
 		return pr.reportDataLoss(en)
-	case !pr.mayHaveApplied || en.WholeSince(pr.base.Revision()):
+	case !pr.mayHaveApplied || en.CompleteSince(pr.base.Revision()):
 		return pr.reportConflict(en, errors.New("another change came first"))
 	default:
 		return pr.report(Outcome{Result: ResultUnknown, Err: errors.New("the history was cut since; it no longer tells")})
@@ -341,8 +341,8 @@
 // newestKnown returns the newest change known, from the service or from this VM.
 func (pr *Proposer) newestKnown(en Envelope) Entry {
 	cur, _ := en.Current()
-	if pr.cfg.Held.Revision > cur.Revision {
-		return pr.cfg.Held
+	if pr.cfg.InForce.Revision > cur.Revision {
+		return pr.cfg.InForce
 	}
 	return cur
 }
@@ -365,7 +365,7 @@
 
 func (pr *Proposer) report(oc Outcome) []Action {
 	pr.phase = phaseDone
-	oc.Behind = pr.behind
+	oc.ServiceBehind = pr.behind
 	oc.Swaps = pr.swaps
 	return []Action{Report{Outcome: oc}}
 }
--- a/core/change/proposer_test.go
+++ b/core/change/proposer_test.go
@@ -52,8 +52,8 @@
 		{"readFromPast", Config{}, []step{{name: "answers"}, {name: "answer lost", lost: true}, {name: "from the past", past: 1}}, ResultAccepted, true},
 		{"downThroughout", Config{Deadline: 3 * time.Second}, failedSteps(40), ResultRefused, false},
 		{"downAfterSwap", Config{Deadline: 3 * time.Second}, append([]step{{name: "answers"}, {name: "answer lost", lost: true}}, failedSteps(40)...), ResultUnknown, true},
-		{"backup", Config{Held: heldEntry, Proposal: Proposal{Expect: revisionPtr(9)}}, nil, ResultAccepted, true},
-		{"backupOutdated", Config{Held: heldEntry, Proposal: Proposal{Expect: revisionPtr(1)}}, nil, ResultConflict, false},
+		{"backup", Config{InForce: heldEntry, Proposal: Proposal{Expect: revisionPtr(9)}}, nil, ResultAccepted, true},
+		{"backupOutdated", Config{InForce: heldEntry, Proposal: Proposal{Expect: revisionPtr(1)}}, nil, ResultConflict, false},
 		{"lostByRestore", Config{}, []step{{name: "answers", before: other}, {name: "request lost"}, {name: "restored", before: restore}}, ResultUnknown, false},
 		{"operatorAhead", Config{Proposal: Proposal{Expect: revisionPtr(2)}}, []step{{name: "from the past", before: other, past: 1}}, ResultAccepted, true},
 	}
@@ -133,8 +133,8 @@
 	is := is.New(t)
 	sc := &scenario{st: newFakeStore()}
 	sc.st.write("first")
-	oc := sc.run(withDefaults(Config{Held: Entry{ID: "held", Revision: 9, Document: document(9)}}))
-	is.True(oc.Behind)
+	oc := sc.run(withDefaults(Config{InForce: Entry{ID: "held", Revision: 9, Document: document(9)}}))
+	is.True(oc.ServiceBehind)
 	is.Equal(oc.Entry.Revision, uint64(9+revisionGap+1))
 }
 
--- a/core/change/race_test.go
+++ b/core/change/race_test.go
@@ -103,7 +103,7 @@
 	case "refused":
 		return SwapFailed{Err: errLost}
 	}
-	return SwapFailed{Doubtful: true, Err: errLost}
+	return SwapFailed{MayHaveApplied: true, Err: errLost}
 }
 
 func (ra *race) deliver() {
--- a/core/conns/conns_test.go
+++ b/core/conns/conns_test.go
@@ -28,7 +28,7 @@
 
 // newPlanner returns the planner of a VM with the given view.
 func newPlanner(self conns.VM, seen []conns.VM, far bool, groups ...conns.Group) *conns.Planner {
-	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Far: far})
+	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Remote: far})
 	for _, vm := range seen {
 		pl.Apply(conns.Change{VM: vm, Joined: true})
 	}
@@ -136,7 +136,7 @@
 
 // The reserve must suffice for the documented number of VMs that may be missing from every view
 // without exceeding a server's limit.
-func TestReserveTolerates(t *testing.T) {
+func TestReserveToleratesMissingVMs(t *testing.T) {
 	for _, tt := range []struct {
 		limit, n, missing int
 	}{
@@ -154,10 +154,10 @@
 // must use no connections, and until it is five seconds old only one. The first version took the
 // whole limit at every VM that received its list after the configuration, or before the other VMs
 // were in the list.
-func TestYoungVM(t *testing.T) {
+func TestVMWithoutReliableList(t *testing.T) {
 	is := is.New(t)
 	self := vmNumber(0, "a")
-	ro := conns.NewRoster(conns.RosterConfig{Self: self, Hold: time.Minute, Patience: 5 * time.Second})
+	ro := conns.NewRoster(conns.RosterConfig{Self: self, DepartureDelay: time.Minute, SettleTime: 5 * time.Second})
 	is.True(!ro.Settled(4 * time.Second))
 	is.True(ro.Settled(5 * time.Second)) // no list, but Patience has passed
 	is.True(ro.Cautious(5 * time.Second))
@@ -174,7 +174,7 @@
 func TestDeadVMCountsForAWhile(t *testing.T) {
 	is := is.New(t)
 	all := vmsOf(3, "a")
-	ro := conns.NewRoster(conns.RosterConfig{Self: all[0], Hold: time.Minute})
+	ro := conns.NewRoster(conns.RosterConfig{Self: all[0], DepartureDelay: time.Minute})
 	is.Equal(ro.Update(0, all), []conns.Change{{VM: all[1], Joined: true}, {VM: all[2], Joined: true}})
 	is.Equal(len(ro.Update(10*time.Second, all[:2])), 0)
 	is.Equal(len(ro.Update(60*time.Second, all)), 0)
@@ -243,7 +243,7 @@
 	allowed := int(100 * time.Millisecond / setup / 4)
 	var opened []time.Duration
 	for vm := range users {
-		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, uint64(vm))), Setup: setup, Load: 0.25})
+		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, uint64(vm))), SetupTime: setup, SetupShare: 0.25})
 		ra.Set(0, 0, share, users)
 		wakeUntilIdle(ra)
 		is.Equal(ra.Limit(0), share)
@@ -269,9 +269,9 @@
 
 // Guards against a tight retry loop: after a server refused a connection because it had too many, no
 // further one may be tried for at least five seconds. A reduced share must take effect at once.
-func TestRampRefusedAndCut(t *testing.T) {
+func TestRampAfterRefusalAndReduction(t *testing.T) {
 	is := is.New(t)
-	ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), Setup: time.Millisecond, Load: 0.25})
+	ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), SetupTime: time.Millisecond, SetupShare: 0.25})
 	ra.Set(0, 0, 8, 4)
 	wakeUntilIdle(ra)
 	is.Equal(ra.Refused(time.Minute, 0, 5), []conns.Limit{{ID: 0, N: 5}})
@@ -293,7 +293,7 @@
 // end.
 func TestRampStaysWithinShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), Setup: time.Millisecond, Load: 0.25})
+		ra := conns.NewRamp(conns.RampConfig{Rand: rand.New(rand.NewPCG(1, 1)), SetupTime: time.Millisecond, SetupShare: 0.25})
 		shares := [3]int{}
 		now := time.Duration(0)
 		for id := range shares {
--- a/core/conns/example_test.go
+++ b/core/conns/example_test.go
@@ -8,7 +8,7 @@
 
 func ExamplePlanner() {
 	self := conns.VM{Addr: "10.0.0.1:7703", DataCentre: "east"}
-	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Far: true})
+	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Remote: true})
 	local := pl.Add(conns.Group{Service: "members-3", DataCentre: "east", Replicas: 1, Limit: 30})
 	remote := pl.Add(conns.Group{Service: "members-3", DataCentre: "west", Replicas: 1, Limit: 30})
 	fmt.Println("alone:", pl.Share(local, 0), pl.Share(remote, 0))
--- a/core/conns/measure_test.go
+++ b/core/conns/measure_test.go
@@ -48,7 +48,7 @@
 
 func (ch churn) boot(i int, born time.Duration, rnd *rand.Rand) *simVM {
 	sv := &simVM{vm: vmNumber(i, "a"), startedAt: born, lag: time.Duration(rnd.Int64N(int64(ch.lag) + 1))}
-	sv.roster = conns.NewRoster(conns.RosterConfig{Self: sv.vm, Hold: time.Minute, Patience: 5 * time.Second})
+	sv.roster = conns.NewRoster(conns.RosterConfig{Self: sv.vm, DepartureDelay: time.Minute, SettleTime: 5 * time.Second})
 	sv.planner = newPlanner(sv.vm, nil, false, conns.Group{Service: "s", DataCentre: "a", Replicas: replicas, Limit: ch.limit})
 	return sv
 }
--- a/core/conns/planner.go
+++ b/core/conns/planner.go
@@ -20,7 +20,7 @@
 	Self VM
 	// Far gives a part of the connections to VMs in other data centres. This is useful while
 	// every such VM can get a connection; with thousands of VMs hardly any does.
-	Far bool
+	Remote bool
 }
 
 // Planner computes this VM's share of each server's connections. For each group it keeps only this
@@ -124,7 +124,7 @@
 }
 
 func (pl *Planner) partOf(gr *group) (part, count int) {
-	localPart, remotePart := Split(gr.Limit, pl.cfg.Far)
+	localPart, remotePart := Split(gr.Limit, pl.cfg.Remote)
 	count = pl.vmsPerDC[gr.DataCentre]
 	if gr.local {
 		return localPart, count
--- a/core/conns/ramp.go
+++ b/core/conns/ramp.go
@@ -22,10 +22,10 @@
 	// Rand is the source of jitter.
 	Rand *rand.Rand
 	// Setup is the processing time that one new connection costs a server.
-	Setup time.Duration
+	SetupTime time.Duration
 	// Load is the share of its time that a server may spend on new connections from all VMs
 	// together.
-	Load float64
+	SetupShare float64
 }
 
 // Ramp raises the limit of each server from initialLimit to this VM's share, one connection at a
@@ -68,7 +68,7 @@
 	}
 	sr := &ra.servers[id]
 	sr.share = share
-	sr.interval = time.Duration(float64(users) * float64(ra.cfg.Setup) / ra.cfg.Load)
+	sr.interval = time.Duration(float64(users) * float64(ra.cfg.SetupTime) / ra.cfg.SetupShare)
 	ra.changes = ra.changes[:0]
 	ra.setLimit(id, min(share, max(sr.limit, initialLimit)))
 	ra.schedule(now, id, sr.interval)
--- a/core/conns/roster.go
+++ b/core/conns/roster.go
@@ -23,11 +23,11 @@
 	Self VM
 	// Hold is how long a VM that is no longer in the list is still counted: its connections may
 	// outlive it, or it may only be unreachable.
-	Hold time.Duration
+	DepartureDelay time.Duration
 	// Patience is how long after its start a VM without a list of VMs waits before it counts as
 	// settled, and for how long a VM with a list is cautious: VMs that start together are not in
 	// each other's lists.
-	Patience time.Duration
+	SettleTime time.Duration
 }
 
 // Roster is the set of VMs that are counted for the division. A VM that joins counts at once, and
@@ -76,7 +76,7 @@
 	}
 	for addr, en := range ro.vms {
 		if !present[addr] && en.countedUntil == 0 {
-			en.countedUntil = now + ro.cfg.Hold
+			en.countedUntil = now + ro.cfg.DepartureDelay
 			ro.vms[addr] = en
 		}
 	}
@@ -99,7 +99,7 @@
 // Settled reports whether shares may be used. Until then the roster counts this VM alone, whose
 // share would be all connections of every server.
 func (ro *Roster) Settled(now time.Duration) bool {
-	return ro.settled || now >= ro.cfg.Patience
+	return ro.settled || now >= ro.cfg.SettleTime
 }
 
 // Cautious reports whether this VM never received a list of VMs, or is so young that it may be
@@ -107,7 +107,7 @@
 // whatever its share: then a server's limit holds if no more VMs start together than it has
 // connections.
 func (ro *Roster) Cautious(now time.Duration) bool {
-	return !ro.settled || now < ro.cfg.Patience
+	return !ro.settled || now < ro.cfg.SettleTime
 }
 
 // Len returns the number of VMs counted.
--- a/core/cover/cover.go
+++ b/core/cover/cover.go
@@ -38,7 +38,7 @@
 
 // Need adds a shard that has no healthy server in this data centre, with the data centres that
 // have one. Duplicates count once.
-func (pl *Planner) Need(shard int, dataCentres []string) {
+func (pl *Planner) AddShard(shard int, dataCentres []string) {
 	if pl.byDataCentre == nil {
 		pl.byDataCentre = make(map[string][]int)
 	}
--- a/core/cover/cover_test.go
+++ b/core/cover/cover_test.go
@@ -32,7 +32,7 @@
 			is := is.New(t)
 			var pl cover.Planner
 			for shard, dataCentres := range tc.needs {
-				pl.Need(shard, dataCentres)
+				pl.AddShard(shard, dataCentres)
 			}
 			is.Equal(pl.Choose(tc.minSize, half), tc.chosen)
 		})
@@ -62,7 +62,7 @@
 				continue
 			}
 			remote++
-			pl.Need(shard, names)
+			pl.AddShard(shard, names)
 			drawn[names[rnd.IntN(replicas)]]++
 		}
 		for _, n := range drawn {
--- a/core/enlist/book.go
+++ b/core/enlist/book.go
@@ -2,7 +2,7 @@
 
 // TxnMost is the largest number of entries that one transaction may change, a limit of the
 // platform's store.
-const TxnMost = 32
+const MaxTxnEntries = 32
 
 // Entry is the entry by which a VM registers itself in the store.
 type Entry struct {
@@ -12,20 +12,20 @@
 }
 
 // Leased is an entry together with the lease that it is bound to.
-type Leased struct {
+type LeasedEntry struct {
 	Entry
 	Lease uint64
 }
 
 // Book collects entries that are written to the store together. It is not safe for concurrent
 // use.
-type Book struct {
+type Batch struct {
 	entries []Entry
 }
 
 // Add adds an entry. It replaces a pending entry of the same key, which comes from a caller
 // that got no answer and asks again.
-func (bk *Book) Add(en Entry) {
+func (bk *Batch) Add(en Entry) {
 	for i := range bk.entries {
 		if bk.entries[i].Key == en.Key {
 			bk.entries[i] = en
@@ -36,7 +36,7 @@
 }
 
 // Drop removes a pending entry that no caller waits for any more.
-func (bk *Book) Drop(key string) {
+func (bk *Batch) Drop(key string) {
 	for i := range bk.entries {
 		if bk.entries[i].Key == key {
 			bk.entries = append(bk.entries[:i], bk.entries[i+1:]...)
@@ -46,11 +46,11 @@
 }
 
 // Transactions returns how many transactions the pending entries take.
-func (bk *Book) Transactions() int { return (len(bk.entries) + TxnMost - 1) / TxnMost }
+func (bk *Batch) Transactions() int { return (len(bk.entries) + MaxTxnEntries - 1) / MaxTxnEntries }
 
 // Take removes and returns the entries of the next transaction, oldest first.
-func (bk *Book) Take() []Entry {
-	n := min(len(bk.entries), TxnMost)
+func (bk *Batch) Take() []Entry {
+	n := min(len(bk.entries), MaxTxnEntries)
 	taken := bk.entries[:n:n]
 	bk.entries = bk.entries[n:]
 	return taken
--- a/core/enlist/enlist_test.go
+++ b/core/enlist/enlist_test.go
@@ -17,7 +17,7 @@
 func TestSharedLeaseIsKept(t *testing.T) {
 	const (
 		leaseTime = 30 * time.Second
-		round     = leaseTime / enlist.Rounds
+		round     = leaseTime / enlist.RenewRounds
 		duration  = time.Hour
 	)
 	cases := []struct {
@@ -70,22 +70,22 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			is.New(t).Equal(enlist.LeaseOf(tc.leases), tc.want)
+			is.New(t).Equal(enlist.CommonLease(tc.leases), tc.want)
 		})
 	}
 }
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	var bk enlist.Book
-	for i := range enlist.TxnMost + 3 {
+	var bk enlist.Batch
+	for i := range enlist.MaxTxnEntries + 3 {
 		bk.Add(enlist.Entry{Key: fmt.Sprint(i)})
 	}
 	bk.Add(enlist.Entry{Key: "1", Value: []byte("anew")})
 	bk.Drop("0")
 	bk.Drop("not there")
 	first := bk.Take()
-	is.Equal(len(first), enlist.TxnMost)
+	is.Equal(len(first), enlist.MaxTxnEntries)
 	is.Equal(first[0].Key, "1")
 	is.Equal(string(first[0].Value), "anew")
 	second := bk.Take()
@@ -93,7 +93,7 @@
 	is.Equal(len(bk.Take()), 0)
 	bk.Add(enlist.Entry{Key: "later"})
 	is.Equal(first[0].Key, "1") // entries returned by Take don't change later
-	is.Equal(second[1].Key, fmt.Sprint(enlist.TxnMost+2))
+	is.Equal(second[1].Key, fmt.Sprint(enlist.MaxTxnEntries+2))
 }
 
 // Guards against wrong removals. The VMs of a data centre share a lease, so the entry of a dead
@@ -101,28 +101,28 @@
 // no contact with it.
 func TestSilent(t *testing.T) {
 	const leaseTime = 30 * time.Second
-	leads := enlist.Sight{Now: time.Minute, LeaseTime: leaseTime, Leads: true, Since: 10 * time.Second, Fresh: true}
-	live := enlist.Other{Addr: "live", Heard: 59 * time.Second}
-	dead := enlist.Other{Addr: "dead", Heard: 45 * time.Second}
-	never := enlist.Other{Addr: "never"}
-	with := func(change func(*enlist.Sight)) enlist.Sight {
+	leads := enlist.Observation{Now: time.Minute, LeaseTime: leaseTime, Followed: true, Since: 10 * time.Second, StoreFresh: true}
+	live := enlist.OtherVM{Addr: "live", LastContact: 59 * time.Second}
+	dead := enlist.OtherVM{Addr: "dead", LastContact: 45 * time.Second}
+	never := enlist.OtherVM{Addr: "never"}
+	with := func(change func(*enlist.Observation)) enlist.Observation {
 		si := leads
 		change(&si)
 		return si
 	}
 	cases := []struct {
 		name   string
-		sight  enlist.Sight
-		others []enlist.Other
+		sight  enlist.Observation
+		others []enlist.OtherVM
 		want   []string
 	}{
-		{"one VM died", leads, []enlist.Other{live, dead}, []string{"dead"}},
-		{"one VM never asked", leads, []enlist.Other{live, never}, []string{"never"}},
-		{"this VM was followed only recently", with(func(si *enlist.Sight) { si.Since = 55 * time.Second }), []enlist.Other{live, dead}, nil},
-		{"the VMs follow another VM", with(func(si *enlist.Sight) { si.Leads = false }), []enlist.Other{live, dead}, nil},
-		{"store outage", with(func(si *enlist.Sight) { si.Fresh = false }), []enlist.Other{live, dead}, nil},
-		{"no contact with any VM", leads, []enlist.Other{dead}, nil},
-		{"no contact with any VM for the lease time", with(func(si *enlist.Sight) { si.Now = 2 * time.Minute }), []enlist.Other{dead}, []string{"dead"}},
+		{"one VM died", leads, []enlist.OtherVM{live, dead}, []string{"dead"}},
+		{"one VM never asked", leads, []enlist.OtherVM{live, never}, []string{"never"}},
+		{"this VM was followed only recently", with(func(si *enlist.Observation) { si.Since = 55 * time.Second }), []enlist.OtherVM{live, dead}, nil},
+		{"the VMs follow another VM", with(func(si *enlist.Observation) { si.Followed = false }), []enlist.OtherVM{live, dead}, nil},
+		{"store outage", with(func(si *enlist.Observation) { si.StoreFresh = false }), []enlist.OtherVM{live, dead}, nil},
+		{"no contact with any VM", leads, []enlist.OtherVM{dead}, nil},
+		{"no contact with any VM for the lease time", with(func(si *enlist.Observation) { si.Now = 2 * time.Minute }), []enlist.OtherVM{dead}, []string{"dead"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -136,7 +136,7 @@
 }
 
 func TestSilentFitsOneTransaction(t *testing.T) {
-	others := make([]enlist.Other, 2*enlist.TxnMost)
-	si := enlist.Sight{Now: time.Hour, LeaseTime: time.Second, Leads: true, Fresh: true}
-	is.New(t).Equal(len(enlist.Silent(si, others)), enlist.TxnMost)
+	others := make([]enlist.OtherVM, 2*enlist.MaxTxnEntries)
+	si := enlist.Observation{Now: time.Hour, LeaseTime: time.Second, Followed: true, StoreFresh: true}
+	is.New(t).Equal(len(enlist.Silent(si, others)), enlist.MaxTxnEntries)
 }
--- a/core/enlist/lease.go
+++ b/core/enlist/lease.go
@@ -2,7 +2,7 @@
 
 // Rounds is the number of renewal rounds within the time of a lease: two renewals may fail
 // before the lease expires.
-const Rounds = 3
+const RenewRounds = 3
 
 // renewers is the average number of VMs that renew a lease in each round, if more VMs than that
 // share it. They draw lots, so that no agreement is needed and the loss of one VM does not
@@ -19,7 +19,7 @@
 // LeaseOf returns the lease under which a new entry of a data centre is written, given the
 // leases of the existing ones: the most frequent lease, or the newest of equally frequent ones.
 // It returns 0 if there is none.
-func LeaseOf(leases []uint64) uint64 {
+func CommonLease(leases []uint64) uint64 {
 	count := make(map[uint64]int, 1)
 	best := uint64(0)
 	for _, le := range leases {
--- a/core/fanout/config.go
+++ b/core/fanout/config.go
@@ -7,7 +7,7 @@
 )
 
 // Ask describes the attempt that a server is to be picked for.
-type Ask struct {
+type PickRequest struct {
 	Shard int
 	// Tried lists the servers that must not be picked.
 	Tried []*origin.Upstream
@@ -20,7 +20,7 @@
 
 // Chooser picks a server for a shard; false means that none is available.
 type Chooser interface {
-	Pick(now time.Duration, ask Ask) (*origin.Upstream, bool)
+	Pick(now time.Duration, ask PickRequest) (*origin.Upstream, bool)
 }
 
 // Budget allows or denies each hedge and each retry. Needed is set if the request would fail
@@ -42,12 +42,12 @@
 	// answered.
 	Target time.Duration
 	// Hard is the deadline: the final answer is given then at the latest.
-	Hard time.Duration
+	HardDeadline time.Duration
 	// HedgeAfter is how long an attempt may take before a second server is asked as well; 0 turns
 	// hedging off.
 	HedgeAfter time.Duration
 	// LeastTime is the minimum duration of an attempt; none is sent when less is left until Hard.
-	LeastTime time.Duration
+	MinTimeLeft time.Duration
 	// Suspect is set if servers crashed under an earlier arrival of the same request: it is sent
 	// to a single server first.
 	Suspect bool
@@ -56,7 +56,7 @@
 	TrialGap time.Duration
 	Blocked  func() bool
 	// Draw returns a uniform random number in [0, 1), which selects the shard of a trial.
-	Draw    func() float64
+	Rand    func() float64
 	Chooser Chooser
 	Budget  Budget
 }
--- a/core/fanout/crash.go
+++ b/core/fanout/crash.go
@@ -92,7 +92,7 @@
 // is late; Hard if no further trial is possible.
 func (mc *Machine) nextTrialTime() time.Duration {
 	if mc.countDue() == 0 {
-		return mc.cfg.Hard
+		return mc.cfg.HardDeadline
 	}
 	at, trials := mc.guard.trialNotBefore, mc.guard.failedTrials
 	for k := range mc.attempts {
@@ -103,12 +103,12 @@
 			trials++
 		}
 		if mc.cfg.HedgeAfter == 0 {
-			return mc.cfg.Hard
+			return mc.cfg.HardDeadline
 		}
 		at = max(at, mc.attempts[k].started+mc.cfg.HedgeAfter)
 	}
 	if trials >= maxFailedTrials {
-		return mc.cfg.Hard
+		return mc.cfg.HardDeadline
 	}
 	return at
 }
@@ -127,8 +127,8 @@
 // servers are tried on different ones.
 func (mc *Machine) drawDue() int {
 	n := 0
-	if mc.cfg.Draw != nil {
-		n = int(mc.cfg.Draw() * float64(mc.countDue()))
+	if mc.cfg.Rand != nil {
+		n = int(mc.cfg.Rand() * float64(mc.countDue()))
 	}
 	for i := range mc.shards {
 		if !mc.shards[i].due {
--- a/core/fanout/crash_test.go
+++ b/core/fanout/crash_test.go
@@ -248,8 +248,8 @@
 	cfg.Suspect, cfg.HedgeAfter = true, 0
 	mc := fanout.New(cfg)
 	mc.Start(0)
-	is.Equal(mc.Wake(), cfg.Hard)
-	an, ok := answerOf(mc.Step(cfg.Hard, fanout.Event{Kind: fanout.EvWake}))
+	is.Equal(mc.Wake(), cfg.HardDeadline)
+	an, ok := answerOf(mc.Step(cfg.HardDeadline, fanout.Event{Kind: fanout.EvWake}))
 	is.True(ok)
 	is.Equal(an.Reason, fanout.ReasonDeadline)
 }
--- a/core/fanout/event.go
+++ b/core/fanout/event.go
@@ -65,7 +65,7 @@
 	// EvWake is the timer event at the time returned by Wake, or later.
 	EvWake
 	// EvGone reports that the client disconnected.
-	EvGone
+	EvClientGone
 )
 
 // Event is an input to a Machine.
@@ -141,7 +141,7 @@
 	// OutcomeNotRun: the request did not run and will not run.
 	OutcomeNotRun
 	// OutcomeGone: the client disconnected before there was an answer.
-	OutcomeGone
+	OutcomeClientGone
 )
 
 // String returns the outcome's name in logs and counters.
@@ -153,7 +153,7 @@
 		return "failed"
 	case OutcomeNotRun:
 		return "notRun"
-	case OutcomeGone:
+	case OutcomeClientGone:
 		return "gone"
 	}
 	return "open"
@@ -182,9 +182,9 @@
 	Winners []int
 	Missing int
 	// Shown is the attempt whose failure may be passed on to the client as it is, or -1.
-	Shown int
+	ShownFailure int
 	// Full is set if a server refused the request for lack of capacity.
-	Full bool
+	NoCapacity bool
 	// Attempts counts all attempts, Hedges and Retries those beyond the first of a shard.
 	Attempts int
 	Hedges   int
--- a/core/fanout/joined.go
+++ b/core/fanout/joined.go
@@ -6,7 +6,7 @@
 // combines the answers of several shards. All results are recorded before anything is decided. If
 // one of the served shards already has another winner, all served results count as Lost, since the
 // records of that shard cannot be separated from the rest.
-func (mc *Machine) StepAll(now time.Duration, evs []Event) []Action {
+func (mc *Machine) StepJoined(now time.Duration, evs []Event) []Action {
 	mc.actions = mc.actions[:0]
 	usable := true
 	for _, ev := range evs {
@@ -25,14 +25,14 @@
 
 // Hold delays hedges for the shard of attempt k until the given time, by which its result is
 // expected.
-func (mc *Machine) Hold(k int, until time.Duration) {
+func (mc *Machine) HoldHedges(k int, until time.Duration) {
 	if sh := &mc.shards[mc.attempts[k].shard]; sh.hedgeAt > 0 {
 		sh.hedgeAt = max(sh.hedgeAt, until)
 	}
 }
 
 // Release undoes Hold: the result of attempt k will arrive on its own.
-func (mc *Machine) Release(k int) {
+func (mc *Machine) ReleaseHedges(k int) {
 	at := &mc.attempts[k]
 	if sh := &mc.shards[at.shard]; sh.hedgeAt > 0 && !mc.answered {
 		sh.hedgeAt = at.started + mc.cfg.HedgeAfter
--- a/core/fanout/joined_test.go
+++ b/core/fanout/joined_test.go
@@ -26,7 +26,7 @@
 	is := is.New(t)
 	mc := fanout.New(config(4, 1))
 	mc.Start(0)
-	acts := mc.StepAll(200*ms, []fanout.Event{
+	acts := mc.StepJoined(200*ms, []fanout.Event{
 		{Kind: fanout.EvResult, Attempt: 0, Verdict: fanout.Served},
 		{Kind: fanout.EvResult, Attempt: 1, Verdict: fanout.Served},
 		{Kind: fanout.EvResult, Attempt: 2, Verdict: fanout.Served},
@@ -44,10 +44,10 @@
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
 	mc.Start(0)
-	mc.Hold(0, 80*ms)
-	mc.Hold(1, 80*ms)
+	mc.HoldHedges(0, 80*ms)
+	mc.HoldHedges(1, 80*ms)
 	is.Equal(countSends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 0)
-	mc.Release(0)
+	mc.ReleaseHedges(0)
 	is.Equal(mc.Wake(), 50*ms)
 	is.Equal(countSends(mc.Step(61*ms, fanout.Event{Kind: fanout.EvWake})), 1)
 	is.Equal(countSends(mc.Step(81*ms, fanout.Event{Kind: fanout.EvWake})), 1)
@@ -60,11 +60,11 @@
 	is := is.New(t)
 	mc := fanout.New(config(2, 2))
 	mc.Start(0)
-	mc.Hold(0, 60*ms)
-	mc.Hold(1, 60*ms)
+	mc.HoldHedges(0, 60*ms)
+	mc.HoldHedges(1, 60*ms)
 	is.Equal(countSends(mc.Step(60*ms, fanout.Event{Kind: fanout.EvWake})), 2)
 	mc.Step(70*ms, fanout.Event{Kind: fanout.EvResult, Attempt: 2, Verdict: fanout.Served})
-	acts := mc.StepAll(75*ms, []fanout.Event{
+	acts := mc.StepJoined(75*ms, []fanout.Event{
 		{Kind: fanout.EvResult, Attempt: 0, Verdict: fanout.Served},
 		{Kind: fanout.EvResult, Attempt: 1, Verdict: fanout.Served},
 	})
--- a/core/fanout/machine.go
+++ b/core/fanout/machine.go
@@ -11,7 +11,7 @@
 
 // SpareTries is how many attempts beyond MaxAttempts may be spent on servers that provably did
 // not run the request. The bound keeps a wave of refusals from reaching all servers of a service.
-const SpareTries = 1
+const SpareAttempts = 1
 
 // attempt is one request to one server.
 type attempt struct {
@@ -128,7 +128,7 @@
 	switch ev.Kind {
 	case EvResult:
 		mc.onResult(now, ev)
-	case EvGone:
+	case EvClientGone:
 		mc.onGone(now)
 	case EvWake:
 		// decide checks the deadlines.
@@ -143,14 +143,14 @@
 
 // Wake returns when the next EvWake is due.
 func (mc *Machine) Wake() time.Duration {
-	at := mc.cfg.Hard
+	at := mc.cfg.HardDeadline
 	if mc.served >= mc.cfg.MinParts {
 		at = min(at, mc.cfg.Target)
 	}
 	if mc.guard.trialsOnly {
 		return min(at, mc.nextTrialTime())
 	}
-	hedge := mc.cfg.Hard
+	hedge := mc.cfg.HardDeadline
 	for i := range mc.shards {
 		if due := mc.shards[i].hedgeAt; due > 0 {
 			hedge = min(hedge, due)
@@ -246,14 +246,14 @@
 	if mc.guard.trialsOnly && mc.guard.broken >= confirmedCrashes {
 		ran -= sh.broken
 	}
-	return ran+sh.open < mc.cfg.MaxAttempts && sh.tries < mc.cfg.MaxAttempts+SpareTries
+	return ran+sh.open < mc.cfg.MaxAttempts && sh.tries < mc.cfg.MaxAttempts+SpareAttempts
 }
 
 // pick picks a server that was not asked for the shard yet. If there is none, it allows a server
 // that refused, since that did not run the request and may have capacity by now, or one that was
 // advised against, since a slow server is better than none.
 func (mc *Machine) pick(now time.Duration, i int, first, trial bool) (*origin.Upstream, bool) {
-	ask := Ask{Shard: i, Tried: mc.triedServers(i), First: first, Trial: trial}
+	ask := PickRequest{Shard: i, Tried: mc.triedServers(i), First: first, Trial: trial}
 	up, ok := mc.cfg.Chooser.Pick(now, ask)
 	if !ok && mc.shards[i].mayReuse {
 		ask.Tried = mc.nonReusableServers(i)
@@ -264,7 +264,7 @@
 
 // send picks a server and sends an attempt. If it cannot, it returns false and sets mc.reason.
 func (mc *Machine) send(now time.Duration, i int, ca Cause, after Verdict, trial bool) bool {
-	if mc.cfg.Hard-now < mc.cfg.LeastTime {
+	if mc.cfg.HardDeadline-now < mc.cfg.MinTimeLeft {
 		mc.reason = ReasonDeadline
 		return false
 	}
@@ -388,7 +388,7 @@
 		mc.answer(now, mc.failureOutcome(), mc.reason)
 	case enough && now >= mc.cfg.Target:
 		mc.answer(now, OutcomeServed, ReasonTarget)
-	case now >= mc.cfg.Hard:
+	case now >= mc.cfg.HardDeadline:
 		mc.answer(now, mc.failureOutcome(), ReasonDeadline)
 	case !mc.guard.trialsOnly:
 		mc.hedge(now)
@@ -408,7 +408,7 @@
 
 func (mc *Machine) onGone(now time.Duration) {
 	if !mc.answered {
-		mc.answer(now, OutcomeGone, ReasonClientGone)
+		mc.answer(now, OutcomeClientGone, ReasonClientGone)
 	}
 }
 
@@ -428,8 +428,8 @@
 		Reason:   reason,
 		Winners:  mc.winners,
 		Missing:  mc.cfg.Shards - mc.served,
-		Shown:    mc.shown,
-		Full:     mc.full,
+		ShownFailure:    mc.shown,
+		NoCapacity:     mc.full,
 		Attempts: len(mc.attempts),
 		Hedges:   mc.hedges,
 		Retries:  mc.retries,
--- a/core/fanout/machine_test.go
+++ b/core/fanout/machine_test.go
@@ -19,7 +19,7 @@
 // servers is a Chooser that picks the first server of a shard that was not tried.
 type servers map[int][]string
 
-func (ss servers) Pick(_ time.Duration, ask fanout.Ask) (*origin.Upstream, bool) {
+func (ss servers) Pick(_ time.Duration, ask fanout.PickRequest) (*origin.Upstream, bool) {
 	for _, id := range ss[ask.Shard] {
 		untried := true
 		for _, up := range ask.Tried {
@@ -57,7 +57,7 @@
 func config(shards, minParts int) fanout.Config {
 	return fanout.Config{
 		Shards: shards, MinParts: minParts, Idempotent: true, MaxAttempts: 2,
-		Target: 150 * ms, Hard: 1000 * ms, HedgeAfter: 50 * ms, LeastTime: 3 * ms,
+		Target: 150 * ms, HardDeadline: 1000 * ms, HedgeAfter: 50 * ms, MinTimeLeft: 3 * ms,
 		Chooser: serversPerShard(shards, "a", "b", "c"), Budget: &fixedBudget{left: 100},
 	}
 }
@@ -85,7 +85,7 @@
 		case fanout.ActAnswer:
 			an := ac.Answer
 			fmt.Fprintf(&sc.out, "  answer %s %q, winners %v, missing %d, shown %d, full %v\n",
-				an.Outcome, an.Reason, an.Winners, an.Missing, an.Shown, an.Full)
+				an.Outcome, an.Reason, an.Winners, an.Missing, an.ShownFailure, an.NoCapacity)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 }
 
 func (sc *eventScript) gone(at time.Duration) *eventScript {
-	sc.note(fmt.Sprintf("%v: client gone", at), sc.mc.Step(at, fanout.Event{Kind: fanout.EvGone}))
+	sc.note(fmt.Sprintf("%v: client gone", at), sc.mc.Step(at, fanout.Event{Kind: fanout.EvClientGone}))
 	return sc
 }
 
@@ -268,7 +268,7 @@
 			}
 			iv.check(mc.Step(now, ev))
 		}
-		iv.check(mc.Step(cfg.Hard, fanout.Event{Kind: fanout.EvWake}))
+		iv.check(mc.Step(cfg.HardDeadline, fanout.Event{Kind: fanout.EvWake}))
 		iv.is.Equal(iv.answers, 1)
 	})
 }
--- a/core/feed/absence.go
+++ b/core/feed/absence.go
@@ -20,7 +20,7 @@
 // than the last failure does. Without that margin, a fleet of eight discarded its failed
 // calls, and when the store was back after 6 s, all 38 servers counted as gone for up to
 // 3.5 s.
-type Absence struct {
+type Outage struct {
 	contacted   bool
 	lastContact time.Duration
 	// firstFailure and lastFailure bound the failed calls since the last contact; 0 if no
@@ -30,7 +30,7 @@
 }
 
 // Failed records a failed call to the store.
-func (ab *Absence) Failed(now time.Duration) {
+func (ab *Outage) RecordFailure(now time.Duration) {
 	if ab.firstFailure == 0 {
 		ab.firstFailure = now
 	}
@@ -39,7 +39,7 @@
 
 // Heard records that the store was contacted at the given time, by this VM or by another one.
 // Times up to the last known contact are ignored.
-func (ab *Absence) Heard(at time.Duration) {
+func (ab *Outage) RecordContact(at time.Duration) {
 	if ab.contacted && at <= ab.lastContact {
 		return
 	}
@@ -55,13 +55,13 @@
 
 // Told records when the store recovered according to another VM; 0 if that VM knows of no
 // outage.
-func (ab *Absence) Told(returned time.Duration) { ab.returned = max(ab.returned, returned) }
+func (ab *Outage) RecordRecovery(returned time.Duration) { ab.returned = max(ab.returned, returned) }
 
 // Ever reports whether the store was ever contacted.
-func (ab *Absence) Ever() bool { return ab.contacted }
+func (ab *Outage) Contacted() bool { return ab.contacted }
 
 // Last returns the time of the last contact with the store.
-func (ab *Absence) Last() time.Duration { return ab.lastContact }
+func (ab *Outage) LastContact() time.Duration { return ab.lastContact }
 
 // Returned returns when the store recovered from its last outage; 0 if no outage is known.
-func (ab *Absence) Returned() time.Duration { return ab.returned }
+func (ab *Outage) Recovered() time.Duration { return ab.returned }
--- a/core/feed/absence_test.go
+++ b/core/feed/absence_test.go
@@ -14,7 +14,7 @@
 // old data from each other, which seems a few milliseconds younger after each network delay.
 // If the outage goes unnoticed, all servers count as gone when the store is back, and
 // requests fail until the entries are written again.
-func TestAbsence(t *testing.T) {
+func TestOutageDetection(t *testing.T) {
 	const (
 		ms = time.Millisecond
 		s  = time.Second
@@ -49,18 +49,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var ab feed.Absence
+			var ab feed.Outage
 			for _, ev := range tc.events {
 				if ev.failed {
-					ab.Failed(ev.at)
+					ab.RecordFailure(ev.at)
 				} else {
-					ab.Heard(ev.contact)
+					ab.RecordContact(ev.contact)
 				}
 			}
-			is.Equal(ab.Returned(), tc.returned)
-			is.True(ab.Ever())
-			ab.Told(time.Minute)
-			is.Equal(ab.Returned(), time.Minute)
+			is.Equal(ab.Recovered(), tc.returned)
+			is.True(ab.Contacted())
+			ab.RecordRecovery(time.Minute)
+			is.Equal(ab.Recovered(), time.Minute)
 		})
 	}
 }
--- a/core/feed/boot.go
+++ b/core/feed/boot.go
@@ -114,7 +114,7 @@
 		return Step{From: FromStore}
 	}
 	if now < bo.peerAt {
-		return Step{From: FromNobody, Wait: min(bo.peerAt, bo.storeAt) - now}
+		return Step{From: FromNone, Wait: min(bo.peerAt, bo.storeAt) - now}
 	}
 	addr, ok := bo.pickPeer()
 	if !ok {
@@ -131,7 +131,7 @@
 // Listed records which VMs of this data centre read the store for the others, see Readers,
 // and whether this VM is one of them. Those VMs replace the seeds, which have not answered.
 // If the list is empty, or names this VM, this VM reads the store itself.
-func (bo *Boot) Listed(now time.Duration, readers []string, self bool) {
+func (bo *Boot) SetReaders(now time.Duration, readers []string, self bool) {
 	bo.storeAt, bo.peerAt = now, now
 	if self || len(readers) == 0 {
 		return
@@ -144,15 +144,15 @@
 // Failed records that a step yielded no copy. A peer without a copy to give is alive and
 // names others that have one by now. A peer whose machine refused the connection is about to
 // start, like this VM.
-func (bo *Boot) Failed(now time.Duration, st Step, rp Report) {
+func (bo *Boot) Failed(now time.Duration, st Step, rp Outcome) {
 	switch st.From {
 	case FromPeer:
 		bo.peerAt = now + seedPause
 		if rp.Empty || rp.Refused {
 			bo.deferStore()
 		}
-		for _, addr := range rp.Others {
-			bo.Name(now, addr)
+		for _, addr := range rp.Holders {
+			bo.AddPeer(now, addr)
 		}
 	case FromStore:
 		bo.storeAt = max(bo.storeAt, now+seedPause)
@@ -174,10 +174,10 @@
 
 // Tells reports whether this VM should announce its copy to the seeds after a step: the seeds
 // may have none, and all other VMs ask them.
-func (bo *Boot) Tells(st Step) bool { return st.From == FromStore && !bo.isSeed() }
+func (bo *Boot) Announces(st Step) bool { return st.From == FromStore && !bo.isSeed() }
 
 // Name adds a VM that has a copy, and allows asking a peer at once.
-func (bo *Boot) Name(now time.Duration, addr string) {
+func (bo *Boot) AddPeer(now time.Duration, addr string) {
 	bo.peerAt = now
 	if addr != bo.cfg.Self && !slices.Contains(bo.peers, addr) {
 		bo.peers = append(bo.peers, addr)
--- a/core/feed/boot_test.go
+++ b/core/feed/boot_test.go
@@ -39,7 +39,7 @@
 				// A call to a seed without power takes the whole time-out.
 				is.True(st.Wait > 0)
 				now += st.Wait
-				bo.Failed(now, st, feed.Report{Failed: true})
+				bo.Failed(now, st, feed.Outcome{Failed: true})
 			}
 			is.True(now <= tc.most)
 		})
@@ -59,7 +59,7 @@
 		asked[st.From]++
 		// Refusals come within a round trip.
 		now += max(st.Wait, 2*time.Millisecond)
-		bo.Failed(now, st, feed.Report{Failed: true})
+		bo.Failed(now, st, feed.Outcome{Failed: true})
 	}
 	is.True(asked[feed.FromStore] <= 45)
 	is.True(asked[feed.FromPeer] >= 60)
@@ -88,7 +88,7 @@
 	startAt time.Duration
 	large   bool
 	boot    *feed.Boot
-	giver   feed.Giver
+	giver   feed.CopyLimiter
 	// announced is set unless the VM still has to announce its copy to the seeds.
 	announced bool
 	// next is when the VM acts again, copyAt when it has its copy, linkFree when its link is
@@ -155,7 +155,7 @@
 		members = append(members, feed.Member{VM: other.rankVM(), Capacity: capacity})
 	}
 	readers, own := feed.Readers(vm.rankVM(), members)
-	vm.boot.Listed(vm.next, readers, own)
+	vm.boot.SetReaders(vm.next, readers, own)
 }
 
 // bootDataCentres is the number of data centres of the booting fleet.
@@ -195,12 +195,12 @@
 		}
 		vm.copyAt = max(bf.storeFree, now+link) + networkDelay
 		vm.next = vm.copyAt
-		vm.announced = !vm.boot.Tells(st)
+		vm.announced = !vm.boot.Announces(st)
 	case feed.FromPeer:
 		bf.ask(now, vm, st)
 	case feed.FromList:
 		bf.list(now, vm)
-	case feed.FromNobody:
+	case feed.FromNone:
 		vm.next = now + max(st.Wait, time.Millisecond)
 	}
 }
@@ -210,8 +210,8 @@
 	vm.announced = true
 	for _, addr := range []string{"vm0", "vm1", "vm2"} {
 		if seed := bf.byAddr[addr]; seed.startAt <= now && seed != vm {
-			seed.giver.Note(now, vm.addr)
-			seed.boot.Name(now, vm.addr)
+			seed.giver.AddHolder(now, vm.addr)
+			seed.boot.AddPeer(now, vm.addr)
 		}
 	}
 }
@@ -221,26 +221,26 @@
 	vm.next = now + networkDelay
 	if peer.startAt > now && bf.unpowered {
 		vm.next = now + st.Wait
-		vm.boot.Failed(vm.next, st, feed.Report{Failed: true})
+		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true})
 		return
 	}
 	if peer.startAt > now {
-		vm.boot.Failed(vm.next, st, feed.Report{Failed: true, Refused: true})
+		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true, Refused: true})
 		return
 	}
 	if peer.copyAt > now {
-		vm.boot.Failed(vm.next, st, feed.Report{Empty: true, Others: peer.giver.Others(now, vm.addr)})
+		vm.boot.Failed(vm.next, st, feed.Outcome{Empty: true, Holders: peer.giver.Holders(now, vm.addr)})
 		return
 	}
-	give, others := peer.giver.Ask(now, vm.addr)
+	give, others := peer.giver.Allow(now, vm.addr)
 	if !give {
-		vm.boot.Failed(vm.next, st, feed.Report{Empty: true, Others: others})
+		vm.boot.Failed(vm.next, st, feed.Outcome{Empty: true, Holders: others})
 		return
 	}
 	peer.linkFree = max(peer.linkFree, now) + peerCopy
 	if peer.linkFree > now+st.Wait {
 		vm.next = now + st.Wait
-		vm.boot.Failed(vm.next, st, feed.Report{Failed: true})
+		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true})
 		return
 	}
 	vm.copyAt = peer.linkFree + networkDelay
--- a/core/feed/giver.go
+++ b/core/feed/giver.go
@@ -17,7 +17,7 @@
 // declines. A fleet that starts at once knows only a few seeds. If each VM that has a copy
 // gives it to four more, three seeds reach two hundred VMs in three rounds. It is not safe for
 // concurrent use.
-type Giver struct {
+type CopyLimiter struct {
 	// given holds the times of the latest copies, holders the VMs that have one, both with
 	// the newest last.
 	given   []time.Duration
@@ -30,18 +30,18 @@
 }
 
 // Ask reports whether the VM from gets a copy now; if not, others names recent holders of one.
-func (gi *Giver) Ask(now time.Duration, from string) (give bool, others []string) {
+func (gi *CopyLimiter) Allow(now time.Duration, from string) (give bool, others []string) {
 	if n := len(gi.given); n >= maxCopies && now-gi.given[n-maxCopies] < copyWindow {
-		return false, gi.Others(now, from)
+		return false, gi.Holders(now, from)
 	}
 	gi.given = append(gi.given, now)
 	gi.given = gi.given[max(0, len(gi.given)-maxCopies):]
-	gi.Note(now, from)
+	gi.AddHolder(now, from)
 	return true, nil
 }
 
 // Note records that a VM has a copy; an empty address is ignored.
-func (gi *Giver) Note(now time.Duration, addr string) {
+func (gi *CopyLimiter) AddHolder(now time.Duration, addr string) {
 	if addr == "" {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // Others returns recent holders of a copy other than from, which asks for one.
-func (gi *Giver) Others(now time.Duration, from string) []string {
+func (gi *CopyLimiter) Holders(now time.Duration, from string) []string {
 	var others []string
 	for _, ho := range gi.holders {
 		if ho.addr != from && now-ho.at <= holderTTL {
--- a/core/feed/guide.go
+++ b/core/feed/guide.go
@@ -64,7 +64,7 @@
 	// FromPeer is another VM.
 	FromPeer
 	// FromNobody means to wait without asking.
-	FromNobody
+	FromNone
 	// FromList is the platform's store, asked for the list of VMs only.
 	FromList
 )
@@ -92,7 +92,7 @@
 }
 
 // Report is the outcome of a step.
-type Report struct {
+type Outcome struct {
 	// Failed is set if there was no answer, Refused if the peer's machine refused the
 	// connection: its process is not running, or not yet. Empty is set if the peer has no
 	// copy yet or declines to give one now.
@@ -101,21 +101,21 @@
 	Age time.Duration
 	// Own is set if the peer's data comes from this VM's own call to the store, Follows if
 	// the peer follows this VM.
-	Own, Follows bool
+	OwnData, Follows bool
 	// Others are holders of a copy, named by a peer that gives none.
-	Others []string
+	Holders []string
 }
 
 // GuideConfig configures a Guide.
-type GuideConfig struct {
+type SelectorConfig struct {
 	Self rank.VM
 	Rand *rand.Rand
 }
 
 // Guide selects the source from which one VM replicates: the store or another VM. It is not
 // safe for concurrent use.
-type Guide struct {
-	cfg GuideConfig
+type Selector struct {
+	cfg SelectorConfig
 	// local are the VMs of this data centre by rank, this VM included; remote those of the
 	// other data centres, the first-ranked VM of each one first; higherFirsts the
 	// first-ranked VMs of the data centres that rank before this one.
@@ -151,14 +151,14 @@
 const watchSalt = "watch"
 
 // NewGuide returns a guide without peers.
-func NewGuide(cfg GuideConfig) *Guide {
-	gu := &Guide{cfg: cfg, skipUntil: make(map[string]time.Duration)}
+func NewSelector(cfg SelectorConfig) *Selector {
+	gu := &Selector{cfg: cfg, skipUntil: make(map[string]time.Duration)}
 	gu.SetPeers(nil)
 	return gu
 }
 
 // SetPeers replaces the list of VMs; it may include this VM.
-func (gu *Guide) SetPeers(peers []rank.VM) {
+func (gu *Selector) SetPeers(peers []rank.VM) {
 	self := gu.cfg.Self
 	byDC := map[string][]rank.VM{self.DataCentre: {self}}
 	for _, vm := range peers {
@@ -202,7 +202,7 @@
 }
 
 // Next returns what to ask next; age is the age of this VM's own data.
-func (gu *Guide) Next(now, age time.Duration) Step {
+func (gu *Selector) Next(now, age time.Duration) Step {
 	if gu.urgent(now, age) {
 		return Step{From: FromStore}
 	}
@@ -219,13 +219,13 @@
 	case leader == "":
 		return gu.searchStep(now)
 	case now < gu.localAt:
-		return Step{From: FromNobody, Wait: min(gu.localAt-now, idleWait)}
+		return Step{From: FromNone, Wait: min(gu.localAt-now, idleWait)}
 	}
 	return Step{From: FromPeer, Addr: leader}
 }
 
 // urgent reports whether to ask the store before any other VM, see UrgentAfter.
-func (gu *Guide) urgent(now, age time.Duration) bool {
+func (gu *Selector) urgent(now, age time.Duration) bool {
 	if !gu.unresponsive || age <= UrgentAfter || now < gu.retryAt || now < gu.urgentAt {
 		return false
 	}
@@ -236,7 +236,7 @@
 // storeDue reports whether this VM should ask the store now. leader is its preferred peer,
 // empty if there is none. The first-ranked VM of a data centre leaves the store to the data
 // centres that rank before, while one of these answers.
-func (gu *Guide) storeDue(now time.Duration, leader string) bool {
+func (gu *Selector) storeDue(now time.Duration, leader string) bool {
 	if !gu.lacking || now < gu.lackingSince+gu.turnDelay() || now < gu.retryAt {
 		return false
 	}
@@ -244,13 +244,13 @@
 }
 
 // turnDelay is how long this VM waits for those that rank before it.
-func (gu *Guide) turnDelay() time.Duration {
+func (gu *Selector) turnDelay() time.Duration {
 	late := max(0, gu.before-rankDelayCount)
 	return time.Duration(gu.before-late)*rankDelay + time.Duration(late)*rankDelayLate
 }
 
 // noteLacking records since when no preferred source has had fresh data.
-func (gu *Guide) noteLacking(now time.Duration) {
+func (gu *Selector) noteLacking(now time.Duration) {
 	if !gu.lacking {
 		gu.lacking, gu.lackingSince = true, now
 	}
@@ -259,7 +259,7 @@
 // leader returns the first VM that ranks before this one and is not skipped: one of this data
 // centre or, for the first-ranked VM of a data centre, the first-ranked VM of a data centre
 // that ranks before. So only one VM of the region watches the store.
-func (gu *Guide) leader(now time.Duration) string {
+func (gu *Selector) leader(now time.Duration) string {
 	vms := gu.local[:gu.before]
 	if gu.before == 0 {
 		vms = gu.higherFirsts
@@ -268,7 +268,7 @@
 	return vm.Addr
 }
 
-func (gu *Guide) skipped(now time.Duration, addr string) bool {
+func (gu *Selector) skipped(now time.Duration, addr string) bool {
 	until, ok := gu.skipUntil[addr]
 	if !ok {
 		return false
@@ -281,11 +281,11 @@
 }
 
 // Heard records the outcome of a step.
-func (gu *Guide) Heard(now time.Duration, st Step, rp Report) {
-	if st.From == FromNobody {
+func (gu *Selector) Done(now time.Duration, st Step, rp Outcome) {
+	if st.From == FromNone {
 		return
 	}
-	if rp.Failed || rp.Age > StaleAfter || rp.Own || rp.Follows {
+	if rp.Failed || rp.Age > StaleAfter || rp.OwnData || rp.Follows {
 		gu.noteLacking(now)
 	} else {
 		gu.lacking, gu.suggested = false, ""
@@ -298,19 +298,19 @@
 	gu.notePeerOutcome(now, st.Addr, rp)
 }
 
-func (gu *Guide) noteStoreOutcome(now time.Duration, rp Report) {
+func (gu *Selector) noteStoreOutcome(now time.Duration, rp Outcome) {
 	if !rp.Failed {
 		gu.storeFails, gu.retryAt = 0, 0
 		return
 	}
 	gu.storeFails++
-	bo := retry.Backoff{First: minStoreBackoff, Most: maxStoreBackoff, Jitter: jitter}
+	bo := retry.Backoff{Initial: minStoreBackoff, Max: maxStoreBackoff, Jitter: jitter}
 	// Bounds the sum: all VMs of a data centre ask little more often than a few would.
 	scale := min(1+gu.before, backoffScaleMax)
 	gu.retryAt = now + time.Duration(scale)*bo.Wait(gu.storeFails, gu.cfg.Rand.Float64())
 }
 
-func (gu *Guide) notePeerOutcome(now time.Duration, addr string, rp Report) {
+func (gu *Selector) notePeerOutcome(now time.Duration, addr string, rp Outcome) {
 	switch {
 	case rp.Failed:
 		gu.skipUntil[addr] = now + gu.jittered(skipUnresponsive)
@@ -319,11 +319,11 @@
 	case rp.Age > StaleAfter:
 		gu.skipStalePeer(now, addr)
 		gu.noteStale(now)
-	case rp.Own, rp.Follows:
+	case rp.OwnData, rp.Follows:
 		// The peer's data comes from this VM. Two VMs that follow each other get nothing
 		// new until the data of both is stale.
 		gu.skipStalePeer(now, addr)
-		if rp.Own {
+		if rp.OwnData {
 			// All VMs get their data through this one, so it asks the store without waiting for
 			// its turn.
 			gu.lackingSince = now - gu.turnDelay()
@@ -337,7 +337,7 @@
 }
 
 // skipStalePeer skips a VM without fresh data for a while.
-func (gu *Guide) skipStalePeer(now time.Duration, addr string) {
+func (gu *Selector) skipStalePeer(now time.Duration, addr string) {
 	wait := skipStale
 	if gu.firsts[addr] {
 		wait = skipStaleFirst
@@ -345,6 +345,6 @@
 	gu.skipUntil[addr] = now + gu.jittered(wait)
 }
 
-func (gu *Guide) jittered(wait time.Duration) time.Duration {
+func (gu *Selector) jittered(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (1 + jitter*gu.cfg.Rand.Float64()))
 }
--- a/core/feed/guide_test.go
+++ b/core/feed/guide_test.go
@@ -32,7 +32,7 @@
 
 type member struct {
 	vm     rank.VM
-	guide  *feed.Guide
+	guide  *feed.Selector
 	dataAt time.Duration
 	next   time.Duration
 	// origin is the VM whose call to the store yielded the data that this one has.
@@ -66,7 +66,7 @@
 		}
 	}
 	for i, vm := range vms {
-		gu := feed.NewGuide(feed.GuideConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
+		gu := feed.NewSelector(feed.SelectorConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
 		gu.SetPeers(vms)
 		fl.vms = append(fl.vms, &member{vm: vm, guide: gu, dataAt: fl.now, next: fl.now})
 	}
@@ -102,7 +102,7 @@
 
 func (fl *fleet) step(mb *member) {
 	st := mb.guide.Next(fl.now, fl.now-mb.dataAt)
-	rp := feed.Report{}
+	rp := feed.Outcome{}
 	took := shortTime
 	switch st.From {
 	case feed.FromStore:
@@ -136,11 +136,11 @@
 			rp.Empty = true
 			break
 		}
-		peer.guide.Hint(mb.vm.Addr, fl.now-mb.dataAt)
+		peer.guide.Suggest(mb.vm.Addr, fl.now-mb.dataAt)
 		rp.Age = fl.now - peer.dataAt
-		rp.Own, rp.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
+		rp.OwnData, rp.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
 		mb.source = st.Addr
-		if rp.Age <= feed.StaleAfter && !rp.Own && !rp.Follows {
+		if rp.Age <= feed.StaleAfter && !rp.OwnData && !rp.Follows {
 			// The peer answers when it contacts the store again, or after its wait.
 			took = peerWait
 			if peer.next < fl.now+peerWait {
@@ -150,10 +150,10 @@
 		if peer.dataAt > mb.dataAt {
 			mb.dataAt, mb.origin = peer.dataAt, peer.origin
 		}
-	case feed.FromNobody:
+	case feed.FromNone:
 		took = st.Wait
 	}
-	mb.guide.Heard(fl.now, st, rp)
+	mb.guide.Done(fl.now, st, rp)
 	mb.next = fl.now + took
 }
 
@@ -237,7 +237,7 @@
 // Guards against waiting for one unpowered VM after another. All VMs but two of the last ones
 // in the order lose power at once and don't answer. A server that leaves then must get no new
 // requests after 3 s from the two that remain.
-func TestManyLosePower(t *testing.T) {
+func TestManyVMsLosePower(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(8)
 	fl.run(5 * time.Second)
@@ -385,7 +385,7 @@
 // first; the VM that normally watches is still in its retry wait, and the VMs ask each other
 // for data that none of them receives. A change in the second second after the recovery must
 // reach all VMs as fast as in normal operation.
-func TestNewsFlowsSoonAfterTheReturn(t *testing.T) {
+func TestReplicationResumesSoonAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	var worst time.Duration
 	for phase := range 30 {
@@ -409,7 +409,7 @@
 // there. When the first one's data counted as its own, both followed each other, and no VM
 // asked the store until the data of all was stale: a server that left meanwhile still got
 // requests after 3 s.
-func TestNobodyFollowsItsOwnNews(t *testing.T) {
+func TestNoVMFollowsItsOwnData(t *testing.T) {
 	is := is.New(t)
 	for _, vmsPerDC := range []int{3, 9} {
 		fl := newFleet(vmsPerDC)
--- a/core/feed/replica.go
+++ b/core/feed/replica.go
@@ -23,7 +23,7 @@
 type Update struct {
 	// Whole is set if Events is a full copy: entries that are not among them no longer
 	// exist.
-	Whole  bool
+	Full  bool
 	Events []Event
 	// AsOf is the store's revision up to which the update reaches.
 	AsOf uint64
@@ -48,7 +48,7 @@
 }
 
 // Known reports whether a full copy was ever taken in.
-func (re *Replica) Known() bool { return re.known }
+func (re *Replica) Loaded() bool { return re.known }
 
 // AsOf returns the revision up to which the replica is complete.
 func (re *Replica) AsOf() uint64 { return re.asOf }
@@ -58,8 +58,8 @@
 
 // Take applies an update and returns the resulting changes. An update that ends before the
 // replica's revision is ignored, since it would restore removed entries.
-func (re *Replica) Take(up Update) []Event {
-	if up.Whole {
+func (re *Replica) Apply(up Update) []Event {
+	if up.Full {
 		return re.applyFull(up)
 	}
 	return re.applyChanges(up)
@@ -158,7 +158,7 @@
 }
 
 func (re *Replica) fullCopy() Update {
-	up := Update{Whole: true, AsOf: re.asOf, Events: make([]Event, 0, len(re.items))}
+	up := Update{Full: true, AsOf: re.asOf, Events: make([]Event, 0, len(re.items))}
 	for _, it := range re.items {
 		up.Events = append(up.Events, Event{Item: it})
 	}
--- a/core/feed/replica_test.go
+++ b/core/feed/replica_test.go
@@ -20,7 +20,7 @@
 }
 
 func whole(asOf uint64, evs ...feed.Event) feed.Update {
-	return feed.Update{Whole: true, AsOf: asOf, Events: evs}
+	return feed.Update{Full: true, AsOf: asOf, Events: evs}
 }
 
 func since(asOf uint64, evs ...feed.Event) feed.Update {
@@ -38,10 +38,10 @@
 func TestTake(t *testing.T) {
 	is := is.New(t)
 	re := feed.NewReplica(feed.DefaultHistory)
-	is.Equal(len(re.Take(since(3, put("a", 2)))), 0) // nothing to apply it to
-	is.True(!re.Known())
-	is.Equal(len(re.Take(whole(5, put("a", 2), put("b", 5)))), 2)
-	is.Equal(keys(re.Take(since(7, removed("a", 6), put("c", 7)))), map[string]bool{"a": false, "c": true})
+	is.Equal(len(re.Apply(since(3, put("a", 2)))), 0) // nothing to apply it to
+	is.True(!re.Loaded())
+	is.Equal(len(re.Apply(whole(5, put("a", 2), put("b", 5)))), 2)
+	is.Equal(keys(re.Apply(since(7, removed("a", 6), put("c", 7)))), map[string]bool{"a": false, "c": true})
 	is.Equal(re.AsOf(), uint64(7))
 	is.Equal(re.Len(), 2)
 }
@@ -51,10 +51,10 @@
 func TestOlderUpdateChangesNothing(t *testing.T) {
 	is := is.New(t)
 	re := feed.NewReplica(feed.DefaultHistory)
-	re.Take(whole(5, put("a", 2)))
-	re.Take(since(9, removed("a", 8)))
-	is.Equal(len(re.Take(whole(6, put("a", 2)))), 0)
-	is.Equal(len(re.Take(since(7, put("a", 7)))), 0)
+	re.Apply(whole(5, put("a", 2)))
+	re.Apply(since(9, removed("a", 8)))
+	is.Equal(len(re.Apply(whole(6, put("a", 2)))), 0)
+	is.Equal(len(re.Apply(since(7, put("a", 7)))), 0)
 	is.Equal(re.AsOf(), uint64(9))
 	is.Equal(re.Len(), 0)
 }
@@ -65,10 +65,10 @@
 func TestFullCopyAfterLostHistory(t *testing.T) {
 	is := is.New(t)
 	re := feed.NewReplica(feed.DefaultHistory)
-	re.Take(whole(5, put("a", 2), put("b", 3), put("c", 4)))
-	changed := re.Take(whole(10, put("a", 2), put("c", 12)))
+	re.Apply(whole(5, put("a", 2), put("b", 3), put("c", 4)))
+	changed := re.Apply(whole(10, put("a", 2), put("c", 12)))
 	is.Equal(keys(changed), map[string]bool{"b": false, "c": true})
-	changed = re.Take(since(13, put("c", 12), put("d", 13)))
+	changed = re.Apply(since(13, put("c", 12), put("d", 13)))
 	is.Equal(keys(changed), map[string]bool{"d": true})
 }
 
@@ -77,20 +77,20 @@
 	re := feed.NewReplica(2)
 	_, ok := re.Since(0)
 	is.True(!ok)
-	re.Take(whole(5, put("a", 2)))
+	re.Apply(whole(5, put("a", 2)))
 	up, ok := re.Since(0)
-	is.True(ok && up.Whole)
+	is.True(ok && up.Full)
 	_, ok = re.Since(5)
 	is.True(!ok)
-	re.Take(since(6, put("b", 6)))
+	re.Apply(since(6, put("b", 6)))
 	up, ok = re.Since(5)
-	is.True(ok && !up.Whole)
+	is.True(ok && !up.Full)
 	is.Equal(len(up.Events), 1)
-	re.Take(since(8, put("c", 7), put("d", 8)))
+	re.Apply(since(8, put("c", 7), put("d", 8)))
 	up, _ = re.Since(5)
-	is.True(up.Whole) // the history is two events long
+	is.True(up.Full) // the history is two events long
 	up, _ = re.Since(6)
-	is.True(!up.Whole)
+	is.True(!up.Full)
 	is.Equal(len(up.Events), 2)
 }
 
@@ -101,7 +101,7 @@
 		is := is.New(t)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
 		store := feed.NewReplica(1 << 20)
-		store.Take(whole(1))
+		store.Apply(whole(1))
 		chain := make([]*feed.Replica, 4)
 		for i := range chain {
 			chain[i] = feed.NewReplica(3)
@@ -113,7 +113,7 @@
 			}
 			after := chain[i].AsOf()
 			if up, ok := from.Since(after); ok {
-				chain[i].Take(up)
+				chain[i].Apply(up)
 			}
 		}
 		revision := uint64(1)
@@ -125,14 +125,14 @@
 				if rnd.IntN(3) == 0 {
 					ev = removed(key, revision)
 				}
-				store.Take(since(revision, ev))
+				store.Apply(since(revision, ev))
 			}
 			replicate(rnd.IntN(len(chain)))
 		}
 		for i := range chain {
 			for range 3 {
 				if up, ok := store.Since(chain[i].AsOf()); ok {
-					chain[i].Take(up)
+					chain[i].Apply(up)
 				}
 			}
 			is.Equal(contents(chain[i]), contents(store))
--- a/core/feed/search.go
+++ b/core/feed/search.go
@@ -21,21 +21,21 @@
 
 // Hint records that a VM which asked this one has data of the given age. If that is fresh, the
 // VM becomes a candidate source: the store may serve it while it refuses this VM.
-func (gu *Guide) Hint(addr string, age time.Duration) {
+func (gu *Selector) Suggest(addr string, age time.Duration) {
 	if age <= StaleAfter {
 		gu.suggested = addr
 	}
 }
 
 // takeSuggested returns the suggested VM and clears it.
-func (gu *Guide) takeSuggested() string {
+func (gu *Selector) takeSuggested() string {
 	addr := gu.suggested
 	gu.suggested = ""
 	return addr
 }
 
 // searchStep asks a VM of another data centre, or one of this data centre with a lower rank.
-func (gu *Guide) searchStep(now time.Duration) Step {
+func (gu *Selector) searchStep(now time.Duration) Step {
 	if now >= gu.remoteAt {
 		if vm, ok := gu.firstAvailable(now, gu.remote); ok {
 			return Step{From: FromPeer, Addr: vm.Addr}
@@ -46,11 +46,11 @@
 			return Step{From: FromPeer, Addr: vm.Addr}
 		}
 	}
-	return Step{From: FromNobody, Wait: gu.searchWait(now)}
+	return Step{From: FromNone, Wait: gu.searchWait(now)}
 }
 
 // firstAvailable returns the first VM that is not this one and not skipped.
-func (gu *Guide) firstAvailable(now time.Duration, vms []rank.VM) (rank.VM, bool) {
+func (gu *Selector) firstAvailable(now time.Duration, vms []rank.VM) (rank.VM, bool) {
 	for _, vm := range vms {
 		if vm.Addr != gu.cfg.Self.Addr && !gu.skipped(now, vm.Addr) {
 			return vm, true
@@ -60,7 +60,7 @@
 }
 
 // searchWait is the time until the search may continue.
-func (gu *Guide) searchWait(now time.Duration) time.Duration {
+func (gu *Selector) searchWait(now time.Duration) time.Duration {
 	wait := idleWait
 	for _, at := range [2]time.Duration{gu.localAt, gu.remoteAt} {
 		if at > now {
@@ -71,11 +71,11 @@
 }
 
 // noteStale delays the next call after a VM had stale data.
-func (gu *Guide) noteStale(now time.Duration) {
+func (gu *Selector) noteStale(now time.Duration) {
 	gu.staleInRow++
 	draw := gu.cfg.Rand.Float64()
-	near := retry.Backoff{First: minSearchWait, Most: searchWaitLocal, Jitter: jitter}
-	far := retry.Backoff{First: minSearchWait, Most: searchWaitRemote, Jitter: jitter}
+	near := retry.Backoff{Initial: minSearchWait, Max: searchWaitLocal, Jitter: jitter}
+	far := retry.Backoff{Initial: minSearchWait, Max: searchWaitRemote, Jitter: jitter}
 	gu.localAt = now + near.Wait(gu.staleInRow, draw)
 	gu.remoteAt = now + far.Wait(gu.staleInRow, draw)
 }
--- a/core/hedge/hedge.go
+++ b/core/hedge/hedge.go
@@ -74,7 +74,7 @@
 // GaveUp adds a sub-request that was cancelled after the given time. Its latency is only known to
 // be longer. That counts for the quantile if the time exceeds the current delay; otherwise it is
 // ignored.
-func (tr *Tracker) GaveUp(after time.Duration) {
+func (tr *Tracker) ObserveCancelled(after time.Duration) {
 	if after >= tr.Delay() {
 		tr.Observe(after)
 	}
@@ -104,7 +104,7 @@
 
 // Least returns the 5 % quantile of the latency: few replies arrive earlier. It is 0 while there
 // are too few observations.
-func (tr *Tracker) Least() time.Duration {
+func (tr *Tracker) LowQuantile() time.Duration {
 	return time.Duration(tr.least.Load())
 }
 
--- a/core/hedge/hedge_test.go
+++ b/core/hedge/hedge_test.go
@@ -99,13 +99,13 @@
 			latency *= 20
 		}
 		if hedged := tr.Delay() + 2*time.Millisecond; latency > hedged {
-			tr.GaveUp(hedged)
+			tr.ObserveCancelled(hedged)
 			continue
 		}
 		tr.Observe(latency)
 	}
 	is.True(tr.Delay() > 10*time.Millisecond)
-	tr.GaveUp(time.Microsecond) // shorter than the delay, so it must be ignored
+	tr.ObserveCancelled(time.Microsecond) // shorter than the delay, so it must be ignored
 }
 
 func latencies() []time.Duration {
--- a/core/lead/lead.go
+++ b/core/lead/lead.go
@@ -57,12 +57,12 @@
 }
 
 // Trip describes the path between a caller and this VM.
-type Trip struct {
+type Path struct {
 	// RoundTrip is the round-trip time of its connection; 0 if unknown.
 	RoundTrip time.Duration
 	// Fresh is set for the first request of a connection: the caller also waited for the
 	// connection to be opened.
-	Fresh bool
+	FirstRequest bool
 }
 
 // Lead estimates the lateness of this VM's timers.
@@ -85,11 +85,11 @@
 
 // Away returns the time that a caller waits outside this VM: before its request arrived, and
 // until it has the answer.
-func (ld *Lead) Away(tr Trip) time.Duration {
+func (ld *Lead) TransitTime(tr Path) time.Duration {
 	if tr.RoundTrip <= 0 {
 		tr.RoundTrip = ld.cfg.RoundTrip
 	}
-	if tr.Fresh {
+	if tr.FirstRequest {
 		return 2 * tr.RoundTrip
 	}
 	return tr.RoundTrip
@@ -97,10 +97,10 @@
 
 // Own returns the time that this VM itself needs, from when an answer is due until it is
 // written.
-func (ld *Lead) Own() time.Duration { return ld.cfg.WriteTime + ld.lateness() }
+func (ld *Lead) LocalTime() time.Duration { return ld.cfg.WriteTime + ld.lateness() }
 
 // Time returns how long before the target time an answer has to leave.
-func (ld *Lead) Time(tr Trip) time.Duration { return ld.Away(tr) + ld.Own() }
+func (ld *Lead) Time(tr Path) time.Duration { return ld.TransitTime(tr) + ld.LocalTime() }
 
 func (ld *Lead) lateness() time.Duration {
 	return time.Duration(math.Float64frombits(ld.latenessBits.Load()))
@@ -108,7 +108,7 @@
 
 // Woke records how late a timer fired. A VM that lacks processor time runs its timers late
 // and has to set them earlier.
-func (ld *Lead) Woke(late time.Duration) {
+func (ld *Lead) RecordLateness(late time.Duration) {
 	observed := float64(min(max(late, 0), maxLateness))
 	estimate := float64(ld.lateness())
 	weight := fallWeight
--- a/core/lead/lead_test.go
+++ b/core/lead/lead_test.go
@@ -37,7 +37,7 @@
 			if tc.fresh {
 				arrived += 2 * tc.oneWay
 			}
-			sendAt := target - ld.Time(lead.Trip{RoundTrip: 2 * tc.oneWay, Fresh: tc.fresh})
+			sendAt := target - ld.Time(lead.Path{RoundTrip: 2 * tc.oneWay, FirstRequest: tc.fresh})
 			receivedAt := arrived + sendAt + tc.oneWay
 			is.True(receivedAt <= target)
 			is.True(receivedAt > target-3*ms)
@@ -48,8 +48,8 @@
 func TestUnknownRoundTrip(t *testing.T) {
 	is := is.New(t)
 	ld := lead.New(lead.Config{})
-	is.Equal(ld.Time(lead.Trip{}), lead.DefaultRoundTrip+lead.DefaultWriteTime)
-	is.Equal(ld.Away(lead.Trip{Fresh: true}), 2*lead.DefaultRoundTrip)
+	is.Equal(ld.Time(lead.Path{}), lead.DefaultRoundTrip+lead.DefaultWriteTime)
+	is.Equal(ld.TransitTime(lead.Path{FirstRequest: true}), 2*lead.DefaultRoundTrip)
 }
 
 // A VM lacks processor time for a while, and its timers fire some milliseconds late. Without
@@ -58,29 +58,29 @@
 func TestLateTimers(t *testing.T) {
 	is := is.New(t)
 	ld := lead.New(lead.Config{})
-	idle := ld.Own()
+	idle := ld.LocalTime()
 	rnd := rand.New(rand.NewPCG(1, 2))
 	draw := func() time.Duration { return time.Duration(rnd.ExpFloat64() * float64(2*ms)) }
 	for range 300 {
-		ld.Woke(draw())
+		ld.RecordLateness(draw())
 	}
 	var latenesses []time.Duration
 	covered := 0
 	for range 1000 {
 		late := draw()
-		if late <= ld.Own()-idle {
+		if late <= ld.LocalTime()-idle {
 			covered++
 		}
 		latenesses = append(latenesses, late)
-		ld.Woke(late)
+		ld.RecordLateness(late)
 	}
 	sort.Slice(latenesses, func(i, j int) bool { return latenesses[i] < latenesses[j] })
 	is.True(covered > 850)
-	is.True(ld.Own()-idle < latenesses[990]+ms)
+	is.True(ld.LocalTime()-idle < latenesses[990]+ms)
 	for range 200 {
-		ld.Woke(0)
+		ld.RecordLateness(0)
 	}
-	is.True(ld.Own()-idle < ms/10)
-	ld.Woke(time.Hour)
-	is.True(ld.Own()-idle < 10*ms)
+	is.True(ld.LocalTime()-idle < ms/10)
+	ld.RecordLateness(time.Hour)
+	is.True(ld.LocalTime()-idle < 10*ms)
 }
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -16,7 +16,7 @@
 func newTable(servers int) (*limit.Table, *limit.Pool) {
 	tb := limit.New(limit.Config{})
 	for i := range servers {
-		tb.Place(view.ServerID(i), limit.GroupKey{Service: fmt.Sprint(i / 3)})
+		tb.Add(view.ServerID(i), limit.GroupKey{Service: fmt.Sprint(i / 3)})
 	}
 	return tb, tb.Pool(limit.PoolKey{})
 }
@@ -41,7 +41,7 @@
 				id := ids[i&4095]
 				i++
 				for k := range view.ServerID(3) {
-					tb.Room(now, id+k)
+					tb.HasCapacity(now, id+k)
 				}
 				tb.Begin(now, id)
 				tb.End(now, id, limit.Sample{Kind: limit.Replied, Latency: 10 * time.Millisecond, Running: 3})
@@ -57,7 +57,7 @@
 			_, pool := newTable(servers)
 			b.ReportAllocs()
 			for b.Loop() {
-				pool.Room(time.Second, 1)
+				pool.HasCapacity(time.Second, 1)
 			}
 		})
 	}
@@ -69,7 +69,7 @@
 	now := time.Duration(0)
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
-		pool.Room(now, 0)
+		pool.HasCapacity(now, 0)
 		tb.Begin(now, 4)
 		tb.End(now, 4, limit.Sample{Kind: limit.Replied, Latency: 10 * time.Millisecond, Running: 3, Queued: 2})
 	}), 0.0)
@@ -83,7 +83,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for i := range servers {
-					tb.SetOut(view.ServerID(i), false)
+					tb.SetExcluded(view.ServerID(i), false)
 				}
 			}
 		})
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -22,13 +22,13 @@
 
 // Retries combines a kind's retry budget with the VM's budget. Its Earn credits the
 // VM's budget, too.
-func Retries(kind, vm Budget) CombinedBudget {
+func RetryBudget(kind, vm Budget) CombinedBudget {
 	return CombinedBudget{kind: kind, vm: vm, earnsVM: true}
 }
 
 // Hedges combines a kind's hedge budget with the VM's budget. Its Earn does not credit
 // the VM's budget.
-func Hedges(kind, vm Budget) CombinedBudget {
+func HedgeBudget(kind, vm Budget) CombinedBudget {
 	return CombinedBudget{kind: kind, vm: vm}
 }
 
--- a/core/limit/budget_test.go
+++ b/core/limit/budget_test.go
@@ -44,16 +44,16 @@
 		sn.Replicas[i] = []view.ServerID{0, 1, 2, 3}
 	}
 	mc := search.New(search.Config{
-		Number:        number,
+		ID:        number,
 		Snapshot:      sn,
-		Soft:          time.Second,
-		Hard:          time.Second,
+		SoftDeadline:          time.Second,
+		HardDeadline:          time.Second,
 		MinCoverage:   1,
 		HitLimit:      1,
 		Chooser:       nextReplica{},
 		HedgeDelay:    time.Millisecond,
-		HedgeBudget:   limit.Hedges(hedges, rs.vm),
-		RetryBudget:   limit.Retries(retries, rs.vm),
+		HedgeBudget:   limit.HedgeBudget(hedges, rs.vm),
+		RetryBudget:   limit.RetryBudget(retries, rs.vm),
 		RetryPerShard: 3,
 	})
 	refusals := rapid.IntRange(0, 100).Draw(rs.rt, "refusals")
@@ -125,13 +125,13 @@
 	is := is.New(t)
 	kind := budget.New(budget.Config{Share: 0.5, Burst: 2})
 	vm := budget.New(budget.Config{Share: 0.5, Burst: 1})
-	cb := limit.Retries(kind, vm)
+	cb := limit.RetryBudget(kind, vm)
 	is.True(cb.Spend())
 	is.True(!cb.Spend()) // the VM's budget is empty
 	is.Equal(kind.Tokens(), 1)
 	cb.Refund()
 	is.Equal(vm.Tokens(), 1)
-	limit.Hedges(kind, vm).Earn(10)
+	limit.HedgeBudget(kind, vm).Earn(10)
 	cb.Charge(1)
 	is.Equal(vm.Tokens(), 0)
 }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -68,9 +68,9 @@
 	}
 	for id := range view.ServerID(3) {
 		tb.Begin(now, id)
-		is.True(!tb.Room(now, id))
+		is.True(!tb.HasCapacity(now, id))
 	}
-	is.True(pool.Room(now, 2))
+	is.True(pool.HasCapacity(now, 2))
 	_, ok := tb.Fallback([]view.ServerID{0, 1, 2})
 	is.True(!ok)
 	id, ok := tb.Fallback([]view.ServerID{2, 5})
@@ -97,13 +97,13 @@
 	now = 99 * time.Hour
 	exchange(tb, &now, 0, goodReply())
 	is.True(tb.Limit(0) <= 2*before)
-	is.True(tb.Room(now, 0))
+	is.True(tb.HasCapacity(now, 0))
 	for range 60 {
 		exchange(tb, &now, 0, limit.Sample{Kind: limit.Shed})
 	}
 	is.True(tb.Limit(0) < 1)
 	now = time.Hour
-	is.True(tb.Room(now, 0))
+	is.True(tb.HasCapacity(now, 0))
 	low := tb.Limit(0)
 	exchange(tb, &now, 0, limit.Sample{Kind: limit.Shed})
 	is.True(tb.Limit(0) <= low)
@@ -123,15 +123,15 @@
 		tb.Begin(now, id)
 		tb.Begin(now, id)
 	}
-	is.True(!pool.Room(now, 1)) // six in flight; the limit is three servers times two
+	is.True(!pool.HasCapacity(now, 1)) // six in flight; the limit is three servers times two
 	tb.End(now, 0, limit.Sample{Kind: limit.Neutral})
-	is.True(pool.Room(now, 1))
-	tb.SetOut(1, true)
-	is.True(!pool.Room(now, 1))
+	is.True(pool.HasCapacity(now, 1))
+	tb.SetExcluded(1, true)
+	is.True(!pool.HasCapacity(now, 1))
 	for range 9 {
 		exchange(tb, &now, 1, limit.Sample{Kind: limit.Failed})
 	}
-	tb.SetOut(1, false)
+	tb.SetExcluded(1, false)
 	is.Equal(tb.Limit(1), 2.0)
-	is.True(pool.Room(now, 1))
+	is.True(pool.HasCapacity(now, 1))
 }
--- a/core/limit/pool.go
+++ b/core/limit/pool.go
@@ -34,7 +34,7 @@
 }
 
 // Room reports whether a search of a class may start.
-func (pl *Pool) Room(now time.Duration, class int) bool {
+func (pl *Pool) HasCapacity(now time.Duration, class int) bool {
 	return pl.full[class].Load() == 0 && pauseOver(now, time.Duration(pl.nextStart[class].Load()))
 }
 
--- a/core/limit/table.go
+++ b/core/limit/table.go
@@ -125,7 +125,7 @@
 
 // Place adds a server to its group. IDs must be added in order, from 0; an ID other
 // than the next one is ignored.
-func (tb *Table) Place(id view.ServerID, key GroupKey) {
+func (tb *Table) Add(id view.ServerID, key GroupKey) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	servers := *tb.servers.Load()
@@ -173,7 +173,7 @@
 }
 
 // Room reports whether a server may be sent one more sub-request.
-func (tb *Table) Room(now time.Duration, id view.ServerID) bool {
+func (tb *Table) HasCapacity(now time.Duration, id view.ServerID) bool {
 	return tb.serverOf(id).hasCapacity(now)
 }
 
@@ -220,7 +220,7 @@
 // SetOut excludes a server that gets no new work from its group's limit, or includes
 // it again. A server that is included again starts with the limit of a new server,
 // since what was learnt about its former process does not apply.
-func (tb *Table) SetOut(id view.ServerID, excluded bool) {
+func (tb *Table) SetExcluded(id view.ServerID, excluded bool) {
 	sv := tb.serverOf(id)
 	sv.mu.Lock()
 	if sv.excluded == excluded {
--- a/core/member/compose.go
+++ b/core/member/compose.go
@@ -9,7 +9,7 @@
 func (ma *Machine) buildMessage(to *record, relayed bool) Message {
 	mg := Message{From: ma.self.Member, Joining: ma.joining}
 	if ma.joining {
-		mg.Want = Place{DataCentre: ma.self.DataCentre, After: ma.joinCursor}
+		mg.WantPage = Cursor{DataCentre: ma.self.DataCentre, After: ma.joinCursor}
 		return mg
 	}
 	mg.Digest = ma.table.dataCentre(ma.self.DataCentre).digest
@@ -17,9 +17,9 @@
 	if relayed {
 		// The receiver has the most accurate data about its own data centre, so its digest is the
 		// one worth comparing.
-		mg.Other = ma.link(to.DataCentre)
+		mg.OtherDataCentre = ma.link(to.DataCentre)
 	} else {
-		mg.Other = ma.anyLink()
+		mg.OtherDataCentre = ma.anyLink()
 	}
 	ma.repair(to, &mg)
 	return mg
@@ -28,16 +28,16 @@
 // buildReply returns the reply to a message, including the page that the sender asked for.
 func (ma *Machine) buildReply(to *record, mg Message) Message {
 	rp := ma.buildMessage(to, to.DataCentre != ma.self.DataCentre)
-	if ma.joining || mg.Want.DataCentre == "" {
+	if ma.joining || mg.WantPage.DataCentre == "" {
 		return rp
 	}
-	dc, ok := ma.table.dcs[mg.Want.DataCentre]
+	dc, ok := ma.table.dcs[mg.WantPage.DataCentre]
 	if !ok {
 		return rp
 	}
-	page, next := dc.page(mg.Want.After, ma.pageSize(to, mg.Joining))
+	page, next := dc.page(mg.WantPage.After, ma.pageSize(to, mg.Joining))
 	rp.Members = addMembers(rp.Members, page)
-	rp.Next = Place{DataCentre: dc.name, After: next}
+	rp.NextPage = Cursor{DataCentre: dc.name, After: next}
 	return rp
 }
 
@@ -89,10 +89,10 @@
 
 // anyLink describes another data centre, chosen at random. Round-robin could fall in step with the
 // replies sent in between, and one neighbour would then always receive the same data centre.
-func (ma *Machine) anyLink() Link {
+func (ma *Machine) anyLink() DataCentreView {
 	names := ma.table.dcNames
 	if len(names) < 2 {
-		return Link{}
+		return DataCentreView{}
 	}
 	name := names[ma.cfg.Random.IntN(len(names))]
 	for name == ma.self.DataCentre {
@@ -101,11 +101,11 @@
 	return ma.link(name)
 }
 
-func (ma *Machine) link(name string) Link {
+func (ma *Machine) link(name string) DataCentreView {
 	dc := ma.table.dataCentre(name)
 	silent := neverHeard
 	if dc.lastHeard != neverHeard {
 		silent = ma.now - dc.lastHeard
 	}
-	return Link{DataCentre: name, Digest: dc.digest, Silent: silent}
+	return DataCentreView{DataCentre: name, Digest: dc.digest, SinceHeard: silent}
 }
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -11,7 +11,7 @@
 type Tick struct {
 	// Slept is the length of a pause that the monotonic clock does not show, such as a suspension
 	// of the whole VM together with its clocks.
-	Slept time.Duration
+	Suspended time.Duration
 }
 
 // Listed carries the platform's current VM list. Incarnations in it are ignored.
@@ -37,7 +37,7 @@
 }
 
 // HelpAsked carries another VM's request to probe Target; Tag is returned in Helped.
-type HelpAsked struct {
+type HelpRequested struct {
 	Tag    uint64
 	Target Member
 }
@@ -85,7 +85,7 @@
 }
 
 // Helped is the reply to a HelpAsked. Target is set if it was reached.
-type Helped struct {
+type HelpReply struct {
 	Tag     uint64
 	Reached bool
 	Target  Member
@@ -99,7 +99,7 @@
 
 // Woke reports that this process was paused for so long that it joins again under a new
 // incarnation. The caller must not act on membership data from before the pause.
-type Woke struct {
+type Resumed struct {
 	Pause       time.Duration
 	Incarnation uint64
 }
@@ -107,6 +107,6 @@
 func (Send) action()    {}
 func (Ask) action()     {}
 func (Reply) action()   {}
-func (Helped) action()  {}
+func (HelpReply) action()  {}
 func (Changed) action() {}
-func (Woke) action()    {}
+func (Resumed) action()    {}
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -67,7 +67,7 @@
 	case purposeBeat:
 		ma.startProbing(ex.to)
 	case purposeIndirect:
-		ma.emit(Helped{Tag: ex.tag})
+		ma.emit(HelpReply{Tag: ex.tag})
 	case purposeRelay:
 		ma.relayFailed(ex.to)
 	}
@@ -90,7 +90,7 @@
 	ma.stopProbing(ex.to)
 	switch ex.purpose {
 	case purposeIndirect:
-		ma.emit(Helped{Tag: ex.tag, Reached: true, Target: ev.Message.From})
+		ma.emit(HelpReply{Tag: ex.tag, Reached: true, Target: ev.Message.From})
 	case purposeRelay:
 		ma.relayAnswered(ex.to)
 	}
@@ -109,11 +109,11 @@
 	ma.emit(Reply{Tag: ev.Tag, Message: ma.buildReply(to, mg)})
 }
 
-func (ev HelpAsked) apply(ma *Machine) {
+func (ev HelpRequested) apply(ma *Machine) {
 	ma.receiveState(ev.Target)
 	to, ok := ma.table.byAddr[ev.Target.Addr]
 	if !ok {
-		ma.emit(Helped{Tag: ev.Tag})
+		ma.emit(HelpReply{Tag: ev.Tag})
 		return
 	}
 	ma.send(to, purposeIndirect, ev.Tag)
@@ -149,8 +149,8 @@
 		ma.receiveState(mb)
 	}
 	ma.compareDigest(diffKey{with: with, about: with}, mg.Digest)
-	ma.mergeLink(with, mg.Other)
-	ma.savePullCursor(with, mg.Next)
+	ma.mergeLink(with, mg.OtherDataCentre)
+	ma.savePullCursor(with, mg.NextPage)
 }
 
 func (ma *Machine) receiveState(mb Member) {
@@ -161,13 +161,13 @@
 	ma.mergeState(mb)
 }
 
-func (ma *Machine) mergeLink(with string, li Link) {
+func (ma *Machine) mergeLink(with string, li DataCentreView) {
 	if li.DataCentre == "" {
 		return
 	}
 	dc := ma.table.dataCentre(li.DataCentre)
-	if li.Silent >= 0 && li.DataCentre != ma.self.DataCentre {
-		dc.lastHeard = max(dc.lastHeard, ma.now-li.Silent)
+	if li.SinceHeard >= 0 && li.DataCentre != ma.self.DataCentre {
+		dc.lastHeard = max(dc.lastHeard, ma.now-li.SinceHeard)
 	}
 	ma.compareDigest(diffKey{with: with, about: li.DataCentre}, li.Digest)
 }
@@ -178,8 +178,8 @@
 		return
 	}
 	ma.joinAnswered = true
-	ma.joinCursor = mg.Next.After
-	if mg.Next.After == "" {
+	ma.joinCursor = mg.NextPage.After
+	if mg.NextPage.After == "" {
 		ma.joining = false
 	}
 }
--- a/core/member/machine_test.go
+++ b/core/member/machine_test.go
@@ -189,7 +189,7 @@
 			return
 		}
 		switch ac := ac.(type) {
-		case member.Woke:
+		case member.Resumed:
 			resumed = true
 			is.True(ac.Pause >= 59*time.Second)
 		case member.Send:
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -10,29 +10,29 @@
 	// sender's own.
 	Joining bool
 	// Want requests a page of the receiver's table; the zero value requests none.
-	Want Place
+	WantPage Cursor
 	// Members are state updates and, while digests differ, a page of the table.
 	Members []Member
 	// Next is the start of the page after the requested one; its After is empty if that was the
 	// last page.
-	Next Place
+	NextPage Cursor
 	// Digest covers the members of the sender's data centre.
 	Digest uint64
 	// Other describes one other data centre, with its digest and the time since its last message;
 	// zero if there is none.
-	Other Link
+	OtherDataCentre DataCentreView
 }
 
 // Place is a cursor in the table of a data centre: it selects the VMs with an address after After.
-type Place struct {
+type Cursor struct {
 	DataCentre string
 	After      string
 }
 
 // Link is the sender's view of another data centre.
-type Link struct {
+type DataCentreView struct {
 	DataCentre string
 	Digest     uint64
 	// Silent is the time since the last message from the data centre; negative if there was none.
-	Silent time.Duration
+	SinceHeard time.Duration
 }
--- a/core/member/pause.go
+++ b/core/member/pause.go
@@ -15,7 +15,7 @@
 	ma.urgentLimit.refill(ma.now)
 	pause := ma.now - due
 	if tick, ok := ev.(Tick); ok {
-		pause = max(pause, tick.Slept)
+		pause = max(pause, tick.Suspended)
 	}
 	switch {
 	case pause >= ma.cfg.RejoinAfter:
@@ -47,7 +47,7 @@
 	next.Gone = false
 	ma.resetState()
 	ma.setOwnState(next)
-	ma.emit(Woke{Pause: pause, Incarnation: next.Incarnation})
+	ma.emit(Resumed{Pause: pause, Incarnation: next.Incarnation})
 }
 
 // resetState discards exchanges, probes, queues and the progress of the join.
--- a/core/member/queue.go
+++ b/core/member/queue.go
@@ -58,7 +58,7 @@
 // item in queue order; take reports whether the item is included. An item is removed after limit
 // messages.
 func (qu *Queue[K, V]) Take(limit int, take func(V) bool) {
-	qu.Sent(limit, take)
+	qu.MarkSent(limit, take)
 }
 
 // Peek calls take for each item in queue order, without counting them as sent. It is for messages
@@ -72,7 +72,7 @@
 
 // Sent counts one more message for each item that was included in it, and removes the items that
 // have been sent limit times.
-func (qu *Queue[K, V]) Sent(limit int, included func(V) bool) {
+func (qu *Queue[K, V]) MarkSent(limit int, included func(V) bool) {
 	counted := false
 	for i := range qu.items {
 		if !included(qu.items[i].value) {
--- a/core/member/queue_test.go
+++ b/core/member/queue_test.go
@@ -48,7 +48,7 @@
 		included := qu.Len() > 0
 		arrives := gs.random.Float64() >= gs.lost
 		if !confirmed || arrives {
-			qu.Sent(limit, func(int) bool { return true })
+			qu.MarkSent(limit, func(int) bool { return true })
 		}
 		if included && arrives {
 			gs.deliver(to)
--- a/core/member/repair.go
+++ b/core/member/repair.go
@@ -61,7 +61,7 @@
 	page, next := ma.table.dataCentre(about).page(di.push, ma.pageSize(to, false))
 	di.push = next
 	mg.Members = addMembers(mg.Members, page)
-	mg.Want = Place{DataCentre: about, After: di.pull}
+	mg.WantPage = Cursor{DataCentre: about, After: di.pull}
 }
 
 // largestDiff returns the data centre whose members differ most between this VM and the VMs of data
@@ -83,7 +83,7 @@
 }
 
 // savePullCursor records where the next page to request begins.
-func (ma *Machine) savePullCursor(with string, next Place) {
+func (ma *Machine) savePullCursor(with string, next Cursor) {
 	di, ok := ma.diffs[diffKey{with: with, about: next.DataCentre}]
 	if ok && next.DataCentre != "" {
 		di.pull = next.After
--- a/core/member/scenario_test.go
+++ b/core/member/scenario_test.go
@@ -62,11 +62,11 @@
 		return fmt.Sprintf("ask #%d %s to try %s", ac.Exchange, ac.Helper.Addr, memberText(ac.Target))
 	case member.Reply:
 		return "reply " + messageText(ac.Message)
-	case member.Helped:
+	case member.HelpReply:
 		return fmt.Sprintf("helped, reached %v: %s", ac.Reached, memberText(ac.Target))
 	case member.Changed:
 		return fmt.Sprintf("changed %s, was %s", memberText(ac.Member), ac.Before)
-	case member.Woke:
+	case member.Resumed:
 		return fmt.Sprintf("woke after %v as %d", ac.Pause, ac.Incarnation)
 	}
 	return fmt.Sprintf("%T", ac)
@@ -77,8 +77,8 @@
 	if mg.Joining {
 		text += " joining"
 	}
-	if mg.Want.DataCentre != "" {
-		text += " wants after " + fmt.Sprintf("%q", mg.Want.After)
+	if mg.WantPage.DataCentre != "" {
+		text += " wants after " + fmt.Sprintf("%q", mg.WantPage.After)
 	}
 	for _, mb := range mg.Members {
 		text += " +" + memberText(mb)
--- a/core/member/simulation_test.go
+++ b/core/member/simulation_test.go
@@ -182,11 +182,11 @@
 		sim.send(pr, sim.procs[ac.To.Addr], member.Received{Tag: tag, Message: ac.Message}, sizeOf(ac.Message, requestBytes))
 	case member.Ask:
 		tag := sim.open(pr, ac.Exchange)
-		sim.send(pr, sim.procs[ac.Helper.Addr], member.HelpAsked{Tag: tag, Target: ac.Target}, requestBytes)
+		sim.send(pr, sim.procs[ac.Helper.Addr], member.HelpRequested{Tag: tag, Target: ac.Target}, requestBytes)
 	case member.Reply:
 		ca := sim.close(ac.Tag)
 		sim.send(pr, ca.from, member.Answered{Exchange: ca.exchange, Message: ac.Message}, sizeOf(ac.Message, replyBytes))
-	case member.Helped:
+	case member.HelpReply:
 		ca := sim.close(ac.Tag)
 		sim.send(pr, ca.from, member.HelpDone{Exchange: ca.exchange, Reached: ac.Reached, Target: ac.Target}, replyBytes)
 	}
--- a/core/member/urgent.go
+++ b/core/member/urgent.go
@@ -47,9 +47,9 @@
 
 // Kick requests that beats be sent immediately, for data that the caller piggybacks on them. It is
 // subject to the same bound as urgent updates.
-type Kick struct{}
+type SendNow struct{}
 
-func (Kick) apply(ma *Machine) {
+func (SendNow) apply(ma *Machine) {
 	ma.urgent = true
 }
 
--- a/core/origin/table.go
+++ b/core/origin/table.go
@@ -9,10 +9,10 @@
 type Config struct {
 	// Linger is how long after the end of a store outage a server whose entry was removed
 	// stays usable without a new entry.
-	Linger time.Duration
+	LapseGrace time.Duration
 	// Forget is how long the sequence of a removed server is kept, so that an entry that
 	// arrives late cannot bring it back.
-	Forget time.Duration
+	TombstoneTTL time.Duration
 }
 
 // tombstone records the last entry of a server that is gone or leaving.
@@ -64,7 +64,7 @@
 // Return ends the evacuation of a data centre and reports whether it was in force. The
 // servers count as cold from now for the warm-up time of their service: their own entries,
 // which say so, may arrive late.
-func (tb *Table) Return(now time.Duration, dataCentre string, warmUp func(service string) time.Duration) bool {
+func (tb *Table) EndEvacuation(now time.Duration, dataCentre string, warmUp func(service string) time.Duration) bool {
 	_, evacuated := tb.evacuated[dataCentre]
 	delete(tb.evacuated, dataCentre)
 	if !evacuated {
@@ -83,9 +83,9 @@
 func (tb *Table) Put(now time.Duration, up *Upstream) bool {
 	if ts, found := tb.tombstones[up.ID]; found {
 		switch {
-		case up.Born < ts.born:
+		case up.StartMs < ts.born:
 			return false
-		case up.Born > ts.born:
+		case up.StartMs > ts.born:
 			// A restarted server: that its earlier process was leaving or gone does not apply
 			// to the new one.
 			delete(tb.tombstones, up.ID)
@@ -96,14 +96,14 @@
 		}
 	}
 	previous, known := tb.live[up.ID]
-	if known && up.precedes(previous) && (up.Born < previous.Born || !up.Leaving) {
+	if known && up.precedes(previous) && (up.StartMs < previous.StartMs || !up.Leaving) {
 		return false
 	}
 	if up.Leaving {
 		tb.addTombstone(now, up)
 	}
-	if up.WarmFor > 0 {
-		up = up.WithCold(coldKnownFrom(now, previous, up), now+up.WarmFor)
+	if up.ColdFor > 0 {
+		up = up.WithCold(coldKnownFrom(now, previous, up), now+up.ColdFor)
 	}
 	delete(tb.lapsedUntil, up.ID)
 	tb.live[up.ID] = up
@@ -121,7 +121,7 @@
 	case previous == nil || previous.Process() != up.Process():
 		return now
 	case previous.Cold(now):
-		return previous.ColdFrom
+		return previous.ColdKnownFrom
 	}
 	return now + coldNoticeTime
 }
@@ -162,10 +162,10 @@
 
 func (tb *Table) addTombstone(now time.Duration, up *Upstream) {
 	tb.tombstones[up.ID] = tombstone{
-		born:     up.Born,
+		born:     up.StartMs,
 		leaving:  up.Leaving,
 		sequence: up.Sequence,
-		until:    now + tb.cfg.Forget,
+		until:    now + tb.cfg.TombstoneTTL,
 	}
 }
 
@@ -173,9 +173,9 @@
 // an entry proves nothing until Linger has passed. Servers whose entries were removed in an
 // earlier suspect period keep their deadline, or a server that left would be used as long as
 // outages keep recurring. Only deadlines that passed during the outage are extended.
-func (tb *Table) Suspect(back time.Duration) {
+func (tb *Table) StoreReturned(back time.Duration) {
 	tb.suspect = true
-	tb.suspectUntil = back + tb.cfg.Linger
+	tb.suspectUntil = back + tb.cfg.LapseGrace
 	for id, until := range tb.lapsedUntil {
 		if until <= back {
 			tb.lapsedUntil[id] = tb.suspectUntil
--- a/core/origin/table_test.go
+++ b/core/origin/table_test.go
@@ -13,7 +13,7 @@
 const linger = 2500 * time.Millisecond
 
 func newTable() *origin.Table {
-	return origin.NewTable(origin.Config{Linger: linger, Forget: time.Minute})
+	return origin.NewTable(origin.Config{LapseGrace: linger, TombstoneTTL: time.Minute})
 }
 
 func server(id string, sequence uint64) *origin.Upstream {
@@ -29,7 +29,7 @@
 
 func accepting(tb *origin.Table, id string) bool {
 	found, ok := tb.Directory().Find(id)
-	return ok && found.Takes()
+	return ok && found.Accepting()
 }
 
 // A server has announced that it is leaving. Neither a late entry that it wrote before, nor
@@ -73,7 +73,7 @@
 	tb.Put(0, server("a", 1))
 	tb.Put(0, server("b", 1))
 	tb.Put(0, server("c", 1).WithLeaving())
-	tb.Suspect(10 * time.Second)
+	tb.StoreReturned(10 * time.Second)
 	is.True(!tb.Remove(10*time.Second, "a"))
 	is.True(!tb.Remove(10*time.Second, "b"))
 	is.True(tb.Remove(10*time.Second, "c"))
@@ -106,8 +106,8 @@
 	is := is.New(t)
 	dir := origin.New([]*origin.Upstream{server("a", 1), server("b", 1)})
 	is.Equal(dir.Len(), 2)
-	is.Equal(len(dir.Of("s")), 2)
-	is.Equal(len(dir.Of("t")), 0)
+	is.Equal(len(dir.OfService("s")), 2)
+	is.Equal(len(dir.OfService("t")), 0)
 	seen := 0
 	dir.All(func(*origin.Upstream) { seen++ })
 	is.Equal(seen, 2)
@@ -120,10 +120,10 @@
 	is := is.New(t)
 	tb := newTable()
 	tb.Put(0, server("a", 1))
-	tb.Suspect(10 * time.Second)
+	tb.StoreReturned(10 * time.Second)
 	is.True(!tb.Remove(10*time.Second, "a"))
-	tb.Suspect(11 * time.Second)
-	tb.Suspect(12 * time.Second)
+	tb.StoreReturned(11 * time.Second)
+	tb.StoreReturned(12 * time.Second)
 	is.True(tb.Tick(10*time.Second+linger, false))
 	is.True(!accepting(tb, "a"))
 }
@@ -135,10 +135,10 @@
 	is := is.New(t)
 	tb := newTable()
 	tb.Put(0, server("a", 1))
-	tb.Suspect(10 * time.Second)
+	tb.StoreReturned(10 * time.Second)
 	is.True(!tb.Remove(10*time.Second, "a"))
 	is.True(!tb.Tick(10*time.Second+linger, true))
-	tb.Suspect(20 * time.Second)
+	tb.StoreReturned(20 * time.Second)
 	is.True(!tb.Tick(21*time.Second, false))
 	is.True(accepting(tb, "a"))
 	is.True(tb.Tick(20*time.Second+linger, false))
@@ -153,7 +153,7 @@
 func TestRestart(t *testing.T) {
 	startedAt := func(startMs int64, sequence uint64) *origin.Upstream {
 		up := server("a", sequence)
-		up.Born = startMs
+		up.StartMs = startMs
 		up.Addr = fmt.Sprintf("a:%d", startMs)
 		return up
 	}
@@ -169,7 +169,7 @@
 		}},
 		{"entry removed", func(tb *origin.Table) { tb.Remove(1, "a") }},
 		{"lapsed after a store outage", func(tb *origin.Table) {
-			tb.Suspect(time.Second)
+			tb.StoreReturned(time.Second)
 			tb.Remove(1, "a")
 		}},
 	}
@@ -183,7 +183,7 @@
 			for _, stale := range []*origin.Upstream{startedAt(1, 50), startedAt(1, 51).WithLeaving(), server("a", 60)} {
 				is.True(!tb.Put(4, stale))
 				found, ok := tb.Directory().Find("a")
-				is.True(ok && found.Takes())
+				is.True(ok && found.Accepting())
 				is.Equal(found.Addr, "a:2")
 			}
 			is.True(tb.Directory().Has(startedAt(2, 9).Process()))
@@ -204,7 +204,7 @@
 	tb := newTable()
 	tb.Put(0, server("a", 4))
 	tb.Put(0, server("b", 4))
-	tb.Suspect(time.Second)
+	tb.StoreReturned(time.Second)
 	is.True(tb.Reject(1, "a"))
 	is.True(!accepting(tb, "a"))
 	is.True(accepting(tb, "b"))
@@ -235,8 +235,8 @@
 	tb.Put(2, server("c", 2).WithLeaving())
 	is.True(tb.Evacuate("nowhere"))
 	warmUp := func(string) time.Duration { return 3 * time.Second }
-	is.True(tb.Return(second, "east", warmUp))
-	is.True(!tb.Return(second, "east", warmUp))
+	is.True(tb.EndEvacuation(second, "east", warmUp))
+	is.True(!tb.EndEvacuation(second, "east", warmUp))
 	is.True(accepting(tb, "a"))
 	is.True(!accepting(tb, "c"))
 	is.True(cold(tb, "a", 3*second)) // its own entry may arrive late
@@ -254,12 +254,12 @@
 	tb := newTable()
 	coldFor := func(sequence uint64, remaining time.Duration) *origin.Upstream {
 		up := server("a", sequence)
-		up.WarmFor = remaining
+		up.ColdFor = remaining
 		return up
 	}
 	coldFrom := func() time.Duration {
 		found, _ := tb.Directory().Find("a")
-		return found.ColdFrom
+		return found.ColdKnownFrom
 	}
 	tb.Put(second, coldFor(1, 3*second))
 	is.True(cold(tb, "a", 4*second-1))
--- a/core/origin/upstream.go
+++ b/core/origin/upstream.go
@@ -8,7 +8,7 @@
 type Process struct {
 	ID string
 	// Born is its start time in milliseconds since 1970; 0 if unknown.
-	Born int64
+	StartMs int64
 	Addr string
 }
 
@@ -17,7 +17,7 @@
 	// ID identifies the server.
 	ID string
 	// Born is the start time of the process in milliseconds since 1970; 0 if unknown.
-	Born    int64
+	StartMs    int64
 	Service string
 	// Addr is host and port. Another server may have used it before.
 	Addr       string
@@ -30,23 +30,23 @@
 	Evacuated bool
 	// WarmFor is how much longer the server stays cold, counted from when its entry was
 	// written.
-	WarmFor time.Duration
+	ColdFor time.Duration
 	// ColdFrom and ColdUntil are times on the clock of the table that holds the server: it is
 	// cold until ColdUntil, and before ColdFrom other VMs that do not know this yet may still
 	// send to it. Both are 0 if it is warm.
-	ColdFrom, ColdUntil time.Duration
+	ColdKnownFrom, ColdUntil time.Duration
 	// Sequence increases with every entry that the process writes.
 	Sequence uint64
 }
 
 // Process returns the identity of the server's process.
-func (up *Upstream) Process() Process { return Process{ID: up.ID, Born: up.Born, Addr: up.Addr} }
+func (up *Upstream) Process() Process { return Process{ID: up.ID, StartMs: up.StartMs, Addr: up.Addr} }
 
 // precedes reports whether an entry of a server is older than another one: written by an
 // earlier process, or earlier by the same process.
 func (up *Upstream) precedes(other *Upstream) bool {
-	if up.Born != other.Born {
-		return up.Born < other.Born
+	if up.StartMs != other.StartMs {
+		return up.StartMs < other.StartMs
 	}
 	return up.Sequence < other.Sequence
 }
@@ -68,7 +68,7 @@
 // WithCold returns a copy of the server that is cold; see ColdFrom and ColdUntil.
 func (up *Upstream) WithCold(from, until time.Duration) *Upstream {
 	changed := *up
-	changed.ColdFrom, changed.ColdUntil = from, until
+	changed.ColdKnownFrom, changed.ColdUntil = from, until
 	return &changed
 }
 
@@ -76,7 +76,7 @@
 func (up *Upstream) Cold(now time.Duration) bool { return now < up.ColdUntil }
 
 // Takes reports whether the server may get new requests.
-func (up *Upstream) Takes() bool { return !up.Leaving && !up.Evacuated }
+func (up *Upstream) Accepting() bool { return !up.Leaving && !up.Evacuated }
 
 // Directory is an immutable set of servers.
 type Directory struct {
@@ -99,7 +99,7 @@
 
 // Of lists the servers of a service, including those that are leaving. The caller must not
 // modify the list.
-func (dir *Directory) Of(service string) []*Upstream { return dir.byService[service] }
+func (dir *Directory) OfService(service string) []*Upstream { return dir.byService[service] }
 
 // Find returns the server with an ID.
 func (dir *Directory) Find(id string) (*Upstream, bool) {
--- a/core/peak/peak.go
+++ b/core/peak/peak.go
@@ -21,13 +21,13 @@
 }
 
 // Note records a value of the gauge.
-func (pk *Peak) Note(now time.Duration, n int) {
+func (pk *Peak) Record(now time.Duration, n int) {
 	pk.rotate(now)
 	pk.current = max(pk.current, n)
 }
 
 // Most returns the maximum of the recorded values in the window.
-func (pk *Peak) Most(now time.Duration) int {
+func (pk *Peak) Max(now time.Duration) int {
 	pk.rotate(now)
 	return max(pk.current, pk.previous)
 }
--- a/core/pick/example_test.go
+++ b/core/pick/example_test.go
@@ -24,6 +24,6 @@
 	}
 	ch := tb.Chooser(now, &vw, rand.New(rand.NewPCG(1, 1)))
 	id, ok := ch.Pick([]view.ServerID{0, 1}, nil)
-	fmt.Println(id, ok, tb.Sick(0))
+	fmt.Println(id, ok, tb.Failing(0))
 	// Output: 1 true true
 }
--- a/core/pick/pick_test.go
+++ b/core/pick/pick_test.go
@@ -263,11 +263,11 @@
 	}
 	is.True(run(1000, false) > 250)
 	fx.end(0, 8, pick.Failed, 0) // in flight when it started to fail
-	is.True(fx.tb.Sick(0))
+	is.True(fx.tb.Failing(0))
 	is.True(run(10_000, true) <= 7) // in 10 s, with a probe interval that doubles up to 4 s
-	is.True(fx.tb.Sick(0))
+	is.True(fx.tb.Failing(0))
 	run(6000, false)
-	is.True(!fx.tb.Sick(0))
+	is.True(!fx.tb.Failing(0))
 	is.True(run(3000, false) > 700)
 }
 
--- a/core/pick/table.go
+++ b/core/pick/table.go
@@ -42,7 +42,7 @@
 // Results of a sub-request.
 const (
 	// Nothing: it never reached the server, or was abandoned.
-	Nothing Result = iota
+	NoResult Result = iota
 	// Replied: the server executed the sub-request.
 	Replied
 	// Refused: the server refused it for lack of capacity.
@@ -114,7 +114,7 @@
 		updateAverage(&st.refusals, fixedOne, averageWeight)
 	case Failed:
 		st.recordFailure(now)
-	case Nothing:
+	case NoResult:
 	}
 }
 
@@ -194,7 +194,7 @@
 }
 
 // Sick reports whether a server failed most recent sub-requests.
-func (tb *Table) Sick(id view.ServerID) bool {
+func (tb *Table) Failing(id view.ServerID) bool {
 	return tb.stats(id).failing()
 }
 
--- a/core/plan/forward.go
+++ b/core/plan/forward.go
@@ -33,16 +33,16 @@
 // inner addresses as ID and Addr. It is empty if this VM should handle the request itself. A
 // request that must not run twice is never forwarded, since the failure of a forwarding VM
 // would leave unknown whether the request ran. The caller must not modify the list.
-func (vw *View) Homes(rt *route.Route) []*origin.Upstream {
+func (vw *View) ForwardTargets(rt *route.Route) []*origin.Upstream {
 	switch {
 	case !rt.Idempotent:
 		return nil
 	case rt.Gather == nil:
-		return vw.Within(rt, vw.singleTargets)
+		return vw.FilterByRegion(rt, vw.singleTargets)
 	case len(rt.Gather.Shards) == 0:
 		return nil
 	}
-	return vw.Within(rt, vw.gatherTargets[rt.Gather.Shards[0]])
+	return vw.FilterByRegion(rt, vw.gatherTargets[rt.Gather.Shards[0]])
 }
 
 // Large reports whether some VMs of the fleet are large, and whether this VM is.
@@ -150,8 +150,8 @@
 	counts := make(map[string]int)
 	for _, name := range shards {
 		dataCentres := make(map[string]bool)
-		for _, up := range vw.cfg.Upstreams.Of(name) {
-			if up.Takes() {
+		for _, up := range vw.cfg.Upstreams.OfService(name) {
+			if up.Accepting() {
 				dataCentres[up.DataCentre] = true
 			}
 		}
@@ -170,7 +170,7 @@
 
 // ExtraPart returns this VM's share of the extra attempts (beyond first attempts) that all
 // VMs together may send, 0 to 1.
-func (vw *View) ExtraPart() float64 {
+func (vw *View) ExtraShare() float64 {
 	anyLarge, self := vw.Large()
 	fleetSize := float64(len(vw.fleet.all))
 	if !anyLarge {
--- a/core/plan/local.go
+++ b/core/plan/local.go
@@ -5,12 +5,12 @@
 // ServesAlone reports whether the servers of this VM's own data centre suffice for the
 // minimum coverage of every route that gathers from shards. It is true while no routes are
 // known.
-func (vw *View) ServesAlone() bool {
+func (vw *View) LocalServersSuffice() bool {
 	if vw.cfg.Routes == nil {
 		return true
 	}
 	for _, rt := range vw.cfg.Routes.Routes() {
-		if rt.Gather != nil && !vw.ServesNear(rt) {
+		if rt.Gather != nil && !vw.LocalServersSufficeFor(rt) {
 			return false
 		}
 	}
@@ -20,7 +20,7 @@
 // ServesNear reports whether the servers of this VM's own data centre suffice to answer
 // requests of a route: at least the minimum number of shards of a gather, or all services of
 // a split.
-func (vw *View) ServesNear(rt *route.Route) bool {
+func (vw *View) LocalServersSufficeFor(rt *route.Route) bool {
 	if !vw.Allows(rt, vw.cfg.Self.DataCentre) {
 		return false
 	}
@@ -42,8 +42,8 @@
 }
 
 func (vw *View) hasLocalServer(service string) bool {
-	for _, up := range vw.cfg.Upstreams.Of(service) {
-		if up.DataCentre == vw.cfg.Self.DataCentre && up.Takes() {
+	for _, up := range vw.cfg.Upstreams.OfService(service) {
+		if up.DataCentre == vw.cfg.Self.DataCentre && up.Accepting() {
 			return true
 		}
 	}
--- a/core/plan/local_test.go
+++ b/core/plan/local_test.go
@@ -46,7 +46,7 @@
 					{Name: "all", Host: "h", Prefix: "/", Gather: &route.Gather{Shards: names, MinCoverage: tc.coverage}},
 				}}),
 			})
-			is.Equal(vw.ServesAlone(), tc.alone)
+			is.Equal(vw.LocalServersSuffice(), tc.alone)
 		})
 	}
 }
--- a/core/plan/plan_test.go
+++ b/core/plan/plan_test.go
@@ -92,7 +92,7 @@
 				some, large := vw.Large()
 				si.dir.All(func(up *origin.Upstream) {
 					if !some || large {
-						sum[up.ID] += vw.Limits(up).Most
+						sum[up.ID] += vw.Limits(up).Max
 					}
 				})
 				for s := range 6 {
@@ -142,7 +142,7 @@
 			rt, ok := si.routes.Match("h", tc.route)
 			is.True(ok)
 			got := map[string]bool{}
-			for _, ho := range si.view(self).Homes(rt) {
+			for _, ho := range si.view(self).ForwardTargets(rt) {
 				got[ho.Addr] = true
 			}
 			is.Equal(len(got), len(tc.want))
@@ -163,7 +163,7 @@
 		si := newTestFleet(1, sizes)
 		sum := 0.0
 		for _, vm := range si.vms {
-			sum += si.view(vm).ExtraPart()
+			sum += si.view(vm).ExtraShare()
 		}
 		is.True(sum <= 1.0001)
 	}
@@ -177,15 +177,15 @@
 	for _, vm := range si.vms {
 		var ups []*origin.Upstream
 		vw := si.view(vm)
-		for _, up := range si.dir.Of("s0") {
-			if vw.Limits(up).Most > 0 {
+		for _, up := range si.dir.OfService("s0") {
+			if vw.Limits(up).Max > 0 {
 				up = up.WithLeaving()
 			}
 			ups = append(ups, up)
 		}
 		accepting := false
 		for _, up := range vw.WithUpstreams(origin.New(ups)).Candidates("s0") {
-			accepting = accepting || up.Takes()
+			accepting = accepting || up.Accepting()
 		}
 		allLeaving := true
 		for _, up := range ups {
@@ -218,7 +218,7 @@
 			vw := si.view(rank.VM{Addr: "a-0", DataCentre: "a"})
 			for _, draw := range []float64{0, 0.3, 0.6, 0.99} {
 				drawn, dataCentres := map[string]bool{}, map[string]bool{}
-				for _, vm := range vw.FarVMs(tc.n, func() float64 { return draw }) {
+				for _, vm := range vw.RemoteVMs(tc.n, func() float64 { return draw }) {
 					is.True(vm.DataCentre != "a")
 					drawn[vm.Addr], dataCentres[vm.DataCentre] = true, true
 				}
--- a/core/plan/region_test.go
+++ b/core/plan/region_test.go
@@ -36,10 +36,10 @@
 	tb := route.New(route.Config{Routes: []route.Route{*rt}})
 	for _, self := range fleet {
 		vw := plan.New(plan.Config{Self: self, Regions: regions, Routes: tb, Upstreams: origin.New(ups)}).WithFleet(fleet, capacity)
-		is.Equal(len(vw.Within(rt, vw.Candidates("s0"))), 2)
-		is.Equal(len(vw.Within(everywhere, vw.Candidates("s0"))), 4)
-		is.Equal(vw.ServesNear(rt), regions[self.DataCentre] == "north")
-		others := append(vw.Homes(rt), vw.Homes(once)...)
+		is.Equal(len(vw.FilterByRegion(rt, vw.Candidates("s0"))), 2)
+		is.Equal(len(vw.FilterByRegion(everywhere, vw.Candidates("s0"))), 4)
+		is.Equal(vw.LocalServersSufficeFor(rt), regions[self.DataCentre] == "north")
+		others := append(vw.ForwardTargets(rt), vw.ForwardTargets(once)...)
 		for key := range uint64(20) {
 			others = append(others, vw.Owners(rt, key, 2)...)
 		}
@@ -47,7 +47,7 @@
 			is.Equal(regions[vm.DataCentre], "north")
 		}
 		if capacity[self.Addr] < 0.5 {
-			is.Equal(len(vw.Homes(rt)), 4)
+			is.Equal(len(vw.ForwardTargets(rt)), 4)
 		}
 	}
 }
--- a/core/plan/view.go
+++ b/core/plan/view.go
@@ -44,9 +44,9 @@
 // Limits is this VM's share of the connections to a server.
 type Limits struct {
 	// Warm is how many are kept open without demand.
-	Warm int
+	Idle int
 	// Most is the maximum.
-	Most int
+	Max int
 }
 
 // View is an immutable snapshot of routes, servers and VMs.
@@ -147,7 +147,7 @@
 // FarVMs returns at most n random VMs of other data centres, from different data centres as
 // far as possible: if one data centre is cut off, the answers must not depend on its VMs
 // alone. draw returns a uniform random number in [0, 1).
-func (vw *View) FarVMs(n int, draw func() float64) []rank.VM {
+func (vw *View) RemoteVMs(n int, draw func() float64) []rank.VM {
 	var remote []rank.VM
 	for _, vm := range vw.fleet.all {
 		if vm.DataCentre != vw.cfg.Self.DataCentre {
@@ -183,21 +183,21 @@
 // server that accepts requests, it adds the others with one connection each, which come out
 // of the server's reserve.
 func (vw *View) candidatesOf(service string) []*origin.Upstream {
-	all := vw.cfg.Upstreams.Of(service)
+	all := vw.cfg.Upstreams.OfService(service)
 	candidates := make([]*origin.Upstream, 0, len(all))
 	accepting := false
 	for _, up := range all {
-		if vw.limits[up.ID].Most > 0 {
+		if vw.limits[up.ID].Max > 0 {
 			candidates = append(candidates, up)
-			accepting = accepting || up.Takes()
+			accepting = accepting || up.Accepting()
 		}
 	}
 	if accepting {
 		return candidates
 	}
 	for _, up := range all {
-		if vw.limits[up.ID].Most == 0 {
-			vw.limits[up.ID] = Limits{Most: 1}
+		if vw.limits[up.ID].Max == 0 {
+			vw.limits[up.ID] = Limits{Max: 1}
 			candidates = append(candidates, up)
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 	total := len(vw.fleet.all)
 	if usable >= total {
-		return Limits{Warm: 1, Most: min(usable/total, maxConnections)}
+		return Limits{Idle: 1, Max: min(usable/total, maxConnections)}
 	}
 	local := vw.fleet.byDataCentre[up.DataCentre]
 	if up.DataCentre == vw.cfg.Self.DataCentre {
@@ -233,14 +233,14 @@
 func (vw *View) limitsWithLarge(usable int) Limits {
 	if vw.large[vw.cfg.Self.Addr] {
 		most := min(max(1, int(largeVMShare*float64(usable))/len(vw.large)), maxConnections)
-		return Limits{Warm: min(most, largeIdle), Most: most}
+		return Limits{Idle: min(most, largeIdle), Max: most}
 	}
-	return Limits{Most: 1}
+	return Limits{Max: 1}
 }
 
 func atMostOne(n int) Limits {
 	n = min(n, 1)
-	return Limits{Warm: n, Most: n}
+	return Limits{Idle: n, Max: n}
 }
 
 // acceptedConnections returns how many connections a server of the service accepts from all
--- a/core/plan/warming.go
+++ b/core/plan/warming.go
@@ -16,7 +16,7 @@
 // limited rate until then.
 type Warming struct {
 	// Most is how many requests all VMs together may send to it within any second.
-	Most int
+	MaxPerSecond int
 	// Owner is the VM that sends all of these requests, as an Upstream with its inner address
 	// as ID and Addr. Self is set if this VM is the owner.
 	Owner *origin.Upstream
@@ -25,7 +25,7 @@
 
 // Warms reports whether a service limits the requests to a warming server and has a server
 // that warms up, or did so when its last entry was written.
-func (vw *View) Warms(service string) bool { return vw.warming[service] }
+func (vw *View) HasWarming(service string) bool { return vw.warming[service] }
 
 // Warming returns the bound on requests to a server, and false if the server does not warm up
 // or has no bound.
@@ -36,7 +36,7 @@
 	sv, _ := vw.cfg.Routes.Service(up.Service)
 	vm := vw.ownerOf(up)
 	return Warming{
-		Most:  vw.cfg.WarmUp.Most(sv.WarmUpRate),
+		MaxPerSecond:  vw.cfg.WarmUp.Max(sv.WarmUpRate),
 		Owner: &origin.Upstream{ID: vm.Addr, Addr: vm.Addr, DataCentre: vm.DataCentre},
 		Self:  vm.Addr == vw.cfg.Self.Addr,
 	}, true
@@ -44,12 +44,12 @@
 
 // WarmsUp reports whether a server warms up and has a bound. Unlike Warming it does not
 // compute the owner.
-func (vw *View) WarmsUp(now time.Duration, up *origin.Upstream) bool {
+func (vw *View) IsWarming(now time.Duration, up *origin.Upstream) bool {
 	return up.Cold(now) && vw.warming[up.Service]
 }
 
 // Bounds reports whether the requests to a service's servers are limited while they warm up.
-func (vw *View) Bounds(service string) bool {
+func (vw *View) LimitsWarmUp(service string) bool {
 	if vw.cfg.Routes == nil {
 		return false
 	}
@@ -60,22 +60,22 @@
 // BlindServes reports whether a VM that does not know which servers are cold (see
 // ramp.Gate.Blind) may take requests of a route: none of the route's services limits the
 // requests to cold servers.
-func (vw *View) BlindServes(rt *route.Route) bool {
-	return !slices.ContainsFunc(rt.Services(), vw.Bounds)
+func (vw *View) ServesWithStaleState(rt *route.Route) bool {
+	return !slices.ContainsFunc(rt.Services(), vw.LimitsWarmUp)
 }
 
 // BlindMatters reports whether it matters that this VM may not know which servers are cold
 // (see ramp.Gate.Blind): some service limits the requests to cold servers, and there are VMs
 // in other data centres that may know more.
-func (vw *View) BlindMatters() bool {
-	return vw.cfg.Routes != nil && vw.cfg.Routes.WarmUpBounds() && len(vw.fleet.byDataCentre) > 1
+func (vw *View) StaleStateMatters() bool {
+	return vw.cfg.Routes != nil && vw.cfg.Routes.LimitsWarmUp() && len(vw.fleet.byDataCentre) > 1
 }
 
 // findWarming computes the services that limit the requests to a warming server and have one.
 func (vw *View) findWarming() {
 	vw.warming = make(map[string]bool)
 	vw.cfg.Upstreams.All(func(up *origin.Upstream) {
-		if up.ColdUntil > 0 && vw.Bounds(up.Service) {
+		if up.ColdUntil > 0 && vw.LimitsWarmUp(up.Service) {
 			vw.warming[up.Service] = true
 		}
 	})
--- a/core/poison/fingerprint.go
+++ b/core/poison/fingerprint.go
@@ -41,7 +41,7 @@
 
 // Of returns the fingerprint of a request. It is a cryptographic hash, so that nobody can
 // construct a request with the fingerprint of another caller's.
-func Of(rq Request) Fingerprint {
+func FingerprintOf(rq Request) Fingerprint {
 	ha := sha256.New()
 	writeText := func(text string) {
 		var size [8]byte
--- a/core/poison/fingerprint_test.go
+++ b/core/poison/fingerprint_test.go
@@ -44,14 +44,14 @@
 			is := is.New(t)
 			rq := baseRequest()
 			tc.change(&rq)
-			is.Equal(poison.Of(rq) == poison.Of(baseRequest()), tc.same)
+			is.Equal(poison.FingerprintOf(rq) == poison.FingerprintOf(baseRequest()), tc.same)
 		})
 	}
 }
 
 func TestParse(t *testing.T) {
 	is := is.New(t)
-	fp := poison.Of(baseRequest())
+	fp := poison.FingerprintOf(baseRequest())
 	got, err := poison.Parse(fp.String())
 	is.NoErr(err)
 	is.Equal(got, fp)
--- a/core/poison/record.go
+++ b/core/poison/record.go
@@ -36,8 +36,8 @@
 	Trials []string
 	// Ends counts the servers that crashed under the request, and Repeats those that crashed
 	// during a trial at least a second after the previous one that counted.
-	Ends    int
-	Repeats int
+	Crashes    int
+	RepeatCrashes int
 }
 
 // Update is a record that changed.
@@ -77,12 +77,12 @@
 }
 
 // countCrash records a crash of a server.
-func (re *record) countCrash(now time.Duration, kind Place) {
+func (re *record) countCrash(now time.Duration, kind TrialKind) {
 	re.crashes++
 	switch {
 	case re.crashes == 1:
 		re.lastCounted = now
-	case kind != Among && now-re.lastCounted >= minRepeatInterval:
+	case kind != NotTrial && now-re.lastCounted >= minRepeatInterval:
 		re.repeatCrashes++
 		re.lastCounted = now
 	}
@@ -93,12 +93,12 @@
 	if re.crashes == 0 {
 		re.lastCounted = now
 	}
-	re.crashes, re.repeatCrashes = max(re.crashes, rd.Ends), max(re.repeatCrashes, rd.Repeats)
+	re.crashes, re.repeatCrashes = max(re.crashes, rd.Crashes), max(re.repeatCrashes, rd.RepeatCrashes)
 }
 
 func (re *record) state(now time.Duration) State {
 	switch {
-	case re.shouldBlock() && now-re.lastSeen < BlockFor:
+	case re.shouldBlock() && now-re.lastSeen < BlockDuration:
 		return Blocked
 	case re.crashes > 0 || len(re.trials) > 0 || re.everShared || now < re.hintedUntil:
 		return Suspect
@@ -109,7 +109,7 @@
 // update returns the current state of a record. The caller holds the lock.
 func (tb *Table) update(now time.Duration, fp Fingerprint, re *record) Update {
 	return Update{
-		Record: Record{Fingerprint: fp, Trials: slices.Clone(re.trials), Ends: re.crashes, Repeats: re.repeatCrashes},
+		Record: Record{Fingerprint: fp, Trials: slices.Clone(re.trials), Crashes: re.crashes, RepeatCrashes: re.repeatCrashes},
 		State:  re.state(now),
 	}
 }
--- a/core/poison/sim_arrival_test.go
+++ b/core/poison/sim_arrival_test.go
@@ -35,7 +35,7 @@
 
 // Pick prefers the nearby replica, as VMs of one data centre do. For a trial it avoids servers on
 // which another request is tried.
-func (ar *simArrival) Pick(_ time.Duration, ask fanout.Ask) (*origin.Upstream, bool) {
+func (ar *simArrival) Pick(_ time.Duration, ask fanout.PickRequest) (*origin.Upstream, bool) {
 	if ask.Trial {
 		if up, ok := ar.pick(ask.Shard, ask.Tried, true); ok {
 			return up, true
@@ -47,7 +47,7 @@
 func (ar *simArrival) pick(shard int, tried []*origin.Upstream, exclusive bool) (*origin.Upstream, bool) {
 	var candidates []*origin.Upstream
 	for _, sv := range ar.ft.servers[shard] {
-		excluded := ar.vm.unreachable[sv.up.ID] || exclusive && ar.vm.table.OnTrial(sv.up.Process())
+		excluded := ar.vm.unreachable[sv.up.ID] || exclusive && ar.vm.table.HasTrial(sv.up.Process())
 		for _, up := range tried {
 			excluded = excluded || up.ID == sv.up.ID
 		}
@@ -170,12 +170,12 @@
 	switch {
 	case ar.broken == 0 && !ar.suspect:
 	case ar.answered:
-		if up, known := ar.vm.table.Answered(ft.now, ar.fp); known {
+		if up, known := ar.vm.table.RecordAnswer(ft.now, ar.fp); known {
 			ar.vm.share(ft, []poison.Update{up})
 		}
 	default:
 		ar.countBroken(0)
-		ar.vm.share(ft, ar.vm.table.Unserved(ft.now, ar.fp))
+		ar.vm.share(ft, ar.vm.table.RecordUnserved(ft.now, ar.fp))
 	}
 	if ar.suspect {
 		ft.releaseTurn(ar.vm, ar.fp)
--- a/core/poison/sim_server_test.go
+++ b/core/poison/sim_server_test.go
@@ -37,10 +37,10 @@
 		at.closed = true
 		ar := at.arrival
 		ar.countBroken(1)
-		ar.vm.share(ft, ar.vm.table.Broken(ft.now, ar.fp, pr, at.endTrial(pr)))
+		ar.vm.share(ft, ar.vm.table.RecordBroken(ft.now, ar.fp, pr, at.endTrial(pr)))
 	}
 	for _, vm := range ft.vms {
-		ft.schedule(dialDelay, func() { vm.share(ft, vm.table.Ended(ft.now, pr)) })
+		ft.schedule(dialDelay, func() { vm.share(ft, vm.table.RecordServerEnd(ft.now, pr)) })
 	}
 	for _, at := range attempts {
 		at.arrival.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
@@ -56,14 +56,14 @@
 	at.closed = true
 	ar, pr := at.arrival, sv.up.Process()
 	ar.countBroken(1)
-	ar.vm.share(ft, ar.vm.table.Broken(ft.now, ar.fp, pr, at.endTrial(pr)))
+	ar.vm.share(ft, ar.vm.table.RecordBroken(ft.now, ar.fp, pr, at.endTrial(pr)))
 	ar.step(fanout.Event{Kind: fanout.EvResult, Attempt: at.k, Verdict: fanout.Lost, Broken: true})
 }
 
 // endTrial ends an attempt and returns how it ran on its server.
-func (at *simAttempt) endTrial(pr origin.Process) poison.Place {
+func (at *simAttempt) endTrial(pr origin.Process) poison.TrialKind {
 	if !at.trial {
-		return poison.Among
+		return poison.NotTrial
 	}
 	return at.arrival.vm.table.EndTrial(pr)
 }
--- a/core/poison/sim_vm_test.go
+++ b/core/poison/sim_vm_test.go
@@ -36,9 +36,9 @@
 					continue
 				}
 				if up.Cleared {
-					other.table.Release(ft.now, up.Fingerprint)
+					other.table.Unblock(ft.now, up.Fingerprint)
 				} else {
-					other.table.Learn(ft.now, up.Record)
+					other.table.Merge(ft.now, up.Record)
 				}
 			}
 		})
@@ -111,8 +111,8 @@
 	hard := ft.callerTimeout()
 	ar.mc = fanout.New(fanout.Config{
 		Shards: ft.cfg.shards, MinParts: ft.cfg.shards - ft.cfg.shards/5, Idempotent: ft.cfg.idempotent, MaxAttempts: 2,
-		Target: ft.now + hard/4, Hard: ft.now + hard, HedgeAfter: 3 * ft.cfg.work, LeastTime: 3 * ms,
-		Suspect: ar.suspect, TrialGap: 5 * ms, Blocked: func() bool { return vm.table.Blocked(ft.now, fp) }, Draw: ft.rnd.Float64, Chooser: ar, Budget: ar,
+		Target: ft.now + hard/4, HardDeadline: ft.now + hard, HedgeAfter: 3 * ft.cfg.work, MinTimeLeft: 3 * ms,
+		Suspect: ar.suspect, TrialGap: 5 * ms, Blocked: func() bool { return vm.table.Blocked(ft.now, fp) }, Rand: ft.rnd.Float64, Chooser: ar, Budget: ar,
 	})
 	ar.perform(ar.mc.Start(ft.now))
 }
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -21,7 +21,7 @@
 	blockRepeatCrashes = 2
 	minRepeatInterval  = time.Second
 	// BlockFor is for how long a blocked request must not arrive before it is tried again.
-	BlockFor = 10 * time.Minute
+	BlockDuration = 10 * time.Minute
 	// recordTTL is how long a request is remembered after it last arrived.
 	recordTTL = 30 * time.Minute
 	// matchWindow is the maximum time between a broken attempt and the end of the server's
@@ -48,7 +48,7 @@
 type brokenAttempt struct {
 	fp   Fingerprint
 	at   time.Duration
-	kind Place
+	kind TrialKind
 }
 
 // Table records the requests under which servers crashed. It is safe for concurrent use.
@@ -104,7 +104,7 @@
 		tb.demote(re)
 	}
 	re.lastSeen = now
-	if st == Blocked && re.everShared && now-re.sharedAt >= BlockFor/2 {
+	if st == Blocked && re.everShared && now-re.sharedAt >= BlockDuration/2 {
 		re.sharedAt = now
 		refresh = tb.update(now, fp, re)
 		refresh.Share = true
@@ -113,7 +113,7 @@
 }
 
 // Broken records that a server ended the connection of an attempt.
-func (tb *Table) Broken(now time.Duration, fp Fingerprint, pr origin.Process, kind Place) []Update {
+func (tb *Table) RecordBroken(now time.Duration, fp Fingerprint, pr origin.Process, kind TrialKind) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
@@ -130,7 +130,7 @@
 
 // Ended records that a server's process has ended, which confirms that the attempts whose
 // connections broke were not hit by a mere connection failure.
-func (tb *Table) Ended(now time.Duration, pr origin.Process) []Update {
+func (tb *Table) RecordServerEnd(now time.Duration, pr origin.Process) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
@@ -144,7 +144,7 @@
 }
 
 // recordCrash adds a crash to a request's record. The caller holds the lock.
-func (tb *Table) recordCrash(now time.Duration, fp Fingerprint, pr origin.Process, kind Place, ups []Update) []Update {
+func (tb *Table) recordCrash(now time.Duration, fp Fingerprint, pr origin.Process, kind TrialKind, ups []Update) []Update {
 	re, ok := tb.records[fp]
 	if !ok {
 		// A server answered the request in the meantime.
@@ -165,7 +165,7 @@
 
 // Answered records that a server answered a request, so it does not crash servers. The update is
 // to be shared if other VMs were informed before; known is false if there was nothing to clear.
-func (tb *Table) Answered(now time.Duration, fp Fingerprint) (up Update, known bool) {
+func (tb *Table) RecordAnswer(now time.Duration, fp Fingerprint) (up Update, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	re, ok := tb.records[fp]
@@ -178,11 +178,11 @@
 	if len(tb.clearedAt) < maxRecords {
 		tb.clearedAt[fp] = now
 	}
-	return up, up.Ends > 0 || up.Share
+	return up, up.Crashes > 0 || up.Share
 }
 
 // Unserved records that an arrival of a request ended without an answer from any server.
-func (tb *Table) Unserved(now time.Duration, fp Fingerprint) []Update {
+func (tb *Table) RecordUnserved(now time.Duration, fp Fingerprint) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	re, ok := tb.records[fp]
@@ -222,7 +222,7 @@
 }
 
 // Learn merges another VM's record into this one's.
-func (tb *Table) Learn(now time.Duration, rd Record) []Update {
+func (tb *Table) Merge(now time.Duration, rd Record) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.expire(now)
@@ -234,7 +234,7 @@
 
 // Release lifts the block of a request, after an operator removed its entry or it expired. The
 // request is suspect when it arrives again, and one more crash blocks it.
-func (tb *Table) Release(now time.Duration, fp Fingerprint) (Update, bool) {
+func (tb *Table) Unblock(now time.Duration, fp Fingerprint) (Update, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	re, ok := tb.records[fp]
--- a/core/poison/trial.go
+++ b/core/poison/trial.go
@@ -23,12 +23,12 @@
 }
 
 // Place is how a request ran on a server.
-type Place uint8
+type TrialKind uint8
 
 // Kinds of runs.
 const (
 	// Among: not a trial; it ran beside other requests.
-	Among Place = iota
+	NotTrial TrialKind = iota
 	// SharedTrial: a trial during which another request was tried on the server too.
 	SharedTrial
 	// ExclusiveTrial: a trial with no other one on the server.
@@ -50,12 +50,12 @@
 }
 
 // EndTrial records the end of a trial and reports whether it was the only one on the server.
-func (tb *Table) EndTrial(pr origin.Process) Place {
+func (tb *Table) EndTrial(pr origin.Process) TrialKind {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tr, ok := tb.trials[pr]
 	if !ok {
-		return Among
+		return NotTrial
 	}
 	tr.open--
 	if tr.open == 0 {
@@ -68,7 +68,7 @@
 }
 
 // OnTrial reports whether a request is being tried on a server.
-func (tb *Table) OnTrial(pr origin.Process) bool {
+func (tb *Table) HasTrial(pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	_, ok := tb.trials[pr]
@@ -119,4 +119,4 @@
 }
 
 // processName returns the name of a server's process in shared records.
-func processName(pr origin.Process) string { return pr.ID + "@" + strconv.FormatInt(pr.Born, 10) }
+func processName(pr origin.Process) string { return pr.ID + "@" + strconv.FormatInt(pr.StartMs, 10) }
--- a/core/poison/word.go
+++ b/core/poison/word.go
@@ -15,7 +15,7 @@
 
 // Word returns the compact encoding. Further names, and names that are too long, are left out;
 // other VMs get them through the store.
-func (rd Record) Word() string {
+func (rd Record) EncodeHint() string {
 	out := append([]byte(nil), rd.Fingerprint[:]...)
 	for n, name := range rd.Trials {
 		if n == maxHintTrials || len(name) > maxNameLen {
@@ -28,7 +28,7 @@
 }
 
 // ParseWord parses the result of Word.
-func ParseWord(word string) (Record, error) {
+func ParseHint(word string) (Record, error) {
 	var rd Record
 	if len(word) < len(rd.Fingerprint) {
 		return rd, &Error{Op: "poison.ParseWord", Kind: KindFormat, Err: errHintLength}
--- a/core/poison/word_test.go
+++ b/core/poison/word_test.go
@@ -13,12 +13,12 @@
 	is := is.New(t)
 	for _, trials := range [][]string{nil, {"a@0"}, {"a@0", "b@17"}} {
 		want := poison.Record{Fingerprint: fingerprint(7), Trials: trials}
-		got, err := poison.ParseWord(want.Word())
+		got, err := poison.ParseHint(want.EncodeHint())
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
 	long := poison.Record{Fingerprint: fingerprint(7), Trials: []string{"a", strings.Repeat("b", 300)}}
-	got, err := poison.ParseWord(long.Word())
+	got, err := poison.ParseHint(long.EncodeHint())
 	is.NoErr(err)
 	is.Equal(got.Trials, []string{"a"})
 }
@@ -26,12 +26,12 @@
 // Messages of other VMs must not panic this one, and the encoding must be unambiguous.
 func FuzzWord(f *testing.F) {
 	f.Add("")
-	f.Add(poison.Record{Trials: []string{"a@0", "b@0"}}.Word())
-	f.Add(poison.Record{}.Word() + "\xff")
+	f.Add(poison.Record{Trials: []string{"a@0", "b@0"}}.EncodeHint())
+	f.Add(poison.Record{}.EncodeHint() + "\xff")
 	f.Fuzz(func(t *testing.T, word string) {
-		rd, err := poison.ParseWord(word)
-		if err == nil && rd.Word() != word {
-			t.Errorf("%q became %q", word, rd.Word())
+		rd, err := poison.ParseHint(word)
+		if err == nil && rd.EncodeHint() != word {
+			t.Errorf("%q became %q", word, rd.EncodeHint())
 		}
 	})
 }
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -14,7 +14,7 @@
 package queue
 
 // Line is the queue of waiting values. The zero value is empty. It is not safe for concurrent use.
-type Line[T comparable] struct {
+type Queue[T comparable] struct {
 	// OldestFirst makes the oldest value of a priority go first.
 	OldestFirst bool
 
@@ -27,12 +27,12 @@
 }
 
 // Push adds a value; a lower priority number goes first.
-func (li *Line[T]) Push(priority int, value T) {
+func (li *Queue[T]) Push(priority int, value T) {
 	li.items = append(li.items, item[T]{priority: priority, value: value})
 }
 
 // Pop removes and returns the value that goes first; ok is false if the queue is empty.
-func (li *Line[T]) Pop() (T, bool) {
+func (li *Queue[T]) Pop() (T, bool) {
 	var zero T
 	if len(li.items) == 0 {
 		return zero, false
@@ -50,7 +50,7 @@
 }
 
 // Remove removes a value and reports whether it was in the queue.
-func (li *Line[T]) Remove(value T) bool {
+func (li *Queue[T]) Remove(value T) bool {
 	for i := range li.items {
 		if li.items[i].value == value {
 			li.removeAt(i)
@@ -61,7 +61,7 @@
 }
 
 // Drain removes and returns all values, oldest first.
-func (li *Line[T]) Drain() []T {
+func (li *Queue[T]) Drain() []T {
 	values := make([]T, len(li.items))
 	for i := range li.items {
 		values[i] = li.items[i].value
@@ -71,9 +71,9 @@
 }
 
 // Len returns the number of waiting values.
-func (li *Line[T]) Len() int { return len(li.items) }
+func (li *Queue[T]) Len() int { return len(li.items) }
 
-func (li *Line[T]) removeAt(i int) {
+func (li *Queue[T]) removeAt(i int) {
 	copy(li.items[i:], li.items[i+1:])
 	li.items[len(li.items)-1] = item[T]{}
 	li.items = li.items[:len(li.items)-1]
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -26,7 +26,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var li queue.Line[string]
+			var li queue.Queue[string]
 			for _, pu := range tc.pushes {
 				li.Push(pu.priority, pu.value)
 			}
@@ -44,7 +44,7 @@
 
 func TestRemoveAndDrain(t *testing.T) {
 	is := is.New(t)
-	var li queue.Line[string]
+	var li queue.Queue[string]
 	for _, value := range []string{"a", "b", "c"} {
 		li.Push(0, value)
 	}
--- a/core/ramp/gate.go
+++ b/core/ramp/gate.go
@@ -32,7 +32,7 @@
 
 // Most returns how many requests a server may get within any second; perSecond is its
 // configured rate.
-func (bo Bounds) Most(perSecond float64) int {
+func (bo Bounds) Max(perSecond float64) int {
 	// Without the tolerance a product that rounding puts slightly below a whole number would
 	// lose one request.
 	const tolerance = 1e-9
@@ -41,7 +41,7 @@
 
 // Gate counts the requests that this VM sends to servers that warm up. It is safe for
 // concurrent use.
-type Gate struct {
+type Limiter struct {
 	mu      sync.Mutex
 	servers map[origin.Process]*serverState
 	// eligible is set, since eligibleSince, while this VM's entry is in a fresh copy of the
@@ -65,11 +65,11 @@
 }
 
 // New returns a gate that allows no request until Look has been called for OwnerDelay.
-func New() *Gate { return &Gate{servers: make(map[origin.Process]*serverState)} }
+func New() *Limiter { return &Limiter{servers: make(map[origin.Process]*serverState)} }
 
 // Take reports whether this VM may send one more request to a server that it owns, and counts
 // it. most is the server's bound within any second.
-func (ga *Gate) Take(now time.Duration, pr origin.Process, most int) bool {
+func (ga *Limiter) Allow(now time.Duration, pr origin.Process, most int) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if !ga.mayActAsOwner(now) {
@@ -89,7 +89,7 @@
 }
 
 // Asked records that a server's owner was asked to send a request, and whether it did.
-func (ga *Gate) Asked(now time.Duration, pr origin.Process, sent bool) {
+func (ga *Limiter) RecordReply(now time.Duration, pr origin.Process, sent bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	st := ga.stateOf(pr)
@@ -99,21 +99,21 @@
 	case now >= st.askAt:
 		// Of several denials in flight at once only the first counts.
 		st.denials++
-		bo := retry.Backoff{First: minAskBackoff, Most: maxAskBackoff}
+		bo := retry.Backoff{Initial: minAskBackoff, Max: maxAskBackoff}
 		st.askAt = now + bo.Wait(st.denials, 0)
 	}
 }
 
 // MayAsk reports whether a server's owner may be asked to send a request, that is whether no
 // backoff after a denial is in force.
-func (ga *Gate) MayAsk(now time.Duration, pr origin.Process) bool {
+func (ga *Limiter) MayAskOwner(now time.Duration, pr origin.Process) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	st, ok := ga.servers[pr]
 	return !ok || now >= st.askAt
 }
 
-func (ga *Gate) stateOf(pr origin.Process) *serverState {
+func (ga *Limiter) stateOf(pr origin.Process) *serverState {
 	st, ok := ga.servers[pr]
 	if !ok {
 		st = &serverState{}
@@ -123,7 +123,7 @@
 }
 
 // Keep deletes the state of all servers that are not in the directory.
-func (ga *Gate) Keep(dir *origin.Directory) {
+func (ga *Limiter) Retain(dir *origin.Directory) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for pr := range ga.servers {
--- a/core/ramp/gate_test.go
+++ b/core/ramp/gate_test.go
@@ -23,13 +23,13 @@
 		want      int
 	}{{2, 8}, {4, 11}, {30, 50}, {0.5, 5}, {2.2, 8}} {
 		t.Run(fmt.Sprint(tc.perSecond), func(t *testing.T) {
-			is.New(t).Equal(bounds.Most(tc.perSecond), tc.want)
+			is.New(t).Equal(bounds.Max(tc.perSecond), tc.want)
 		})
 	}
 }
 
 // eligibleGate returns the gate of a VM that has been listed for long enough to act as owner.
-func eligibleGate(now time.Duration) *ramp.Gate {
+func eligibleGate(now time.Duration) *ramp.Limiter {
 	ga := ramp.New()
 	observe(ga, now-2*ramp.OwnerDelay, now, 0)
 	return ga
@@ -44,8 +44,8 @@
 	const most = 8
 	var taken []time.Duration
 	for now := 10 * second; now < 18*second; now += 3 * ms {
-		ga.Look(now, 0, true)
-		if ga.Take(now, pr, most) {
+		ga.ObserveStore(now, 0, true)
+		if ga.Allow(now, pr, most) {
 			taken = append(taken, now)
 		}
 	}
@@ -59,13 +59,13 @@
 		is.True(n <= most)
 	}
 	is.True(len(taken) >= 7*most)
-	is.True(ga.Take(18*second, origin.Process{ID: "b"}, most)) // servers are counted separately
+	is.True(ga.Allow(18*second, origin.Process{ID: "b"}, most)) // servers are counted separately
 }
 
 // observe calls Look a few times a second.
-func observe(ga *ramp.Gate, from, to, age time.Duration) {
+func observe(ga *ramp.Limiter, from, to, age time.Duration) {
 	for at := from; at <= to; at += 250 * ms {
-		ga.Look(at, age, true)
+		ga.ObserveStore(at, age, true)
 	}
 }
 
@@ -75,42 +75,42 @@
 func TestMayActAsOwner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		look func(ga *ramp.Gate)
+		look func(ga *ramp.Limiter)
 		want bool
 	}{
-		{"listed long enough", func(ga *ramp.Gate) { observe(ga, 0, 10*second, 0) }, true},
-		{"no update for a second", func(ga *ramp.Gate) {
+		{"listed long enough", func(ga *ramp.Limiter) { observe(ga, 0, 10*second, 0) }, true},
+		{"no update for a second", func(ga *ramp.Limiter) {
 			observe(ga, 0, 9*second, 0)
-			ga.Look(10*second, second, true)
+			ga.ObserveStore(10*second, second, true)
 		}, true},
-		{"just started", func(ga *ramp.Gate) { observe(ga, 8*second, 10*second, 0) }, false},
-		{"old copy", func(ga *ramp.Gate) {
+		{"just started", func(ga *ramp.Limiter) { observe(ga, 8*second, 10*second, 0) }, false},
+		{"old copy", func(ga *ramp.Limiter) {
 			observe(ga, 0, 9*second, 0)
-			ga.Look(10*second, 1900*ms, true)
+			ga.ObserveStore(10*second, 1900*ms, true)
 		}, false},
-		{"no longer listed", func(ga *ramp.Gate) {
+		{"no longer listed", func(ga *ramp.Limiter) {
 			observe(ga, 0, 9*second, 0)
-			ga.Look(10*second, 0, false)
+			ga.ObserveStore(10*second, 0, false)
 		}, false},
-		{"briefly not listed", func(ga *ramp.Gate) {
+		{"briefly not listed", func(ga *ramp.Limiter) {
 			observe(ga, 0, 8*second, 0)
-			ga.Look(8*second, 0, false)
+			ga.ObserveStore(8*second, 0, false)
 			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"old copy until recently", func(ga *ramp.Gate) {
+		{"old copy until recently", func(ga *ramp.Limiter) {
 			observe(ga, 0, 8*second, 2*second)
 			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"frozen until now", func(ga *ramp.Gate) {
+		{"frozen until now", func(ga *ramp.Limiter) {
 			observe(ga, 0, 6*second, 0)
-			ga.Look(10*second, 0, true)
+			ga.ObserveStore(10*second, 0, true)
 		}, false},
-		{"frozen after the last update", func(ga *ramp.Gate) { observe(ga, 0, 8*second, 0) }, false},
+		{"frozen after the last update", func(ga *ramp.Limiter) { observe(ga, 0, 8*second, 0) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			ga := ramp.New()
 			tc.look(ga)
-			is.New(t).Equal(ga.Take(10*second, origin.Process{ID: "a"}, 1), tc.want)
+			is.New(t).Equal(ga.Allow(10*second, origin.Process{ID: "a"}, 1), tc.want)
 		})
 	}
 }
@@ -123,19 +123,19 @@
 	pr := origin.Process{ID: "a"}
 	asked := 0
 	for now := time.Duration(0); now < 10*second; now += 10 * ms {
-		if ga.MayAsk(now, pr) {
+		if ga.MayAskOwner(now, pr) {
 			asked++
-			ga.Asked(now, pr, false)
-			ga.Asked(now+ms, pr, false) // a second denial in flight at once
+			ga.RecordReply(now, pr, false)
+			ga.RecordReply(now+ms, pr, false) // a second denial in flight at once
 		}
 	}
 	is.True(asked >= 6 && asked <= 9)
-	ga.Asked(10*second, pr, true)
-	is.True(ga.MayAsk(10*second, pr))
-	ga.Asked(10*second, pr, false)
-	is.True(ga.MayAsk(10*second+300*ms, pr))
-	ga.Keep(origin.New(nil))
-	is.True(ga.MayAsk(10*second, pr))
+	ga.RecordReply(10*second, pr, true)
+	is.True(ga.MayAskOwner(10*second, pr))
+	ga.RecordReply(10*second, pr, false)
+	is.True(ga.MayAskOwner(10*second+300*ms, pr))
+	ga.Retain(origin.New(nil))
+	is.True(ga.MayAskOwner(10*second, pr))
 }
 
 // A VM whose copy of the store is old may be cut off together with other VMs, some of which
@@ -159,12 +159,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			ga := ramp.New()
-			ga.Look(10*second, tc.age, true)
+			ga.ObserveStore(10*second, tc.age, true)
 			for i := range tc.asked {
-				ga.Probed(10*second, i < tc.answered)
+				ga.RecordProbe(10*second, i < tc.answered)
 			}
-			is.Equal(ga.Blind(10*second), tc.want)
-			is.True(ga.Blind(13 * second)) // the answers have expired
+			is.Equal(ga.Stale(10*second), tc.want)
+			is.True(ga.Stale(13 * second)) // the answers have expired
 		})
 	}
 }
--- a/core/ramp/stale.go
+++ b/core/ramp/stale.go
@@ -20,7 +20,7 @@
 }
 
 // Probed records whether a VM of another data centre answered a probe.
-func (ga *Gate) Probed(now time.Duration, answered bool) {
+func (ga *Limiter) RecordProbe(now time.Duration, answered bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.probes = append(ga.probes, probe{at: now, answered: answered})
@@ -31,7 +31,7 @@
 
 // Doubts reports whether VMs of other data centres should be probed, because Blind may soon
 // become true.
-func (ga *Gate) Doubts(now time.Duration) bool {
+func (ga *Limiter) ShouldProbe(now time.Duration) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return now-ga.copyAsOf > probeAfter
@@ -41,10 +41,10 @@
 // store has not been updated for a while, and it does not reach most other VMs, which may
 // have newer copies and would have sent it the update. If all VMs lack updates alike, no
 // operator can have evacuated a data centre either.
-func (ga *Gate) Blind(now time.Duration) bool {
+func (ga *Limiter) Stale(now time.Duration) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if now-ga.copyAsOf <= FreshFor {
+	if now-ga.copyAsOf <= MaxCopyAge {
 		return false
 	}
 	probed, answered := 0, 0
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -132,7 +132,7 @@
 func (tb *Table) DataCentres() []string { return tb.dataCentres }
 
 // Members lists the VMs of a data centre. The caller must not modify the list.
-func (tb *Table) Members(dataCentre string) []VM { return tb.byDataCentre[dataCentre] }
+func (tb *Table) VMs(dataCentre string) []VM { return tb.byDataCentre[dataCentre] }
 
 // Ranked lists the VMs of a data centre in the order in which they are chosen for watching
 // and relaying. It sorts them at each call.
@@ -142,7 +142,7 @@
 
 // Watches reports whether this VM has to watch the key-value service and to relay between its
 // data centre and the others.
-func (tb *Table) Watches() bool { return tb.watches }
+func (tb *Table) IsWatcher() bool { return tb.watches }
 
 // isWatcher reports whether a VM is among the first Watchers of its data centre. It counts
 // the VMs that rank before it, which is cheaper than sorting all.
--- a/core/rank/rank_test.go
+++ b/core/rank/rank_test.go
@@ -28,8 +28,8 @@
 		for _, self := range vms {
 			tb := rank.New(rank.Config{Self: self, VMs: vms})
 			at := slices.Index(tb.Ranked(self.DataCentre), self)
-			is.Equal(tb.Watches(), at < rank.DefaultWatchers)
-			if tb.Watches() {
+			is.Equal(tb.IsWatcher(), at < rank.DefaultWatchers)
+			if tb.IsWatcher() {
 				count[self.DataCentre]++
 			}
 		}
--- a/core/reach/enter.go
+++ b/core/reach/enter.go
@@ -14,6 +14,6 @@
 // clients and could not serve them. So it stays out while another VM reports proof of a cut
 // (told) and nothing has been received from outside the data centre since its start (silence
 // is at least uptime).
-func Enters(told bool, silence, uptime, waited time.Duration) bool {
+func MayEnterRotation(told bool, silence, uptime, waited time.Duration) bool {
 	return !told || silence < uptime || waited >= maxEnterDelay
 }
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -56,7 +56,7 @@
 	// faulty servers could be the cause of all of them, VMs in other data centres are probed
 	// too.
 	DefaultMinOwed = 5
-	DefaultSoon    = 150 * time.Millisecond
+	DefaultShortSilence    = 150 * time.Millisecond
 	// DefaultFailedShare is the share of requests that must fail for clients to be better
 	// served by other VMs. DefaultMinRequests is the minimum number of requests for this
 	// decision, since a small VM gets one or two a second. DefaultInterval is the minimum
@@ -79,35 +79,35 @@
 }
 
 // Sight is what a VM observes at one moment.
-type Sight struct {
+type Observation struct {
 	// Silence is the time since anything was received from outside the data centre.
 	Silence time.Duration
 	// Owed is how many answers from other data centres are overdue or were lost since one was
 	// received. Mute is set if VMs there were probed during the silence and none answered.
-	Owed int
-	Mute bool
+	Overdue int
+	ProbesFailed bool
 	// Told is set if another VM of the data centre has recently reported proof that the data
 	// centre is cut off.
-	Told bool
+	CutReported bool
 	// Asked counts all requests since the start, Unserved those of them that were not served.
-	Asked, Unserved int64
+	Requests, Unserved int64
 	// Lacking is set if the servers of this VM's data centre do not suffice for some route,
 	// whether it has requests or not.
-	Lacking bool
+	LocalInsufficient bool
 }
 
 // Judge decides from successive observations whether a VM is cut off. It is not safe for
 // concurrent use.
-type Judge struct {
+type Detector struct {
 	cfg      Config
 	countAt  time.Duration
-	baseline Sight
+	baseline Observation
 	failing  bool
 	cutOff   bool
 }
 
 // New returns the Judge of a VM that is not cut off.
-func New(cfg Config) *Judge {
+func New(cfg Config) *Detector {
 	if cfg.Silence == 0 {
 		cfg.Silence = DefaultSilence
 	}
@@ -115,7 +115,7 @@
 		cfg.IdleSilence = DefaultIdleSilence
 	}
 	if cfg.ShortSilence == 0 {
-		cfg.ShortSilence = DefaultSoon
+		cfg.ShortSilence = DefaultShortSilence
 	}
 	if cfg.MinOwed == 0 {
 		cfg.MinOwed = DefaultMinOwed
@@ -129,20 +129,20 @@
 	if cfg.Interval == 0 {
 		cfg.Interval = DefaultInterval
 	}
-	return &Judge{cfg: cfg}
+	return &Detector{cfg: cfg}
 }
 
 // Look reports whether the VM is cut off. While it is, it gets few requests and its state is
 // kept until something is received from outside the data centre again.
-func (ju *Judge) Look(now time.Duration, si Sight) bool {
-	requests, failed := si.Asked-ju.baseline.Asked, si.Unserved-ju.baseline.Unserved
+func (ju *Detector) Update(now time.Duration, si Observation) bool {
+	requests, failed := si.Requests-ju.baseline.Requests, si.Unserved-ju.baseline.Unserved
 	if now >= ju.countAt && requests >= ju.cfg.MinRequests {
 		ju.failing = float64(failed) >= ju.cfg.FailedShare*float64(requests)
 		ju.baseline, ju.countAt = si, now+ju.cfg.Interval
 	}
-	proven := si.Mute && ju.Doubts(si)
+	proven := si.ProbesFailed && ju.ShouldProbe(si)
 	silent := proven || si.Silence > ju.cfg.Silence || ju.cutOff && si.Silence > ju.cfg.ShortSilence
-	idle := si.Lacking && (proven || si.Silence > ju.cfg.IdleSilence)
+	idle := si.LocalInsufficient && (proven || si.Silence > ju.cfg.IdleSilence)
 	ju.cutOff = silent && (ju.failing || ju.cutOff || idle)
 	return ju.cutOff
 }
@@ -150,9 +150,9 @@
 // Doubts reports whether VMs of other data centres should be probed: more answers are overdue
 // than chance explains, or another VM of this data centre reports a cut. The other VM may be
 // at fault itself, so its report alone proves nothing.
-func (ju *Judge) Doubts(si Sight) bool {
-	return si.Silence > ju.cfg.ShortSilence && (si.Owed >= ju.cfg.MinOwed || si.Told)
+func (ju *Detector) ShouldProbe(si Observation) bool {
+	return si.Silence > ju.cfg.ShortSilence && (si.Overdue >= ju.cfg.MinOwed || si.CutReported)
 }
 
 // Failing reports whether too many of the recent requests were not served.
-func (ju *Judge) Failing() bool { return ju.failing }
+func (ju *Detector) Failing() bool { return ju.failing }
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -17,7 +17,7 @@
 
 // simVM is a simulated VM. It gets forty requests a second unless perTick is changed.
 type simVM struct {
-	judge    *reach.Judge
+	judge    *reach.Detector
 	now      time.Duration
 	requests int64
 	unserved int64
@@ -38,7 +38,7 @@
 		if hears {
 			v.lastHeard = v.now
 		}
-		if v.judge.Look(v.now, reach.Sight{Silence: v.now - v.lastHeard, Asked: v.requests, Unserved: v.unserved, Lacking: v.lacking}) && found < 0 {
+		if v.judge.Update(v.now, reach.Observation{Silence: v.now - v.lastHeard, Requests: v.requests, Unserved: v.unserved, LocalInsufficient: v.lacking}) && found < 0 {
 			found = v.now
 		}
 	}
@@ -132,10 +132,10 @@
 			ju := reach.New(reach.Config{})
 			found := time.Duration(0)
 			for now := time.Duration(0); now < 1700*ms && found == 0; now += 50 * ms {
-				si := reach.Sight{Silence: now, Owed: int(now/ms) / tc.everyMs, Lacking: tc.lacking}
+				si := reach.Observation{Silence: now, Overdue: int(now/ms) / tc.everyMs, LocalInsufficient: tc.lacking}
 				// Probes are sent once Doubts is true and need some time.
-				si.Mute = tc.mute && ju.Doubts(reach.Sight{Silence: now - 50*ms, Owed: si.Owed})
-				if ju.Look(now, si) {
+				si.ProbesFailed = tc.mute && ju.ShouldProbe(reach.Observation{Silence: now - 50*ms, Overdue: si.Overdue})
+				if ju.Update(now, si) {
 					found = now
 				}
 			}
@@ -146,8 +146,8 @@
 			is.True(found > 0 && found <= tc.within)
 			// The VM stays cut off until something is received, also when no further answers
 			// become overdue.
-			is.True(ju.Look(found+50*ms, reach.Sight{Silence: found + 50*ms, Lacking: tc.lacking}))
-			is.True(!ju.Look(found+time.Second, reach.Sight{Silence: 20 * ms, Lacking: tc.lacking}))
+			is.True(ju.Update(found+50*ms, reach.Observation{Silence: found + 50*ms, LocalInsufficient: tc.lacking}))
+			is.True(!ju.Update(found+time.Second, reach.Observation{Silence: 20 * ms, LocalInsufficient: tc.lacking}))
 		})
 	}
 }
--- a/core/reach/told_test.go
+++ b/core/reach/told_test.go
@@ -41,7 +41,7 @@
 		look         = 50 * ms
 		probeTime    = 150 * ms
 	)
-	judges := make([]*reach.Judge, vms)
+	judges := make([]*reach.Detector, vms)
 	found := make([]time.Duration, vms)
 	probedAt := make([]time.Duration, vms)
 	for i := range judges {
@@ -55,15 +55,15 @@
 			if i == 0 || mode == relaysReports {
 				source = earliestPositive(found[vms-overdue:])
 			}
-			si := reach.Sight{Silence: now, Lacking: true, Told: mode != reportsNothing && source > 0 && source < now}
+			si := reach.Observation{Silence: now, LocalInsufficient: true, CutReported: mode != reportsNothing && source > 0 && source < now}
 			if i >= vms-overdue {
-				si.Owed = int(now / (20 * ms))
+				si.Overdue = int(now / (20 * ms))
 			}
-			if ju.Doubts(si) && probedAt[i] == 0 {
+			if ju.ShouldProbe(si) && probedAt[i] == 0 {
 				probedAt[i] = now
 			}
-			si.Mute = probedAt[i] > 0 && now >= probedAt[i]+probeTime
-			if ju.Look(now, si) && found[i] == 0 {
+			si.ProbesFailed = probedAt[i] > 0 && now >= probedAt[i]+probeTime
+			if ju.Update(now, si) && found[i] == 0 {
 				found[i] = now
 			}
 		}
@@ -98,8 +98,8 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			ju := reach.New(reach.Config{})
-			si := reach.Sight{Silence: tc.silence, Lacking: true, Told: true, Mute: tc.mute}
-			is.New(t).Equal(ju.Look(time.Second, si), tc.off)
+			si := reach.Observation{Silence: tc.silence, LocalInsufficient: true, CutReported: true, ProbesFailed: tc.mute}
+			is.New(t).Equal(ju.Update(time.Second, si), tc.off)
 		})
 	}
 }
@@ -123,7 +123,7 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			is.New(t).Equal(reach.Enters(tc.told, tc.silence, uptime, tc.waited), tc.enters)
+			is.New(t).Equal(reach.MayEnterRotation(tc.told, tc.silence, uptime, tc.waited), tc.enters)
 		})
 	}
 }
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -17,7 +17,7 @@
 // Backoff computes the waits between attempts. It is a value without state.
 type Backoff struct {
 	// First is the wait after the first failure, Most the maximum; both without jitter.
-	First, Most time.Duration
+	Initial, Max time.Duration
 	// Jitter is the largest share of a wait that is added to it.
 	Jitter float64
 }
@@ -25,6 +25,6 @@
 // Wait returns the pause after the given number of consecutive failures; 0 counts as 1. Draw is a
 // uniform random number in [0, 1).
 func (bo Backoff) Wait(fails int, draw float64) time.Duration {
-	wait := min(bo.First<<min(max(fails-1, 0), maxDoublings), bo.Most)
+	wait := min(bo.Initial<<min(max(fails-1, 0), maxDoublings), bo.Max)
 	return time.Duration(float64(wait) * (1 + bo.Jitter*draw))
 }
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestWait(t *testing.T) {
-	bo := retry.Backoff{First: time.Second, Most: 8 * time.Second, Jitter: 0.5}
+	bo := retry.Backoff{Initial: time.Second, Max: 8 * time.Second, Jitter: 0.5}
 	cases := []struct {
 		name  string
 		fails int
@@ -50,7 +50,7 @@
 		}
 		return n
 	}
-	constant := retry.Backoff{First: time.Second, Most: time.Second, Jitter: 1}
-	exponential := retry.Backoff{First: time.Second, Most: 8 * time.Second, Jitter: 1}
+	constant := retry.Backoff{Initial: time.Second, Max: time.Second, Jitter: 1}
+	exponential := retry.Backoff{Initial: time.Second, Max: 8 * time.Second, Jitter: 1}
 	is.True(2*countAttempts(exponential) <= countAttempts(constant))
 }
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -24,9 +24,9 @@
 	HeaderBytes int
 	BodyBytes   int
 	// RequestTime is the maximum time for a request's header to arrive.
-	RequestTime time.Duration
+	HeaderTimeout time.Duration
 	// IdleTime is how long a client's connection is kept open between requests.
-	IdleTime time.Duration
+	IdleTimeout time.Duration
 }
 
 // Config is the input of a Table.
@@ -112,7 +112,7 @@
 
 // WarmUpBounds reports whether some service limits the requests to its servers while they
 // warm up.
-func (tb *Table) WarmUpBounds() bool { return tb.boundsWarmUp }
+func (tb *Table) LimitsWarmUp() bool { return tb.boundsWarmUp }
 
 // Service returns the configuration of a service.
 func (tb *Table) Service(name string) (Service, bool) {
--- a/core/search/answer.go
+++ b/core/search/answer.go
@@ -9,10 +9,10 @@
 		switch {
 		case mc.groupComplete:
 			mc.answer(now)
-		case now >= mc.cfg.Hard:
+		case now >= mc.cfg.HardDeadline:
 			mc.setReason(ReasonDeadline)
 			mc.answer(now)
-		case now >= mc.cfg.Soft && mc.enoughCoverage():
+		case now >= mc.cfg.SoftDeadline && mc.enoughCoverage():
 			mc.setReason(ReasonSoftDeadline)
 			mc.answer(now)
 		case mc.active > 0:
--- a/core/search/check_test.go
+++ b/core/search/check_test.go
@@ -10,7 +10,7 @@
 
 // checkAnswer compares an answer with what the servers did.
 func (md *model) checkAnswer(an *search.Answer) {
-	md.require(md.now <= md.cfg.Hard, "answered after the hard deadline")
+	md.require(md.now <= md.cfg.HardDeadline, "answered after the hard deadline")
 	md.require(an.Shards == md.maps[an.Snapshot], "claims %d shards for snapshot %d", an.Shards, an.Snapshot)
 	md.checkCoverage(an)
 	md.checkOutcome(an)
@@ -22,14 +22,14 @@
 // no open sub-request of a missing shard may be cancelled, and every missing shard
 // must have used up its retries.
 func (md *model) checkTiming(an *search.Answer) {
-	if an.Outcome == search.OutcomeComplete || md.callerGone || md.now >= md.cfg.Hard {
+	if an.Outcome == search.OutcomeComplete || md.callerGone || md.now >= md.cfg.HardDeadline {
 		return
 	}
-	if md.now >= md.cfg.Soft && md.enoughCoverage() {
+	if md.now >= md.cfg.SoftDeadline && md.enoughCoverage() {
 		return
 	}
 	md.require(!md.cancelledMissing, "cancelled an open sub-request of a missing shard too early")
-	if md.cfg.Once || md.tokens.available <= 0 || md.cfg.Hard-md.now < md.cfg.LeastTime {
+	if md.cfg.AtMostOnce || md.tokens.available <= 0 || md.cfg.HardDeadline-md.now < md.cfg.MinTimeLeft {
 		return
 	}
 	last := md.subs[len(md.subs)-1].ac.Snapshot
@@ -121,7 +121,7 @@
 		}
 	}
 	md.require(an.Hedges+an.Retries <= md.tokens.spent+free, "%d extra for %d tokens and %d free", an.Hedges+an.Retries, md.tokens.spent, free)
-	if md.cfg.Once {
+	if md.cfg.AtMostOnce {
 		md.require(an.Hedges == 0, "hedged a search that must not be repeated")
 	}
 }
@@ -141,12 +141,12 @@
 		return
 	}
 	md.require(open > 0, "no answer, although no sub-request is open")
-	md.require(md.now < md.cfg.Hard, "no answer at the hard deadline")
+	md.require(md.now < md.cfg.HardDeadline, "no answer at the hard deadline")
 	md.require(md.wake > 0, "waits without a timer")
 	for version, shards := range md.used {
 		md.require(len(shards) < md.maps[version], "no answer, although snapshot %d is complete", version)
 	}
-	md.require(md.now < md.cfg.Soft || !md.enoughCoverage(), "no answer at the soft deadline")
+	md.require(md.now < md.cfg.SoftDeadline || !md.enoughCoverage(), "no answer at the soft deadline")
 }
 
 // missing reports whether a shard is missing under a version that the search may
--- a/core/search/config.go
+++ b/core/search/config.go
@@ -28,7 +28,7 @@
 // whose comment names a value that turns them off.
 type Config struct {
 	// Number identifies the search; it is unique for the life of the process.
-	Number uint64
+	ID uint64
 	// Snapshot is the pinned snapshot: the one that shards are asked for.
 	Snapshot view.Snapshot
 	// Newer returns a complete snapshot newer than version, for a restart; false
@@ -36,11 +36,11 @@
 	Newer func(version uint64) (view.Snapshot, bool)
 	// Soft is the time at which an answer with at least MinCoverage is given.
 	// Hard is the time at which an answer is given whatever its coverage.
-	Soft        time.Duration
-	Hard        time.Duration
+	SoftDeadline        time.Duration
+	HardDeadline        time.Duration
 	MinCoverage float64
 	// Once forbids any shard to run the search twice.
-	Once     bool
+	AtMostOnce     bool
 	HitLimit int
 	Chooser  Chooser
 	// HedgeDelay is how long an attempt may take before a hedge is sent; 0 turns
@@ -58,5 +58,5 @@
 	RetryPerShard int
 	// LeastTime is the time that must remain until Hard for a sub-request to be
 	// sent: with less, its reply could not arrive before the deadline.
-	LeastTime time.Duration
+	MinTimeLeft time.Duration
 }
--- a/core/search/example_test.go
+++ b/core/search/example_test.go
@@ -13,13 +13,13 @@
 // soft deadline, when half of the shards are enough.
 func Example() {
 	mc := search.New(search.Config{
-		Number: 1,
+		ID: 1,
 		Snapshot: view.Snapshot{Version: 7, Replicas: [][]view.ServerID{
 			{10, 11},
 			{20, 21},
 		}},
-		Soft:        100 * time.Millisecond,
-		Hard:        time.Second,
+		SoftDeadline:        100 * time.Millisecond,
+		HardDeadline:        time.Second,
 		MinCoverage: 0.5,
 		HitLimit:    10,
 		Chooser:     firstUntried{},
--- a/core/search/hedgequeue.go
+++ b/core/search/hedgequeue.go
@@ -14,7 +14,7 @@
 // queue stays sorted.
 func (mc *Machine) enqueue(i int) {
 	sh := &mc.shards[i]
-	if mc.cfg.Once || mc.cfg.HedgeDelay <= 0 || sh.queued {
+	if mc.cfg.AtMostOnce || mc.cfg.HedgeDelay <= 0 || sh.queued {
 		return
 	}
 	sh.queued = true
@@ -91,9 +91,9 @@
 // scheduleWake sets the timer to the next time at which something is to be done
 // without another event.
 func (mc *Machine) scheduleWake(now time.Duration) {
-	at := mc.cfg.Hard
-	if now < mc.cfg.Soft {
-		at = min(at, mc.cfg.Soft)
+	at := mc.cfg.HardDeadline
+	if now < mc.cfg.SoftDeadline {
+		at = min(at, mc.cfg.SoftDeadline)
 	}
 	if mc.hedgeQueue.size > 0 {
 		at = min(at, mc.shards[mc.hedgeQueue.first].started+mc.cfg.HedgeDelay)
--- a/core/search/internal/qsim/sim.go
+++ b/core/search/internal/qsim/sim.go
@@ -80,8 +80,8 @@
 			Floor:    hedgeFloor,
 			Ceiling:  cfg.Hard / 2,
 		}),
-		hedges:  budget.New(budget.Config{Share: po.Share, Burst: po.Burst, Rounds: po.HedgeRounds}),
-		retries: budget.New(budget.Config{Share: po.RetryShare, Burst: po.RetryBurst, Rounds: po.RetryRounds}),
+		hedges:  budget.New(budget.Config{Share: po.Share, Burst: po.Burst, BurstPerPrimary: po.HedgeRounds}),
+		retries: budget.New(budget.Config{Share: po.RetryShare, Burst: po.RetryBurst, BurstPerPrimary: po.RetryRounds}),
 		res: Result{
 			Latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 			Reasons: map[string]int{},
@@ -152,11 +152,11 @@
 	}
 	sn, _ := sm.register.Pin(sm.live)
 	return search.Config{
-		Number:        uint64(sm.runs),
+		ID:        uint64(sm.runs),
 		Snapshot:      sn,
-		Newer:         func(version uint64) (view.Snapshot, bool) { return sm.register.Newer(version, sm.live) },
-		Soft:          sm.Now() + sm.cfg.Soft,
-		Hard:          sm.Now() + sm.cfg.Hard,
+		Newer:         func(version uint64) (view.Snapshot, bool) { return sm.register.NewerComplete(version, sm.live) },
+		SoftDeadline:          sm.Now() + sm.cfg.Soft,
+		HardDeadline:          sm.Now() + sm.cfg.Hard,
 		MinCoverage:   sm.cfg.MinCoverage,
 		HitLimit:      hitLimit,
 		Chooser:       sm,
@@ -165,7 +165,7 @@
 		HedgeBudget:   sm.hedges,
 		RetryBudget:   sm.retries,
 		RetryPerShard: retriesPerShard,
-		LeastTime:     leastTime,
+		MinTimeLeft:     leastTime,
 	}
 }
 
@@ -205,7 +205,7 @@
 	took := sm.Now() - sr.ac.Started
 	sr.server.inFlight--
 	sr.server.observe(took, false)
-	sm.tracker.GaveUp(took)
+	sm.tracker.ObserveCancelled(took)
 	sr.run.subs[sr.ac.Sub.Attempt] = nil
 	sm.After(sm.hop(), event{kind: evCancel, sub: sr})
 }
--- a/core/search/model_test.go
+++ b/core/search/model_test.go
@@ -126,7 +126,7 @@
 		case search.ActCancel:
 			md.cancel(ac)
 		case search.ActWake:
-			md.require(ac.At <= md.cfg.Hard, "set a timer after the hard deadline")
+			md.require(ac.At <= md.cfg.HardDeadline, "set a timer after the hard deadline")
 			md.wake = ac.At
 		case search.ActAnswer:
 			md.answer = ac.Answer
@@ -138,8 +138,8 @@
 
 func (md *model) send(ac search.Action) {
 	md.require(int(ac.Sub.Attempt) == len(md.subs), "attempt %v is out of order", ac.Sub)
-	md.require(md.cfg.Hard-md.now >= md.cfg.LeastTime, "sent too late for its deadline")
-	md.require(ac.Deadline <= md.cfg.Hard, "sent with a deadline after the hard deadline")
+	md.require(md.cfg.HardDeadline-md.now >= md.cfg.MinTimeLeft, "sent too late for its deadline")
+	md.require(ac.Deadline <= md.cfg.HardDeadline, "sent with a deadline after the hard deadline")
 	md.require(ac.Shard < md.maps[ac.Snapshot], "shard %d lies outside the map of %d", ac.Shard, ac.Snapshot)
 	md.require(contains(md.mapOf(ac.Snapshot).Replicas[ac.Shard], ac.Server), "server %d does not hold shard %d", ac.Server, ac.Shard)
 	md.require(!md.used[ac.Snapshot][ac.Shard], "shard %d of snapshot %d is already answered", ac.Shard, ac.Snapshot)
@@ -152,7 +152,7 @@
 		again := sr.ac.Server == ac.Server && (sr.ac.Snapshot == ac.Snapshot || sr.open())
 		back := sr.lost() && ac.Attempt == search.AttemptRetry && md.askedAll(ac)
 		md.require(!again || back, "server %d is asked twice for shard %d", ac.Server, ac.Shard)
-		if md.cfg.Once {
+		if md.cfg.AtMostOnce {
 			md.require(sr.delivered && !sr.ran, "shard %d may run twice", ac.Shard)
 		}
 	}
--- a/core/search/reply.go
+++ b/core/search/reply.go
@@ -41,7 +41,7 @@
 func (mc *Machine) onOtherVersion(now time.Duration, i int, gr *group) {
 	if gr.version > mc.pinned.version {
 		mc.pinRetired = true
-		if !mc.cfg.Once && gr.answered > mc.pinned.answered {
+		if !mc.cfg.AtMostOnce && gr.answered > mc.pinned.answered {
 			mc.setReason(ReasonOtherSnapshot)
 			if !mc.mayRestartEarly(now) || !mc.restart(now) {
 				mc.deferShard(i)
--- a/core/search/restart.go
+++ b/core/search/restart.go
@@ -11,7 +11,7 @@
 // left as has passed. Later it is better to wait for replies under the old
 // snapshot.
 func (mc *Machine) mayRestartEarly(now time.Duration) bool {
-	return mc.pinRetired && now-mc.started <= mc.cfg.Hard-now
+	return mc.pinRetired && now-mc.started <= mc.cfg.HardDeadline-now
 }
 
 // restart restarts the search on a newer snapshot, once, if servers are dropping
@@ -20,7 +20,7 @@
 // balance becomes negative. Otherwise the load would double if snapshots change
 // faster than searches end.
 func (mc *Machine) restart(now time.Duration) bool {
-	if !mc.pinRetired || mc.restarted || mc.cfg.Once || mc.cfg.Newer == nil {
+	if !mc.pinRetired || mc.restarted || mc.cfg.AtMostOnce || mc.cfg.Newer == nil {
 		return false
 	}
 	if !mc.cfg.RetryBudget.Spend() {
--- a/core/search/retry.go
+++ b/core/search/retry.go
@@ -69,7 +69,7 @@
 // budgets allow it, and reports whether it did.
 func (mc *Machine) retryIfAllowed(now time.Duration, i int, ev Event) bool {
 	sh := &mc.shards[i]
-	if mc.cfg.Once && sh.mayHaveRun > 0 {
+	if mc.cfg.AtMostOnce && sh.mayHaveRun > 0 {
 		// The search may have run on the shard and must not run twice.
 		return false
 	}
--- a/core/search/sub.go
+++ b/core/search/sub.go
@@ -61,7 +61,7 @@
 // send picks a server for a shard and sends to it. It returns false if there is
 // no server or not enough time.
 func (mc *Machine) send(now time.Duration, i int, at Attempt, reason string) bool {
-	if mc.cfg.Hard-now < mc.cfg.LeastTime {
+	if mc.cfg.HardDeadline-now < mc.cfg.MinTimeLeft {
 		mc.setReasonIfNone(ReasonDeadline)
 		return false
 	}
@@ -74,11 +74,11 @@
 	mc.countAttempt(at)
 	mc.actions = append(mc.actions, Action{
 		Kind:     ActSend,
-		Sub:      SubID{Search: mc.cfg.Number, Attempt: uint32(len(mc.subs) - 1)},
+		Sub:      SubID{Search: mc.cfg.ID, Attempt: uint32(len(mc.subs) - 1)},
 		Server:   server,
 		Shard:    i,
 		Snapshot: mc.snapshot.Version,
-		Deadline: mc.cfg.Hard,
+		Deadline: mc.cfg.HardDeadline,
 		Attempt:  at,
 		Reason:   reason,
 	})
@@ -162,7 +162,7 @@
 // endSub ends an open sub-request and returns it. It returns nil if there is none
 // with that ID, as for a duplicate or late event, or one of another search.
 func (mc *Machine) endSub(id SubID, st subState) *sub {
-	if id.Search != mc.cfg.Number || uint64(id.Attempt) >= uint64(len(mc.subs)) {
+	if id.Search != mc.cfg.ID || uint64(id.Attempt) >= uint64(len(mc.subs)) {
 		return nil
 	}
 	sb := &mc.subs[id.Attempt]
@@ -215,7 +215,7 @@
 	mc.markEnded(sb, subMayHaveRun)
 	mc.actions = append(mc.actions, Action{
 		Kind:    ActCancel,
-		Sub:     SubID{Search: mc.cfg.Number, Attempt: uint32(k)},
+		Sub:     SubID{Search: mc.cfg.ID, Attempt: uint32(k)},
 		Server:  sb.server,
 		Shard:   int(sb.shard),
 		Started: sb.started,
--- a/core/server/event.go
+++ b/core/server/event.go
@@ -24,14 +24,14 @@
 )
 
 // Says is the state that a server reports of itself.
-type Says uint8
+type ReportedState uint8
 
 // States that a server can report.
 const (
-	SaysNothing Says = iota
-	SaysCold
-	SaysServing
-	SaysDraining
+	ReportedNone ReportedState = iota
+	ReportedCold
+	ReportedServing
+	ReportedDraining
 )
 
 // Event is an observation about a server.
@@ -39,7 +39,7 @@
 	Kind Kind
 	// Incarnation is the server's incarnation that the event refers to; 0 if unknown.
 	Incarnation uint64
-	Says        Says
+	Reported        ReportedState
 	// Good, Shed and Cold count the replies that were executed, that were refused because of
 	// load, and that were refused because the server was cold.
 	Good, Shed, Cold int
@@ -101,7 +101,7 @@
 	// Probe: send a probe to the server's load endpoint and step with the outcome.
 	Probe
 	// Spread: send the action's Sign to the other VMs.
-	Spread
+	SendSign
 )
 
 // Action is a request to the caller. Sign is set for Spread.
--- a/core/server/example_test.go
+++ b/core/server/example_test.go
@@ -11,16 +11,16 @@
 func ExampleTable() {
 	tb := server.New(server.Config{Rand: rand.New(rand.NewPCG(1, 1))})
 	tb.Add(0, "10.0.0.7:9000")
-	tb.Step(0, 0, server.Event{Kind: server.Reply, Incarnation: 7, Says: server.SaysServing, Good: 1})
+	tb.Step(0, 0, server.Event{Kind: server.Reply, Incarnation: 7, Reported: server.ReportedServing, Good: 1})
 	fmt.Println(tb.Status(0).State)
-	for _, ac := range tb.Step(time.Second, 0, server.Event{Kind: server.Reply, Incarnation: 7, Says: server.SaysDraining}) {
-		if ac.Kind == server.Spread {
+	for _, ac := range tb.Step(time.Second, 0, server.Event{Kind: server.Reply, Incarnation: 7, Reported: server.ReportedDraining}) {
+		if ac.Kind == server.SendSign {
 			fmt.Println("send to other VMs:", ac.Sign.Addr, ac.Sign.Kind)
 		}
 	}
-	tb.Step(2*time.Second, 0, server.Event{Kind: server.Hint, Incarnation: 7, Says: server.SaysServing})
+	tb.Step(2*time.Second, 0, server.Event{Kind: server.Hint, Incarnation: 7, Reported: server.ReportedServing})
 	fmt.Println(tb.Status(0).State, "-", tb.Status(0).Why)
-	tb.Step(9*time.Second, 0, server.Event{Kind: server.Reply, Incarnation: 8, Says: server.SaysServing, Good: 1})
+	tb.Step(9*time.Second, 0, server.Event{Kind: server.Reply, Incarnation: 8, Reported: server.ReportedServing, Good: 1})
 	fmt.Println(tb.Status(0).State, tb.Status(0).Weight)
 	// Output:
 	// serving
--- a/core/server/fault_test.go
+++ b/core/server/fault_test.go
@@ -24,7 +24,7 @@
 		// The server gets no more work after the first reply that announces its drain, although its
 		// health endpoint lags by ten seconds and still reports it healthy.
 		{"health endpoint reports healthy after a drain", false, []timedEvent{
-			{0, good(1, 1)}, {ms, says(1, server.SaysDraining)}, {2 * ms, hint(1, server.SaysServing)},
+			{0, good(1, 1)}, {ms, says(1, server.ReportedDraining)}, {2 * ms, hint(1, server.ReportedServing)},
 			{3 * ms, good(1, 50)}, {4 * ms, probed(1)},
 		}, view.StateDraining, server.WhyReplyLeaving},
 		// Another VM has seen the drain; this one has no traffic to the server and applies the
@@ -35,12 +35,12 @@
 		// A delayed reply of the old process announces its drain after the new process was seen.
 		// The new process must still be used.
 		{"late drain of the old incarnation", false, []timedEvent{
-			{0, good(1, 1)}, {ms, good(2, 1)}, {2 * ms, says(1, server.SaysDraining)}, {3 * ms, signed(1, server.SignLeaving)},
+			{0, good(1, 1)}, {ms, good(2, 1)}, {2 * ms, says(1, server.ReportedDraining)}, {3 * ms, signed(1, server.SignLeaving)},
 		}, view.StateCold, server.WhyNewIncarnation},
 		// The new process is leaving. Late successful replies of the old one must not bring it new
 		// work.
 		{"late successes of the old incarnation", false, []timedEvent{
-			{0, good(1, 1)}, {ms, says(2, server.SaysDraining)}, {2 * ms, good(1, 9)}, {3 * ms, hint(1, server.SaysServing)},
+			{0, good(1, 1)}, {ms, says(2, server.ReportedDraining)}, {2 * ms, good(1, 9)}, {3 * ms, hint(1, server.ReportedServing)},
 		}, view.StateDraining, server.WhyReplyLeaving},
 		// Many timeouts, as in an overload, make a server suspect; without failed probes it never
 		// becomes gone, so no replica is lost.
@@ -73,7 +73,7 @@
 		{"one failed hint", false, []timedEvent{{0, good(1, 1)}, {ms, fail(1)}}, view.StateServing, server.WhyReplies},
 		// A server that reports to be cold is ramped up, not left unused.
 		{"reports that it is cold", false, []timedEvent{
-			{0, says(1, server.SaysCold)}, {ms, server.Event{Kind: server.Reply, Incarnation: 1, Says: server.SaysCold, Cold: 3}},
+			{0, says(1, server.ReportedCold)}, {ms, server.Event{Kind: server.Reply, Incarnation: 1, Reported: server.ReportedCold, Cold: 3}},
 		}, view.StateCold, server.WhyReportsCold},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -89,7 +89,7 @@
 	return server.Event{
 		Kind:        server.Kind(rapid.IntRange(int(server.Reply), int(server.Wake)).Draw(rt, "kind")),
 		Incarnation: uint64(rapid.IntRange(0, 4).Draw(rt, "incarnation")),
-		Says:        server.Says(rapid.IntRange(0, 3).Draw(rt, "says")),
+		Reported:        server.ReportedState(rapid.IntRange(0, 3).Draw(rt, "says")),
 		Good:        rapid.IntRange(0, 5).Draw(rt, "good"),
 		Shed:        rapid.IntRange(0, 5).Draw(rt, "shed"),
 		Cold:        rapid.IntRange(0, 1).Draw(rt, "cold"),
@@ -104,7 +104,7 @@
 func saysLeaving(ev server.Event) bool {
 	switch ev.Kind {
 	case server.Reply, server.Hint:
-		return ev.Says == server.SaysDraining
+		return ev.Reported == server.ReportedDraining
 	case server.SignReceived:
 		return ev.Sign == server.SignLeaving && ev.Incarnation > 0
 	default:
@@ -199,7 +199,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := server.New(server.Config{
 			Rand: rand.New(rand.NewPCG(1, 1)),
-			Last: func(view.ServerID) bool { return true },
+			IsLastReplica: func(view.ServerID) bool { return true },
 		})
 		tb.Add(0, addr)
 		now := time.Duration(0)
@@ -253,7 +253,7 @@
 	rn := newRunner(false)
 	rn.run([]timedEvent{{0, good(1, 1)}})
 	sg := server.Sign{Addr: addr, Incarnation: 1, Kind: server.SignLeaving}
-	is.Equal(rn.tb.Learn(ms, sg), []server.Action{{Kind: server.Publish}, {Kind: server.Spread, Sign: sg}})
-	is.Equal(len(rn.tb.Learn(2*ms, sg)), 0)
-	is.Equal(len(rn.tb.Learn(3*ms, server.Sign{Addr: "10.9.9.9:1", Incarnation: 1, Kind: server.SignLeaving})), 0)
+	is.Equal(rn.tb.StepSign(ms, sg), []server.Action{{Kind: server.Publish}, {Kind: server.SendSign, Sign: sg}})
+	is.Equal(len(rn.tb.StepSign(2*ms, sg)), 0)
+	is.Equal(len(rn.tb.StepSign(3*ms, server.Sign{Addr: "10.9.9.9:1", Incarnation: 1, Kind: server.SignLeaving})), 0)
 }
--- a/core/server/hint.go
+++ b/core/server/hint.go
@@ -15,14 +15,14 @@
 	if !counts {
 		return ef
 	}
-	if ev.Says == SaysDraining {
+	if ev.Reported == ReportedDraining {
 		return mc.startLeaving(now, WhyHintLeaving, rnd)
 	}
 	if ev.Probe {
 		mc.handleProbeAnswer(now, rnd)
 	}
 	if mc.State == view.StateUnknown && mc.leaving == "" && !mc.removed {
-		mc.reportsCold = ev.Says == SaysCold
+		mc.reportsCold = ev.Reported == ReportedCold
 		if mc.reportsCold {
 			mc.setRampStep(now, 0, WhyReportsCold, rnd)
 		} else {
--- a/core/server/maps.go
+++ b/core/server/maps.go
@@ -110,7 +110,7 @@
 
 // Last reports whether a server is the only live replica of some shard in any snapshot that it
 // holds.
-func (mp *Maps) Last(id view.ServerID) bool {
+func (mp *Maps) IsLastReplica(id view.ServerID) bool {
 	for _, ho := range mp.byServer[id] {
 		sn, ok := mp.snapshot(ho)
 		if ok && mp.isLastReplica(id, ho, sn) {
--- a/core/server/maps_test.go
+++ b/core/server/maps_test.go
@@ -121,11 +121,11 @@
 	mp := server.NewMaps(func(id view.ServerID) bool { return !gone[id] })
 	mp.Set(0, []server.Holding{{Key: members, Version: 1, Shards: 2, Held: []int{0, 1}}})
 	mp.Set(1, []server.Holding{{Key: members, Version: 1, Shards: 2, Held: []int{0}}})
-	is.True(mp.Last(0))
-	is.True(!mp.Last(1))
+	is.True(mp.IsLastReplica(0))
+	is.True(!mp.IsLastReplica(1))
 	gone[0] = true
-	is.True(mp.Last(1))
-	is.True(!mp.Last(7))
+	is.True(mp.IsLastReplica(1))
+	is.True(!mp.IsLastReplica(7))
 }
 
 // Two servers report different shard counts for one version. A search gets one map or the other,
--- a/core/server/polls.go
+++ b/core/server/polls.go
@@ -83,7 +83,7 @@
 }
 
 // Urge polls a server soon, because an event suggests that its reported state has changed.
-func (po *Polls) Urge(now time.Duration, id view.ServerID) {
+func (po *Polls) PollSoon(now time.Duration, id view.ServerID) {
 	if !po.servers[id].used {
 		return
 	}
@@ -95,7 +95,7 @@
 
 // Behind polls a server again that lags behind the newest snapshot, after a pause that doubles each
 // time.
-func (po *Polls) Behind(now time.Duration, id view.ServerID) {
+func (po *Polls) RepeatLagging(now time.Duration, id view.ServerID) {
 	ps := &po.servers[id]
 	if !ps.used {
 		return
--- a/core/server/polls_test.go
+++ b/core/server/polls_test.go
@@ -77,7 +77,7 @@
 	run(po, 0, time.Minute, 700)
 	at := time.Minute
 	for pause := 250 * time.Millisecond; pause <= time.Second; pause *= 2 {
-		po.Behind(at, 0)
+		po.RepeatLagging(at, 0)
 		asked, _ := run(po, at, at+pause*3/2, 700)
 		is.True(asked[0] >= 1)
 		is.True(asked[0] <= 2)
--- a/core/server/reply.go
+++ b/core/server/reply.go
@@ -12,7 +12,7 @@
 	if !counts {
 		return ef
 	}
-	if ev.Says == SaysDraining {
+	if ev.Reported == ReportedDraining {
 		return mc.startLeaving(now, WhyReplyLeaving, rnd)
 	}
 	mc.failures, mc.probeFailures = 0, 0
@@ -22,7 +22,7 @@
 	if mc.leaving != "" || mc.removed {
 		return ef
 	}
-	mc.reportsCold = ev.Says == SaysCold
+	mc.reportsCold = ev.Reported == ReportedCold
 	mc.stepConfirmed = mc.stepConfirmed || ev.Good > 0
 	switch {
 	case ev.Cold > 0:
--- a/core/server/scenario_test.go
+++ b/core/server/scenario_test.go
@@ -24,19 +24,19 @@
 }
 
 func good(incarnation uint64, n int) server.Event {
-	return server.Event{Kind: server.Reply, Incarnation: incarnation, Says: server.SaysServing, Good: n}
+	return server.Event{Kind: server.Reply, Incarnation: incarnation, Reported: server.ReportedServing, Good: n}
 }
 
-func says(incarnation uint64, sy server.Says) server.Event {
-	return server.Event{Kind: server.Reply, Incarnation: incarnation, Says: sy}
+func says(incarnation uint64, sy server.ReportedState) server.Event {
+	return server.Event{Kind: server.Reply, Incarnation: incarnation, Reported: sy}
 }
 
-func hint(incarnation uint64, sy server.Says) server.Event {
-	return server.Event{Kind: server.Hint, Incarnation: incarnation, Says: sy}
+func hint(incarnation uint64, sy server.ReportedState) server.Event {
+	return server.Event{Kind: server.Hint, Incarnation: incarnation, Reported: sy}
 }
 
 func probed(incarnation uint64) server.Event {
-	return server.Event{Kind: server.Hint, Incarnation: incarnation, Says: server.SaysServing, Probe: true}
+	return server.Event{Kind: server.Hint, Incarnation: incarnation, Reported: server.ReportedServing, Probe: true}
 }
 
 func fail(n int) server.Event {
@@ -62,7 +62,7 @@
 func newRunner(last bool) *runner {
 	tb := server.New(server.Config{
 		Rand: rand.New(rand.NewPCG(1, 1)),
-		Last: func(view.ServerID) bool { return last },
+		IsLastReplica: func(view.ServerID) bool { return last },
 	})
 	tb.Add(0, addr)
 	return &runner{tb: tb}
@@ -96,7 +96,7 @@
 			fmt.Fprintf(&rn.out, "%v out %s weight=%.3f incarnation=%d: %s\n", at.Round(ms), st.State, st.Weight, st.Incarnation, st.Why)
 		case server.Probe:
 			fmt.Fprintf(&rn.out, "%v out probe\n", at.Round(ms))
-		case server.Spread:
+		case server.SendSign:
 			fmt.Fprintf(&rn.out, "%v out spread %s incarnation=%d\n", at.Round(ms), ac.Sign.Kind, ac.Sign.Incarnation)
 		}
 	}
@@ -105,7 +105,7 @@
 func describe(ev server.Event) string {
 	kinds := [...]string{"reply", "failure", "hint", "sign", "removed", "listed", "wake"}
 	words := [...]string{"", " cold", " serving", " draining"}
-	text := kinds[ev.Kind] + words[ev.Says]
+	text := kinds[ev.Kind] + words[ev.Reported]
 	if ev.Kind == server.SignReceived {
 		text += " " + ev.Sign.String()
 	}
@@ -130,8 +130,8 @@
 		end    time.Duration
 	}{
 		{"drain", []timedEvent{
-			{0, good(1, 1)}, {100 * ms, says(1, server.SaysDraining)}, {200 * ms, good(1, 5)},
-			{300 * ms, hint(1, server.SaysServing)}, {2500 * ms, probed(1)}, {9 * time.Second, probeFailed},
+			{0, good(1, 1)}, {100 * ms, says(1, server.ReportedDraining)}, {200 * ms, good(1, 5)},
+			{300 * ms, hint(1, server.ReportedServing)}, {2500 * ms, probed(1)}, {9 * time.Second, probeFailed},
 			{15 * time.Second, probeFailed}, {30 * time.Second, probed(2)}, {31 * time.Second, good(2, 3)},
 			{33 * time.Second, good(2, 9)}, {36 * time.Second, good(2, 9)},
 		}, 40 * time.Second},
--- a/core/server/table.go
+++ b/core/server/table.go
@@ -14,7 +14,7 @@
 	Rand *rand.Rand
 	// Last reports whether a server is the last live replica of some shard. It is called only
 	// before a server would become gone. If it is nil, no server counts as a last replica.
-	Last func(view.ServerID) bool
+	IsLastReplica func(view.ServerID) bool
 }
 
 // Table holds the states of all servers that this VM knows.
@@ -59,7 +59,7 @@
 
 // Calm reports whether a server is serving without recent failures, so that its successful replies
 // need not be reported.
-func (tb *Table) Calm(id view.ServerID) bool {
+func (tb *Table) Healthy(id view.ServerID) bool {
 	mc := &tb.machines[id]
 	return mc.State == view.StateServing && mc.failures == 0 && mc.score < negligibleScore
 }
@@ -97,7 +97,7 @@
 // Learn handles a sign from another VM. Signs of servers that are not in this VM's configuration
 // are dropped: the sender's configuration is newer, and once this VM has it, the server's own
 // refusals show the same.
-func (tb *Table) Learn(now time.Duration, sg Sign) []Action {
+func (tb *Table) StepSign(now time.Duration, sg Sign) []Action {
 	tb.actions = tb.actions[:0]
 	id, ok := tb.ids[sg.Addr]
 	if !ok {
@@ -110,8 +110,8 @@
 func (tb *Table) step(now time.Duration, id view.ServerID, ev Event) {
 	mc := &tb.machines[id]
 	before := mc.Status
-	if tb.cfg.Last != nil && mc.mayBecomeGone(ev) {
-		ev.last = tb.cfg.Last(id)
+	if tb.cfg.IsLastReplica != nil && mc.mayBecomeGone(ev) {
+		ev.last = tb.cfg.IsLastReplica(id)
 	}
 	ef := mc.handle(now, ev, tb.cfg.Rand)
 	if mc.Status != before {
@@ -122,7 +122,7 @@
 	}
 	if ef.sign != 0 {
 		sg := Sign{Addr: tb.addrs[id], Incarnation: mc.Incarnation, Kind: ef.sign}
-		tb.actions = append(tb.actions, Action{Kind: Spread, ID: id, Sign: sg})
+		tb.actions = append(tb.actions, Action{Kind: SendSign, ID: id, Sign: sg})
 	}
 	if mc.wake() < mc.queuedWake {
 		tb.enqueue(id)
--- a/core/share/bench_test.go
+++ b/core/share/bench_test.go
@@ -40,7 +40,7 @@
 	for b.Loop() {
 		now += time.Microsecond
 		if re, _ := buckets[0].Take(now); re == "" {
-			buckets[0].Give()
+			buckets[0].Release()
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	is.Equal(testing.AllocsPerRun(1000, func() {
 		now += time.Millisecond
 		if re, _ := buckets[0].Take(now); re == "" {
-			buckets[0].Give()
+			buckets[0].Release()
 		}
 	}), 0.0)
 }
--- a/core/share/bucket.go
+++ b/core/share/bucket.go
@@ -72,7 +72,7 @@
 const maxRetrySeconds = 30.0
 
 // Give ends a search that Take allowed to start.
-func (bu *Bucket) Give() {
+func (bu *Bucket) Release() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.inFlight--
@@ -80,7 +80,7 @@
 
 // GiveBack ends a search that Take allowed to start but that was then refused for
 // another reason. It returns the token, since nothing of the team's limit was used.
-func (bu *Bucket) GiveBack() {
+func (bu *Bucket) Refund() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.inFlight--
@@ -96,7 +96,7 @@
 
 // Part is this VM's share of the team's limits: the searches per second and the
 // concurrent searches that it may start; 0 where there is no such limit.
-func (bu *Bucket) Part() (rate float64, concurrent int) {
+func (bu *Bucket) Limits() (rate float64, concurrent int) {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	if !math.IsInf(bu.rate, 1) {
--- a/core/share/example_test.go
+++ b/core/share/example_test.go
@@ -19,7 +19,7 @@
 		now := time.Duration(second) * time.Second
 		for i := range 15 {
 			if reason, _ := bucket.Take(now + time.Duration(i)*66*time.Millisecond); reason == "" {
-				bucket.Give()
+				bucket.Release()
 			}
 		}
 		mc.Incoming(now, []share.Demand{{Team: "wash", Rate: 5, VM: other, Sequence: uint64(second + 1)}})
--- a/core/share/fleet_test.go
+++ b/core/share/fleet_test.go
@@ -109,7 +109,7 @@
 			continue
 		}
 		vm.admitted++
-		vm.bucket.Give()
+		vm.bucket.Release()
 	}
 }
 
--- a/core/share/groups.go
+++ b/core/share/groups.go
@@ -168,7 +168,7 @@
 // or group.
 func (mc *Machine) anyPartitioned(ts *teamState) bool {
 	for vm, pe := range mc.peers {
-		if mc.now-pe.at <= mc.cfg.Forget && ts.reports[vm].partitioned {
+		if mc.now-pe.at <= mc.cfg.ForgetAfter && ts.reports[vm].partitioned {
 			return true
 		}
 	}
@@ -255,8 +255,8 @@
 // groupForget is how long a group must be silent before its share is divided among the
 // others. groupYield, four GroupWindows less, is when VMs that may belong to the silent
 // side reduce their group's share to at most an even one.
-func (mc *Machine) groupForget() time.Duration { return mc.cfg.Forget + 4*mc.cfg.GroupWindow }
-func (mc *Machine) groupYield() time.Duration  { return mc.cfg.Forget }
+func (mc *Machine) groupForget() time.Duration { return mc.cfg.ForgetAfter + 4*mc.cfg.GroupWindow }
+func (mc *Machine) groupYield() time.Duration  { return mc.cfg.ForgetAfter }
 
 // partitioned reports whether this VM misses another VM of its group or another group.
 func (mc *Machine) partitioned() bool {
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -49,10 +49,10 @@
 	// default a third; a VM counts as missed if no newer message from it arrived
 	// for the rest.
 	Window time.Duration
-	Way    time.Duration
+	MaxDelay    time.Duration
 	// Forget is how long a VM must be silent before its share is divided among
 	// the others.
-	Forget time.Duration
+	ForgetAfter time.Duration
 	// Floor is the minimum demand of a VM, in multiples of the limit divided by
 	// the number of VMs, so that an idle VM can start some searches at once.
 	Floor float64
@@ -117,11 +117,11 @@
 	if cfg.Window == 0 {
 		cfg.Window = 3 * time.Second
 	}
-	if cfg.Way == 0 {
-		cfg.Way = cfg.Window / 3
+	if cfg.MaxDelay == 0 {
+		cfg.MaxDelay = cfg.Window / 3
 	}
-	if cfg.Forget == 0 {
-		cfg.Forget = 30 * time.Second
+	if cfg.ForgetAfter == 0 {
+		cfg.ForgetAfter = 30 * time.Second
 	}
 	if cfg.Floor == 0 {
 		cfg.Floor = 0.1
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -115,7 +115,7 @@
 // announced its higher demand for two Windows. Without this wait, the sum of the shares
 // would exceed the limit until all others have lowered theirs.
 func TestHotVMRaisesItsShareAfterAWait(t *testing.T) {
-	for _, cfg := range []share.Config{{}, {Window: 11 * time.Second, Way: 4 * time.Second}} {
+	for _, cfg := range []share.Config{{}, {Window: 11 * time.Second, MaxDelay: 4 * time.Second}} {
 		testHotVM(t, cfg)
 	}
 }
@@ -235,7 +235,7 @@
 			if re, _ := bucket.Take(now); re != "" {
 				return n
 			}
-			bucket.Give()
+			bucket.Release()
 			n++
 		}
 	}
--- a/core/share/status.go
+++ b/core/share/status.go
@@ -16,11 +16,11 @@
 	missed := false
 	for _, pe := range mc.peers {
 		silent := mc.now - pe.at
-		if silent > mc.cfg.Forget {
+		if silent > mc.cfg.ForgetAfter {
 			st.lost++
 			continue
 		}
-		if silent > mc.cfg.Window-mc.cfg.Way || !pe.heard {
+		if silent > mc.cfg.Window-mc.cfg.MaxDelay || !pe.heard {
 			missed = true
 		}
 	}
@@ -63,7 +63,7 @@
 func (mc *Machine) otherDemand(ts *teamState) (sum float64, held bool) {
 	floor := mc.boundDemand(ts, 0)
 	for vm, pe := range mc.peers {
-		if mc.now-pe.at > mc.cfg.Forget {
+		if mc.now-pe.at > mc.cfg.ForgetAfter {
 			continue
 		}
 		rp, ok := ts.reports[vm]
--- a/core/spread/call.go
+++ b/core/spread/call.go
@@ -19,7 +19,7 @@
 
 // call is a request that waits for its answer.
 type call struct {
-	id       Call
+	id       CallID
 	kind     callKind
 	to       rank.VM
 	update   Update
@@ -27,7 +27,7 @@
 	deadline time.Duration
 }
 
-func (ma *Machine) newCall(ca call, timeout time.Duration) Call {
+func (ma *Machine) newCall(ca call, timeout time.Duration) CallID {
 	ma.lastCall++
 	ca.id = ma.lastCall
 	ca.deadline = ma.now + timeout
@@ -36,7 +36,7 @@
 }
 
 // endCall removes and returns a pending call; ok is false if it has expired or was abandoned.
-func (ma *Machine) endCall(id Call) (call, bool) {
+func (ma *Machine) endCall(id CallID) (call, bool) {
 	i := slices.IndexFunc(ma.calls, func(ca call) bool { return ca.id == id })
 	if i < 0 {
 		return call{}, false
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -12,7 +12,7 @@
 	Self rank.VM
 	Rand *rand.Rand
 	// Readable returns an error if this build cannot read an update's document.
-	Readable func(Update) error
+	CheckReadable func(Update) error
 	Pace     Pace
 }
 
