--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -10,7 +10,7 @@
 type Event interface{ isEvent() }
 
 // Call identifies a call, so that its answer can be matched with it.
-type Call uint64
+type CallID uint64
 
 // Tick reports that the time returned by Next has come.
 type Tick struct{}
@@ -20,29 +20,29 @@
 
 // Ranged answers a Range with all values that the service holds, as of its revision.
 type Ranged struct {
-	Call     Call
+	Call     CallID
 	Revision uint64
 	Updates  []Update
-	Broken   []Broken
+	Broken   []Undecodable
 }
 
 // Broken is a team's value in the service that cannot be decoded.
-type Broken struct {
+type Undecodable struct {
 	Team string
 	Err  error
 }
 
 // Watched answers a Watch. Compacted is set if the service no longer has the events asked for.
 type Watched struct {
-	Call      Call
+	Call      CallID
 	Revision  uint64
 	Updates   []Update
-	Broken    []Broken
+	Broken    []Undecodable
 	Compacted bool
 }
 
 // Failed reports that a call got no answer.
-type Failed struct{ Call Call }
+type Failed struct{ Call CallID }
 
 // Pushed delivers updates that another VM pushed.
 type Pushed struct {
@@ -51,23 +51,23 @@
 }
 
 // Acked acknowledges a Push.
-type Acked struct{ Call Call }
+type Acked struct{ Call CallID }
 
 // Beat delivers a peer's digest, which came with a Compare of that peer or on a heartbeat.
-type Beat struct {
+type PeerDigest struct {
 	From   rank.VM
 	Digest Digest
 }
 
 // Compared answers a Compare with the peer's digest.
 type Compared struct {
-	Call   Call
+	Call   CallID
 	Digest Digest
 }
 
 // Pulled answers a Pull. More is set if the peer had to truncate its answer.
 type Pulled struct {
-	Call    Call
+	Call    CallID
 	Updates []Update
 	More    bool
 }
@@ -82,7 +82,7 @@
 func (Failed) isEvent()   {}
 func (Pushed) isEvent()   {}
 func (Acked) isEvent()    {}
-func (Beat) isEvent()     {}
+func (PeerDigest) isEvent()     {}
 func (Compared) isEvent() {}
 func (Pulled) isEvent()   {}
 func (Accepted) isEvent() {}
@@ -91,35 +91,35 @@
 type Action interface{ isAction() }
 
 // Range reads the values of all teams from the service.
-type Range struct{ Call Call }
+type Range struct{ Call CallID }
 
 // Watch waits for changes after a revision of the service.
 type Watch struct {
-	Call Call
+	Call CallID
 	From uint64
 	Wait time.Duration
 }
 
 // Abandon cancels a call whose answer is no longer needed.
-type Abandon struct{ Call Call }
+type Abandon struct{ Call CallID }
 
 // Push sends an update to another VM.
 type Push struct {
-	Call   Call
+	Call   CallID
 	To     rank.VM
 	Update Update
 }
 
 // Compare sends this VM's digest to a peer and asks for the peer's digest.
 type Compare struct {
-	Call   Call
+	Call   CallID
 	To     rank.VM
 	Digest Digest
 }
 
 // Pull asks a peer for all updates that are newer than what this VM holds.
 type Pull struct {
-	Call Call
+	Call CallID
 	To   rank.VM
 	Held []Revision
 }
--- a/core/spread/example_test.go
+++ b/core/spread/example_test.go
@@ -14,7 +14,7 @@
 	ma := spread.New(spread.Config{
 		Self:     rank.VM{Addr: "10.0.0.1:7703", DataCentre: "east"},
 		Rand:     rand.New(rand.NewPCG(1, 1)),
-		Readable: func(spread.Update) error { return nil },
+		CheckReadable: func(spread.Update) error { return nil },
 	})
 	peer := rank.VM{Addr: "10.0.0.2:7703", DataCentre: "east"}
 	for i, revision := range []uint64{7, 6, 8} {
--- a/core/spread/gossip.go
+++ b/core/spread/gossip.go
@@ -69,11 +69,11 @@
 // bootPeers picks random peers of this data centre, and of others if this one has too few.
 func (ma *Machine) bootPeers() []rank.VM {
 	self := ma.cfg.Self
-	local := ma.shuffled(ma.table.Members(self.DataCentre))
+	local := ma.shuffled(ma.table.VMs(self.DataCentre))
 	var remote []rank.VM
 	for _, dc := range ma.table.DataCentres() {
 		if dc != self.DataCentre {
-			remote = append(remote, ma.table.Members(dc)...)
+			remote = append(remote, ma.table.VMs(dc)...)
 		}
 	}
 	peers := slices.Concat(local, ma.shuffled(remote))
@@ -95,7 +95,7 @@
 // compareLocal compares with a random VM of the data centre. A VM that lacks an update meets one
 // that has it within a few rounds, however many VMs there are.
 func (ma *Machine) compareLocal() {
-	if vm, ok := ma.randomPeer(ma.table.Members(ma.cfg.Self.DataCentre)); ok {
+	if vm, ok := ma.randomPeer(ma.table.VMs(ma.cfg.Self.DataCentre)); ok {
 		ma.compare(vm)
 	}
 }
@@ -114,7 +114,7 @@
 		if dc == ma.cfg.Self.DataCentre {
 			continue
 		}
-		if vm, ok := ma.randomPeer(ma.table.Members(dc)); ok {
+		if vm, ok := ma.randomPeer(ma.table.VMs(dc)); ok {
 			ma.compare(vm)
 		}
 		return
@@ -157,7 +157,7 @@
 }
 
 // handleBeat handles a peer's digest that this VM did not ask for.
-func (ma *Machine) handleBeat(ev Beat) {
+func (ma *Machine) handleBeat(ev PeerDigest) {
 	ma.planPull(ev.From, ev.Digest)
 }
 
--- a/core/spread/machine.go
+++ b/core/spread/machine.go
@@ -42,7 +42,7 @@
 
 	deferred []deferred
 	calls    []call
-	lastCall Call
+	lastCall CallID
 
 	service service
 	gossip  gossip
@@ -121,7 +121,7 @@
 		ma.mergeAll(ev.Updates, originOf(ev.From.DataCentre == ma.cfg.Self.DataCentre, originPush, originRemote))
 	case Acked:
 		ma.endCall(ev.Call)
-	case Beat:
+	case PeerDigest:
 		ma.handleBeat(ev)
 	case Compared:
 		ma.handleCompared(ev)
@@ -184,7 +184,7 @@
 // that was overtaken, or a peer that was paused for an hour.
 func (ma *Machine) merge(up Update) bool {
 	old := ma.held[up.Team]
-	if !up.Name().newer(old.Name()) {
+	if !up.ID().newer(old.ID()) {
 		return false
 	}
 	if old.Revision == up.Revision {
@@ -193,11 +193,11 @@
 		ma.clearAlarm(AlarmSameRevision, up.Team)
 	}
 	if old.Revision > 0 {
-		ma.digest = ma.digest.without(old.Name())
+		ma.digest = ma.digest.without(old.ID())
 	}
-	ma.digest = ma.digest.with(up.Name())
+	ma.digest = ma.digest.with(up.ID())
 	ma.held[up.Team] = up
-	ma.recent = append(ma.recent, up.Name())
+	ma.recent = append(ma.recent, up.ID())
 	if len(ma.recent) > 2*maxRecent {
 		ma.recent = slices.Clone(ma.recent[maxRecent:])
 	}
@@ -208,12 +208,12 @@
 // activate puts an update in force if this build can read it. An update that it cannot read is
 // nevertheless held and passed on, because VMs with a newer build can read it.
 func (ma *Machine) activate(up Update) {
-	if err := ma.cfg.Readable(up); err != nil {
+	if err := ma.cfg.CheckReadable(up); err != nil {
 		ma.raiseAlarm(AlarmUnreadable, up.Team, "change "+up.ChangeID+" cannot be read, the one before stays in force: "+err.Error())
 		return
 	}
 	ma.clearAlarm(AlarmUnreadable, up.Team)
-	ma.inForce[up.Team] = up.Name()
+	ma.inForce[up.Team] = up.ID()
 	ma.emit(Apply{Update: up})
 }
 
@@ -273,7 +273,7 @@
 func (ma *Machine) Held() []Revision {
 	out := make([]Revision, 0, len(ma.held))
 	for _, up := range ma.held {
-		out = append(out, up.Name())
+		out = append(out, up.ID())
 	}
 	slices.SortFunc(out, func(a, b Revision) int { return cmp.Compare(a.Team, b.Team) })
 	return out
@@ -286,7 +286,7 @@
 }
 
 // Find returns the change with the given id, among the last ones that this VM received.
-func (ma *Machine) Find(id string) (Revision, bool) {
+func (ma *Machine) FindChange(id string) (Revision, bool) {
 	for _, rv := range slices.Backward(ma.recent) {
 		if rv.ChangeID == id {
 			return rv, true
@@ -297,7 +297,7 @@
 
 // Answer returns the updates that a peer lacks, given what it holds. more is set if the answer was
 // truncated.
-func (ma *Machine) Answer(held []Revision) (ups []Update, more bool) {
+func (ma *Machine) MissingFrom(held []Revision) (ups []Update, more bool) {
 	theirs := make(map[string]Revision, len(held))
 	for _, rv := range held {
 		theirs[rv.Team] = rv
--- a/core/spread/measure_test.go
+++ b/core/spread/measure_test.go
@@ -233,7 +233,7 @@
 func machineHeapBytes(teams, vms int) float64 {
 	members := newFleet(1, 13, (vms+12)/13).members()[:vms]
 	before := heapBytes()
-	ma := New(Config{Self: members[0], Rand: newFleet(1, 1, 1).rnd, Readable: readable})
+	ma := New(Config{Self: members[0], Rand: newFleet(1, 1, 1).rnd, CheckReadable: readable})
 	ma.Step(0, Members{VMs: members})
 	for i := range teams {
 		ma.Step(0, Accepted{Update: Update{Team: fmt.Sprint("team", i), Revision: 1, ChangeID: fmt.Sprint("c", i), Document: make([]byte, measureDocument)}})
--- a/core/spread/property_test.go
+++ b/core/spread/property_test.go
@@ -102,7 +102,7 @@
 	fl.run(12 * time.Minute)
 }
 
-func TestRevisionsOnlyRise(t *testing.T) {
+func TestRevisionsNeverDecrease(t *testing.T) {
 	// Changes, outages, partitions, pauses, restarts, backups, and lost and overtaken messages
 	// happen in any order. The revision in force must never decrease on any VM, and after all
 	// faults have ended, every VM and the service must have the highest revision that any VM
--- a/core/spread/push.go
+++ b/core/spread/push.go
@@ -43,7 +43,7 @@
 		return
 	}
 	for _, up := range ups {
-		ma.deferred = slices.DeleteFunc(ma.deferred, func(df deferred) bool { return df.update.Name() == up.Name() })
+		ma.deferred = slices.DeleteFunc(ma.deferred, func(df deferred) bool { return df.update.ID() == up.ID() })
 	}
 }
 
@@ -77,10 +77,10 @@
 
 // forwardOnce pushes an update to this VM's own children, unless it did so before.
 func (ma *Machine) forwardOnce(up Update) {
-	if ma.forwarded[up.Team] == up.Name() {
+	if ma.forwarded[up.Team] == up.ID() {
 		return
 	}
-	ma.forwarded[up.Team] = up.Name()
+	ma.forwarded[up.Team] = up.ID()
 	ma.pushChildren(up, ma.cfg.Self.Addr)
 }
 
@@ -88,7 +88,7 @@
 // the subtree of a watching VM would have to wait for a repair.
 func (ma *Machine) forwardHeld(ups []Update) {
 	for _, up := range ups {
-		if ma.held[up.Team].Name() == up.Name() {
+		if ma.held[up.Team].ID() == up.ID() {
 			ma.forwardOnce(up)
 		}
 	}
@@ -115,7 +115,7 @@
 // centre this VM pushes to that VM's children, and in another data centre to the next candidate
 // for the root.
 func (ma *Machine) pushFailed(ca call) {
-	if held := ma.held[ca.update.Team]; held.Name().newer(ca.update.Name()) {
+	if held := ma.held[ca.update.Team]; held.ID().newer(ca.update.ID()) {
 		// Replaced meanwhile; the newer update is pushed on its own.
 		return
 	}
@@ -137,7 +137,7 @@
 const maxRoots = 3
 
 func (ma *Machine) nextRoot(vm rank.VM, changeID string) (rank.VM, bool) {
-	order := rank.Order(ma.table.Members(vm.DataCentre), changeID)
+	order := rank.Order(ma.table.VMs(vm.DataCentre), changeID)
 	i := slices.Index(order, vm) + 1
 	if i <= 0 || i >= min(maxRoots, len(order)) {
 		return rank.VM{}, false
--- a/core/spread/service.go
+++ b/core/spread/service.go
@@ -73,7 +73,7 @@
 // isWatcher reports whether this VM watches the service. Without a list of VMs it cannot know,
 // and does not watch: all VMs of a fleet without a list would overload the service.
 func (ma *Machine) isWatcher() bool {
-	return ma.hasMembers && ma.table.Watches()
+	return ma.hasMembers && ma.table.IsWatcher()
 }
 
 // dropWatch ends the watch of a VM that no longer watches.
@@ -218,7 +218,7 @@
 		newest[up.Team] = up
 	}
 	for team, up := range newest {
-		if held := ma.held[team]; !held.Name().newer(up.Name()) {
+		if held := ma.held[team]; !held.ID().newer(up.ID()) {
 			continue
 		}
 		if sv.behind == nil {
@@ -229,7 +229,7 @@
 	}
 }
 
-func (ma *Machine) handleBroken(broken []Broken) {
+func (ma *Machine) handleBroken(broken []Undecodable) {
 	for _, br := range broken {
 		ma.raiseAlarm(AlarmBroken, br.Team, "the value in the service cannot be read: "+br.Err.Error())
 	}
@@ -242,7 +242,7 @@
 	sv := &ma.service
 	inService := make(map[string]Revision, len(ev.Updates))
 	for _, up := range ev.Updates {
-		inService[up.Team] = up.Name()
+		inService[up.Team] = up.ID()
 		ma.clearAlarm(AlarmBroken, up.Team)
 	}
 	broken := make(map[string]bool, len(ev.Broken))
--- a/core/spread/sim_test.go
+++ b/core/spread/sim_test.go
@@ -123,7 +123,7 @@
 // boot starts a new process without updates.
 func (v *vm) boot() {
 	v.incarnation++
-	v.ma = New(Config{Self: v.self, Rand: rand.New(rand.NewPCG(v.fl.rnd.Uint64(), 1)), Readable: readable, Pace: v.fl.pace})
+	v.ma = New(Config{Self: v.self, Rand: rand.New(rand.NewPCG(v.fl.rnd.Uint64(), 1)), CheckReadable: readable, Pace: v.fl.pace})
 	v.inForce, v.inForceAt, v.alarms = map[string]Revision{}, map[string]time.Duration{}, map[AlarmKind]int{}
 	v.inbox, v.paused = nil, false
 	if v.fl.everyVMWatches {
@@ -207,10 +207,10 @@
 }
 
 func (v *vm) apply(up Update) {
-	if old := v.inForce[up.Team]; up.Revision <= old.Revision && !up.Name().newer(old) {
+	if old := v.inForce[up.Team]; up.Revision <= old.Revision && !up.ID().newer(old) {
 		v.regression = fmt.Sprintf("%s: team %s went from %d to %d", v.self.Addr, up.Team, old.Revision, up.Revision)
 	}
-	v.inForce[up.Team] = up.Name()
+	v.inForce[up.Team] = up.ID()
 	v.inForceAt[up.ChangeID] = v.fl.Now()
 	if v.fl.log != nil {
 		fmt.Fprintf(v.fl.log, "%10s %s in force %s/%d\n", v.fl.Now().Round(time.Millisecond), v.self.Addr, up.Team, up.Revision)
@@ -234,7 +234,7 @@
 			return
 		}
 		dg := to.ma.Digest()
-		to.step(Beat{From: v.self, Digest: ac.Digest})
+		to.step(PeerDigest{From: v.self, Digest: ac.Digest})
 		v.fl.send(to, v, 24, func() { v.step(Compared{Call: ac.Call, Digest: dg}) })
 	})
 }
@@ -267,7 +267,7 @@
 		if to.paused {
 			return
 		}
-		ups, more := to.ma.Answer(ac.Held)
+		ups, more := to.ma.MissingFrom(ac.Held)
 		v.fl.send(to, v, messageBytes(ups), func() { v.step(Pulled{Call: ac.Call, Updates: ups, More: more}) })
 	})
 }
--- a/core/spread/spread_test.go
+++ b/core/spread/spread_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-func TestServiceDownForAnHour(t *testing.T) {
+func TestServiceOutage(t *testing.T) {
 	// Guards against load on the service during and after an outage of an hour. A VM that boots
 	// meanwhile must work with the configuration that its peers hold. Each watching VM calls the
 	// service about twice a minute, and after the outage no second may have more than a few calls.
@@ -122,7 +122,7 @@
 	is.True(fl.service.calls-before < 6*60*4)
 	fl.vms[7].boot()
 	fl.run(2 * time.Second)
-	is.Equal(fl.vms[7].inForce["wash"], up.Name())
+	is.Equal(fl.vms[7].inForce["wash"], up.ID())
 	is.Equal(fl.alarms(AlarmServiceDown), 6)
 	fl.service.down = false
 	fl.service.callsPerSec = nil
@@ -146,7 +146,7 @@
 	return n
 }
 
-func TestPausedForAnHour(t *testing.T) {
+func TestPausedVM(t *testing.T) {
 	// A VM is paused for an hour while the team's configuration changes twice, and receives
 	// messages from before the pause when it resumes. It must not return to a lower revision nor
 	// pass on old updates, and must have the newest change within seconds.
@@ -167,7 +167,7 @@
 	is.Equal(fl.regression(), "")
 }
 
-func TestBackup(t *testing.T) {
+func TestServiceRestoredFromBackup(t *testing.T) {
 	// The service is restored from a backup with a lower revision. No VM may return to it, not
 	// even one that boots afterwards. The watching VMs must raise an alarm and restore the lost
 	// change, and the alarm must end then.
@@ -185,7 +185,7 @@
 	fl.run(10 * time.Minute)
 	is.Equal(fl.countInForce(up), len(fl.vms))
 	is.Equal(fl.regression(), "")
-	is.Equal(fl.service.held["wash"].Name(), up.Name())
+	is.Equal(fl.service.held["wash"].ID(), up.ID())
 	raised := 0
 	for _, v := range fl.vms {
 		raised += v.alarms[AlarmServiceBehind]
@@ -194,7 +194,7 @@
 	is.True(raised >= 1)
 }
 
-func TestBackupWrittenOver(t *testing.T) {
+func TestOldValueWrittenOverNewer(t *testing.T) {
 	// An operator writes an old value over the team's key: the service's own revision increases
 	// while the team's decreases. No VM may return to the old value, and the fleet must write its
 	// newer change again within half a minute.
@@ -209,10 +209,10 @@
 	fl.run(30 * time.Second)
 	is.Equal(fl.countInForce(up), len(fl.vms))
 	is.Equal(fl.regression(), "")
-	is.Equal(fl.service.held["wash"].Name(), up.Name())
+	is.Equal(fl.service.held["wash"].ID(), up.ID())
 }
 
-func TestUnreadable(t *testing.T) {
+func TestUnreadableDocument(t *testing.T) {
 	// A newer build wrote a document that these VMs cannot read. They must keep the previous
 	// one, raise an alarm and pass the new one on; a later readable document must end the alarm.
 	is := is.New(t)
@@ -225,8 +225,8 @@
 	fl.service.put(up)
 	fl.run(3 * time.Second)
 	for _, v := range fl.vms {
-		is.Equal(v.inForce["wash"], old.Name())
-		is.Equal(v.ma.Held()[0], up.Name())
+		is.Equal(v.inForce["wash"], old.ID())
+		is.Equal(v.ma.Held()[0], up.ID())
 		is.Equal(v.alarms[AlarmUnreadable], 1)
 	}
 	next := fl.change(fl.vms[0], "wash", "c3", 100)
@@ -235,7 +235,7 @@
 	is.Equal(len(fl.vms[5].ma.alarms), 0)
 }
 
-func TestAlarmsEndWithRank(t *testing.T) {
+func TestAlarmsEndWhenVMNoLongerWatches(t *testing.T) {
 	// A watching VM has raised serviceDown when VMs join that rank before it. It no longer calls
 	// the service, so its alarm must end; that of the other VMs must stay.
 	is := is.New(t)
@@ -247,12 +247,12 @@
 	fl.change(first, "wash", "c1", 100)
 	fl.run(2 * time.Second)
 	first.step(Members{VMs: all[:2]})
-	is.True(first.ma.Table().Watches())
+	is.True(first.ma.Table().IsWatcher())
 	fl.service.down = true
 	fl.run(10 * time.Minute)
 	is.Equal(first.alarms[AlarmServiceDown], 1)
 	first.step(Members{VMs: all})
-	is.True(!first.ma.Table().Watches())
+	is.True(!first.ma.Table().IsWatcher())
 	is.Equal(len(first.ma.alarms), 0)
 	is.Equal(fl.alarms(AlarmServiceDown), 2)
 }
@@ -297,7 +297,7 @@
 	fl.service.put(Update{Team: "wash", Revision: 1, ChangeID: "c1"})
 	for _, v := range fl.vms {
 		v.boot()
-		v.ma = New(Config{Self: v.self, Rand: fl.rnd, Readable: readable})
+		v.ma = New(Config{Self: v.self, Rand: fl.rnd, CheckReadable: readable})
 		v.step(Tick{})
 	}
 	fl.run(2 * time.Minute)
--- a/core/spread/update.go
+++ b/core/spread/update.go
@@ -23,7 +23,7 @@
 }
 
 // Name returns the identity of the update.
-func (up Update) Name() Revision {
+func (up Update) ID() Revision {
 	return Revision{Team: up.Team, Revision: up.Revision, ChangeID: up.ChangeID}
 }
 
--- a/core/stall/measure_test.go
+++ b/core/stall/measure_test.go
@@ -79,8 +79,8 @@
 			delete(tf.busyUntil, cn)
 			tf.tr.Drop(cn)
 		}
-		if tf.tr.Doubt(tf.now) {
-			tf.tr.Vouch(tf.now)
+		if tf.tr.ShouldPing(tf.now) {
+			tf.tr.Overtake(tf.now)
 		}
 	}
 	return tf.now - start, wrong
--- a/core/stall/stall.go
+++ b/core/stall/stall.go
@@ -121,12 +121,12 @@
 	} else {
 		tr.slowLatency -= (tr.slowLatency - took) / latencyDecay
 	}
-	tr.Vouch(ex.began)
+	tr.Overtake(ex.began)
 }
 
 // Vouch records that the server answered something sent at began, such as a ping: all older
 // exchanges have been overtaken.
-func (tr *Tracker[K]) Vouch(began time.Duration) {
+func (tr *Tracker[K]) Overtake(began time.Duration) {
 	for i := range tr.outstanding {
 		if tr.outstanding[i].began < began {
 			tr.outstanding[i].overtaken++
@@ -158,7 +158,7 @@
 
 // Doubt reports whether an exchange is old enough to count as silent but was not overtaken
 // often enough to decide, as with few requests. A ping would decide.
-func (tr *Tracker[K]) Doubt(now time.Duration) bool {
+func (tr *Tracker[K]) ShouldPing(now time.Duration) bool {
 	for _, ex := range tr.outstanding {
 		if tr.isOld(now, ex) && ex.overtaken < tr.cfg.MinOvertaken && !tr.isOverdue(now, ex) {
 			return true
--- a/core/stall/stall_test.go
+++ b/core/stall/stall_test.go
@@ -56,7 +56,7 @@
 				tr.Answer(now, 2)
 			}
 			is.Equal(len(tr.Silent(now, nil)) == 1, tc.silent)
-			is.Equal(tr.Doubt(now), tc.doubt)
+			is.Equal(tr.ShouldPing(now), tc.doubt)
 			tr.Drop(1)
 			is.Equal(tr.Len(), 0)
 		})
--- a/core/steer/evacuate_test.go
+++ b/core/steer/evacuate_test.go
@@ -74,11 +74,11 @@
 	}
 	vm, arrived := sm.vms[sm.rnd.IntN(len(sm.vms))], sm.now
 	sm.total[int(arrived/time.Second)]++
-	up, ok := vm.tb.Pick(sm.now, steer.Kind{Usual: usual}, sm.servers(vm), nil, sm.rnd.Float64)
+	up, ok := vm.tb.Pick(sm.now, steer.RequestKind{UsualLatency: usual}, sm.servers(vm), nil, sm.rnd.Float64)
 	if ok {
 		vm.tb.Begin(sm.now, usual, up.Process())
 		sm.send(up.ID, func() {
-			vm.tb.End(sm.now, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: sm.now - arrived, Usual: usual})
+			vm.tb.End(sm.now, up.Process(), steer.Result{Verdict: fanout.Served, Latency: sm.now - arrived, UsualLatency: usual})
 			if sm.now-arrived <= evacTarget {
 				sm.inTime[int(arrived/time.Second)]++
 			}
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -12,7 +12,7 @@
 	Running, Waiting, Slots int
 	// Pace is how many times the usual time work currently takes on the server's machine; 0 if it
 	// is not reported.
-	Pace float64
+	Slowdown float64
 }
 
 // loadReport is the latest load report of a server, received at the time at. The server has been
@@ -37,32 +37,32 @@
 
 // Tell records the load that a server reported. Took is the latency of the answer that carried
 // it, or 0 if there was none.
-func (tb *Table) Tell(now time.Duration, up *origin.Upstream, lo Load, took time.Duration) {
+func (tb *Table) RecordLoad(now time.Duration, up *origin.Upstream, lo Load, took time.Duration) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tb.reportsLoad[up.Service] = true
 	st := tb.statsOf(up.Process())
 	previous := st.report
 	st.report = loadReport{load: lo, at: now, slowSince: now}
-	if lo.Pace < slowPace {
+	if lo.Slowdown < slowPace {
 		return
 	}
-	if previous.load.Pace >= slowPace {
+	if previous.load.Slowdown >= slowPace {
 		st.report.slowSince = previous.slowSince
 	}
 	// The server was this slow during the whole request.
-	if float64(took) >= lo.Pace*float64(st.longestUsual)/2 && st.longestUsual > 0 {
+	if float64(took) >= lo.Slowdown*float64(st.longestUsual)/2 && st.longestUsual > 0 {
 		st.report.slowSince = min(st.report.slowSince, now-took)
 	}
 }
 
 // currentPace estimates how many times the usual time work takes now, from the report.
 func (lr *loadReport) currentPace(now time.Duration) float64 {
-	if lr.load.Pace <= 1 {
+	if lr.load.Slowdown <= 1 {
 		return 1
 	}
 	decayTime := min(max(lr.at-lr.slowSince, minPaceDecay), maxPaceDecay)
-	return 1 + (lr.load.Pace-1)*decay(now-lr.at, decayTime)
+	return 1 + (lr.load.Slowdown-1)*decay(now-lr.at, decayTime)
 }
 
 // queueWait estimates how long one more request has to wait, in multiples of a request's duration.
@@ -76,7 +76,7 @@
 
 // Told returns the last load that a server reported and its age; ok is false if there is none.
 // The load changes many times per second, so a report is only useful while it is recent.
-func (tb *Table) Told(now time.Duration, pr origin.Process) (lo Load, age time.Duration, ok bool) {
+func (tb *Table) LastLoad(now time.Duration, pr origin.Process) (lo Load, age time.Duration, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st, seen := tb.stats[pr]
@@ -88,7 +88,7 @@
 
 // Ready returns the servers that, by recent reports, are not slow and have a free slot. If there
 // are none, it returns those that are not slow but have a queue.
-func (tb *Table) Ready(now time.Duration, ups []*origin.Upstream) (ready []*origin.Upstream) {
+func (tb *Table) FilterReady(now time.Duration, ups []*origin.Upstream) (ready []*origin.Upstream) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	var queued []*origin.Upstream
@@ -110,7 +110,7 @@
 
 // Tells returns whether servers of a service report their load; known is false before the first
 // answer.
-func (tb *Table) Tells(service string) (tells, known bool) {
+func (tb *Table) ReportsLoad(service string) (tells, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	tells, known = tb.reportsLoad[service]
@@ -118,7 +118,7 @@
 }
 
 // TellsNot records that a server of a service answered without reporting its load.
-func (tb *Table) TellsNot(service string) {
+func (tb *Table) RecordNoLoad(service string) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	if _, known := tb.reportsLoad[service]; !known {
@@ -129,7 +129,7 @@
 // Misread records that a server's load report could not be read, and returns whether it is the
 // first such report: the caller logs only the first, since the fault may repeat with every
 // answer.
-func (tb *Table) Misread(pr origin.Process) (first bool) {
+func (tb *Table) RecordUnreadableLoad(pr origin.Process) (first bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st := tb.statsOf(pr)
--- a/core/steer/once_test.go
+++ b/core/steer/once_test.go
@@ -17,39 +17,39 @@
 // A reported slowdown is assumed to last for as long as it already has: a burst of neighbouring
 // load is soon forgotten, and a slowdown of one second is remembered for one second.
 func TestReportedSlowdown(t *testing.T) {
-	once := steer.Kind{Usual: usual, Told: true}
-	slow := steer.Load{Running: 1, Slots: 6, Pace: 9}
+	once := steer.RequestKind{UsualLatency: usual, UseLoadReports: true}
+	slow := steer.Load{Running: 1, Slots: 6, Slowdown: 9}
 	near := &origin.Upstream{ID: "near", DataCentre: "east"}
 	for _, tc := range []struct {
 		name string
 		tell func(tb *steer.Table)
-		kind steer.Kind
+		kind steer.RequestKind
 		at   time.Duration
 		want string
 	}{
 		{"no report", func(*steer.Table) {}, once, time.Second, "near"},
-		{"slow now", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second, "far"},
-		{"slow 100 ms ago", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, once, time.Second + 100*ms, "near"},
+		{"slow now", func(tb *steer.Table) { tb.RecordLoad(time.Second, near, slow, 0) }, once, time.Second, "far"},
+		{"slow 100 ms ago", func(tb *steer.Table) { tb.RecordLoad(time.Second, near, slow, 0) }, once, time.Second + 100*ms, "near"},
 		{"slow for a second", func(tb *steer.Table) {
-			tb.Tell(time.Second, near, slow, 0)
-			tb.Tell(2*time.Second, near, slow, 0)
+			tb.RecordLoad(time.Second, near, slow, 0)
+			tb.RecordLoad(2*time.Second, near, slow, 0)
 		}, once, 2*time.Second + 500*ms, "far"},
 		{"slow for a second, long ago", func(tb *steer.Table) {
-			tb.Tell(time.Second, near, slow, 0)
-			tb.Tell(2*time.Second, near, slow, 0)
+			tb.RecordLoad(time.Second, near, slow, 0)
+			tb.RecordLoad(2*time.Second, near, slow, 0)
 		}, once, 8 * time.Second, "near"},
 		{"recovered", func(tb *steer.Table) {
-			tb.Tell(time.Second, near, slow, 0)
-			tb.Tell(2*time.Second, near, slow, 0)
-			tb.Tell(2*time.Second, near, steer.Load{Slots: 6, Pace: 1}, 0)
+			tb.RecordLoad(time.Second, near, slow, 0)
+			tb.RecordLoad(2*time.Second, near, slow, 0)
+			tb.RecordLoad(2*time.Second, near, steer.Load{Slots: 6, Slowdown: 1}, 0)
 		}, once, 2 * time.Second, "near"},
 		{"long queue", func(tb *steer.Table) {
-			tb.Tell(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Pace: 1}, 0)
+			tb.RecordLoad(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Slowdown: 1}, 0)
 		}, once, time.Second, "far"},
 		{"long queue a second ago", func(tb *steer.Table) {
-			tb.Tell(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Pace: 1}, 0)
+			tb.RecordLoad(time.Second, near, steer.Load{Running: 6, Waiting: 18, Slots: 6, Slowdown: 1}, 0)
 		}, once, 2 * time.Second, "near"},
-		{"reports not used", func(tb *steer.Table) { tb.Tell(time.Second, near, slow, 0) }, steer.Kind{Usual: usual}, time.Second, "near"},
+		{"reports not used", func(tb *steer.Table) { tb.RecordLoad(time.Second, near, slow, 0) }, steer.RequestKind{UsualLatency: usual}, time.Second, "near"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
@@ -98,16 +98,16 @@
 func (sm *onceSim) run() {
 	for ; sm.now < onceDuration; sm.now += time.Second / oncePerSecond {
 		tb := sm.vms[sm.rnd.IntN(onceVMs)]
-		ki := steer.Kind{Usual: onceUsual, Told: sm.askLoad}
+		ki := steer.RequestKind{UsualLatency: onceUsual, UseLoadReports: sm.askLoad}
 		var asked []*origin.Upstream
 		for sm.askLoad && len(asked) < 3 {
 			up, _ := tb.Pick(sm.now, ki, sm.servers, asked, sm.rnd.Float64)
 			asked = append(asked, up)
 		}
 		for _, up := range asked {
-			tb.Tell(sm.now, up, steer.Load{Running: 1, Slots: 6, Pace: sm.pace(sm.index(up))}, 0)
+			tb.RecordLoad(sm.now, up, steer.Load{Running: 1, Slots: 6, Slowdown: sm.pace(sm.index(up))}, 0)
 		}
-		up, ok := tb.Pick(sm.now, ki, tb.Ready(sm.now, asked), nil, sm.rnd.Float64)
+		up, ok := tb.Pick(sm.now, ki, tb.FilterReady(sm.now, asked), nil, sm.rnd.Float64)
 		if !ok {
 			up, _ = tb.Pick(sm.now, ki, sm.servers, asked, sm.rnd.Float64)
 		}
@@ -116,7 +116,7 @@
 			took *= 9
 		}
 		tb.Begin(sm.now, onceUsual, up.Process())
-		tb.End(sm.now+took, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: took, Usual: onceUsual})
+		tb.End(sm.now+took, up.Process(), steer.Result{Verdict: fanout.Served, Latency: took, UsualLatency: onceUsual})
 		sm.total++
 		if took > onceTarget {
 			sm.late++
--- a/core/steer/overload_test.go
+++ b/core/steer/overload_test.go
@@ -45,7 +45,7 @@
 	tb       *steer.Table
 	window   map[string]int
 	inFlight map[string]int
-	queue    map[string]*queue.Line[*simRequest]
+	queue    map[string]*queue.Queue[*simRequest]
 }
 
 type simServer struct {
@@ -101,7 +101,7 @@
 			tb:       steer.New(steer.Config{DataCentre: "east"}),
 			window:   map[string]int{"near": math.MaxInt, "far": math.MaxInt},
 			inFlight: map[string]int{},
-			queue:    map[string]*queue.Line[*simRequest]{"near": {}, "far": {}},
+			queue:    map[string]*queue.Queue[*simRequest]{"near": {}, "far": {}},
 		})
 	}
 	sm.schedule(0, sm.arrive)
@@ -124,7 +124,7 @@
 
 // dispatch sends a request, or queues it on its VM.
 func (sm *overloadSim) dispatch(rq *simRequest) {
-	up, ok := rq.vm.tb.Pick(sm.now, steer.Kind{Usual: usual}, servers(), rq.tried, sm.rnd.Float64)
+	up, ok := rq.vm.tb.Pick(sm.now, steer.RequestKind{UsualLatency: usual}, servers(), rq.tried, sm.rnd.Float64)
 	if !ok {
 		sm.finish(rq)
 		return
@@ -183,7 +183,7 @@
 func (sm *overloadSim) complete(rq *simRequest, ve fanout.Verdict) {
 	vm := rq.vm
 	vm.inFlight[rq.server]--
-	window := vm.tb.End(sm.now, process(rq.server), steer.Attempt{Verdict: ve, Took: sm.now - rq.sent, Usual: usual})
+	window := vm.tb.End(sm.now, process(rq.server), steer.Result{Verdict: ve, Latency: sm.now - rq.sent, UsualLatency: usual})
 	vm.window[rq.server] = window
 	if ve == fanout.Served && sm.now-rq.arrived <= target {
 		sm.inTime++
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -114,31 +114,31 @@
 }
 
 // Kind describes a kind of request.
-type Kind struct {
+type RequestKind struct {
 	// Usual is the latency of such a request on most servers.
-	Usual time.Duration
+	UsualLatency time.Duration
 	// Slack is how long a server may be silent before that raises its cost: the time after which
 	// a hedge would be sent anyway. A pause that ends earlier costs the request nothing, while
 	// avoiding it costs traffic between data centres.
 	Slack time.Duration
 	// Joined is the data centre whose answer would be sent joined with others; empty if there is
 	// none.
-	Joined string
+	JoinDataCentre string
 	// Told lets the load reports of servers influence the cost.
-	Told bool
+	UseLoadReports bool
 }
 
 // Pick returns the cheapest server that takes requests and is not in tried. Draw returns uniform
 // random numbers in [0, 1), to spread requests over servers of nearly the same cost. Servers that
 // are unreachable or unresponsive are never picked, so that the caller can fail at once if there
 // are no others; ok is then false.
-func (tb *Table) Pick(now time.Duration, ki Kind, ups, tried []*origin.Upstream, draw func() float64) (*origin.Upstream, bool) {
+func (tb *Table) Pick(now time.Duration, ki RequestKind, ups, tried []*origin.Upstream, draw func() float64) (*origin.Upstream, bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	var best *origin.Upstream
 	least := math.Inf(1)
 	for _, up := range ups {
-		if !up.Takes() || contains(tried, up) {
+		if !up.Accepting() || contains(tried, up) {
 			continue
 		}
 		cost, ok := tb.cost(now, ki, up)
@@ -159,12 +159,12 @@
 }
 
 // cost returns the cost in nanoseconds; ok is false if the server must not be picked.
-func (tb *Table) cost(now time.Duration, ki Kind, up *origin.Upstream) (cost float64, ok bool) {
-	usual := ki.Usual
+func (tb *Table) cost(now time.Duration, ki RequestKind, up *origin.Upstream) (cost float64, ok bool) {
+	usual := ki.UsualLatency
 	cost = float64(usual)
 	if up.DataCentre != tb.cfg.DataCentre && !tb.cfg.Off.Off(toggle.Nearness) {
 		remoteCost := max(remoteCostRatio*float64(usual), float64(minRemoteCost))
-		if up.DataCentre == ki.Joined {
+		if up.DataCentre == ki.JoinDataCentre {
 			remoteCost *= joinedCostRatio
 		}
 		cost += remoteCost
@@ -174,7 +174,7 @@
 		return cost, true
 	}
 	latency := float64(usual) * st.currentSlowdown(now)
-	if ki.Told && !tb.cfg.Off.Off(toggle.Loads) {
+	if ki.UseLoadReports && !tb.cfg.Off.Off(toggle.Loads) {
 		pace := max(st.currentSlowdown(now), st.report.currentPace(now))
 		latency = float64(usual) * pace * (1 + st.report.queueWait(now))
 	}
@@ -217,19 +217,19 @@
 }
 
 // Attempt is the result of an attempt.
-type Attempt struct {
+type Result struct {
 	Verdict fanout.Verdict
 	// Took is the latency of the attempt, Usual that of its kind on most servers.
-	Took  time.Duration
-	Usual time.Duration
+	Latency  time.Duration
+	UsualLatency time.Duration
 	// Most is the maximum number of connections, and thus of concurrent requests, from this VM to
 	// the server; 0 if unknown.
-	Most int
+	MaxConnections int
 }
 
 // End records the end of an attempt and returns how many requests of this VM the server may have
 // in flight from now on.
-func (tb *Table) End(now time.Duration, pr origin.Process, at Attempt) (window int) {
+func (tb *Table) End(now time.Duration, pr origin.Process, at Result) (window int) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st, ok := tb.stats[pr]
@@ -245,8 +245,8 @@
 		st.recordOutcome(now, 0, 0)
 		st.silentSince = now
 		// A short request queued behind a long one does not indicate overload.
-		if allowed := windowCutRatio * max(at.Usual, st.longestUsual); at.Took > allowed {
-			st.cutWindow(now, at.Took, float64(allowed))
+		if allowed := windowCutRatio * max(at.UsualLatency, st.longestUsual); at.Latency > allowed {
+			st.cutWindow(now, at.Latency, float64(allowed))
 		} else {
 			st.window += windowIncrease / st.window
 		}
@@ -262,8 +262,8 @@
 		// The connection failed; a new one may work.
 		st.recordOutcome(now, 1, 0)
 	}
-	if at.Most > 0 {
-		st.window = min(st.window, float64(at.Most))
+	if at.MaxConnections > 0 {
+		st.window = min(st.window, float64(at.MaxConnections))
 	}
 	st.window = min(st.window, windowMax)
 	return int(st.window)
@@ -285,7 +285,7 @@
 }
 
 // Reached records whether a connection to a server could be opened.
-func (tb *Table) Reached(now time.Duration, pr origin.Process, ok bool) {
+func (tb *Table) RecordConnect(now time.Duration, pr origin.Process, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st := tb.statsOf(pr)
@@ -298,7 +298,7 @@
 
 // Sound reports whether a server counts as healthy: not slow, silent or avoided, and without recent
 // refusals or failures.
-func (tb *Table) Sound(now time.Duration, pr origin.Process) bool {
+func (tb *Table) Healthy(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st, ok := tb.stats[pr]
@@ -333,10 +333,10 @@
 
 // SoundPlaces returns the data centres, other than this VM's own, that have a healthy server
 // among ups; near reports whether this VM's own has one.
-func (tb *Table) SoundPlaces(now time.Duration, ups []*origin.Upstream) (near bool, places []string) {
+func (tb *Table) HealthyDataCentres(now time.Duration, ups []*origin.Upstream) (near bool, places []string) {
 	for _, up := range ups {
 		switch {
-		case !up.Takes() || !tb.Sound(now, up.Process()):
+		case !up.Accepting() || !tb.Healthy(now, up.Process()):
 		case up.DataCentre == tb.cfg.DataCentre:
 			near = true
 		default:
@@ -347,7 +347,7 @@
 }
 
 // Quiet returns for how long a server with requests of this VM in flight has not answered.
-func (tb *Table) Quiet(now time.Duration, pr origin.Process) time.Duration {
+func (tb *Table) SilentFor(now time.Duration, pr origin.Process) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st, ok := tb.stats[pr]
@@ -359,7 +359,7 @@
 
 // Overdue counts the servers outside this VM's data centre that are silent for longer than
 // expected.
-func (tb *Table) Overdue(now time.Duration, dir *origin.Directory) int {
+func (tb *Table) CountOverdue(now time.Duration, dir *origin.Directory) int {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	overdue := 0
@@ -373,7 +373,7 @@
 }
 
 // Keep removes all servers that are not in the directory and have no requests in flight.
-func (tb *Table) Keep(dir *origin.Directory) {
+func (tb *Table) Retain(dir *origin.Directory) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	for pr, st := range tb.stats {
--- a/core/steer/steer_test.go
+++ b/core/steer/steer_test.go
@@ -39,7 +39,7 @@
 }
 
 func (ct *clockedTable) pick(tried ...*origin.Upstream) string {
-	up, ok := ct.tb.Pick(ct.now, steer.Kind{Usual: usual}, servers(), tried, half)
+	up, ok := ct.tb.Pick(ct.now, steer.RequestKind{UsualLatency: usual}, servers(), tried, half)
 	if !ok {
 		return ""
 	}
@@ -55,7 +55,7 @@
 func (ct *clockedTable) finish(took time.Duration, ve fanout.Verdict) int {
 	ct.tb.Begin(ct.now, usual, process("near"))
 	ct.now += took
-	return ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: ve, Took: took, Usual: usual})
+	return ct.tb.End(ct.now, process("near"), steer.Result{Verdict: ve, Latency: took, UsualLatency: usual})
 }
 
 func TestLocalServerIsPreferred(t *testing.T) {
@@ -77,7 +77,7 @@
 	ct.now += 60 * ms
 	is.Equal(ct.pick(), "far")
 	ct.now += 140 * ms
-	ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 200 * ms, Usual: usual})
+	ct.tb.End(ct.now, process("near"), steer.Result{Verdict: fanout.Served, Latency: 200 * ms, UsualLatency: usual})
 	is.Equal(ct.pick(), "near")
 }
 
@@ -89,7 +89,7 @@
 	ct.serve(usual)
 	ct.tb.Begin(ct.now, usual, process("near"))
 	ct.now += 70 * ms
-	patient := steer.Kind{Usual: usual, Slack: 80 * ms}
+	patient := steer.RequestKind{UsualLatency: usual, Slack: 80 * ms}
 	up, _ := ct.tb.Pick(ct.now, patient, servers(), nil, half)
 	is.Equal(up.ID, "near")
 	ct.now += 60 * ms
@@ -137,7 +137,7 @@
 	for range 3 {
 		ct.tb.Begin(ct.now, short, process("near"))
 		ct.now += 5 * short
-		ct.tb.End(ct.now, process("near"), steer.Attempt{Verdict: fanout.Served, Took: 5 * short, Usual: short})
+		ct.tb.End(ct.now, process("near"), steer.Result{Verdict: fanout.Served, Latency: 5 * short, UsualLatency: short})
 	}
 	is.Equal(ct.pick(), "near")
 }
@@ -155,16 +155,16 @@
 	ct.tb.Withdraw(ct.now, process("near"), 800*ms)
 	ct.tb.Withdraw(ct.now, process("far"), 800*ms)
 	is.Equal(ct.pick(), "")
-	ct.tb.Reached(ct.now, process("near"), true)
+	ct.tb.RecordConnect(ct.now, process("near"), true)
 	is.Equal(ct.pick(), "near")
 }
 
 func TestUnreachableAndStaleAddress(t *testing.T) {
 	is := is.New(t)
 	ct := newClockedTable(t)
-	ct.tb.Reached(ct.now, process("near"), false)
+	ct.tb.RecordConnect(ct.now, process("near"), false)
 	is.Equal(ct.pick(), "far")
-	ct.tb.Reached(ct.now, process("near"), true)
+	ct.tb.RecordConnect(ct.now, process("near"), true)
 	is.Equal(ct.pick(), "near")
 	ct.finish(ms, fanout.Elsewhere)
 	ct.now += 30 * time.Second
@@ -211,8 +211,8 @@
 func TestKeepRemovesServers(t *testing.T) {
 	is := is.New(t)
 	ct := newClockedTable(t)
-	ct.tb.Reached(ct.now, process("near"), false)
-	ct.tb.Keep(origin.New(nil))
+	ct.tb.RecordConnect(ct.now, process("near"), false)
+	ct.tb.Retain(origin.New(nil))
 	is.Equal(ct.pick(), "near")
 }
 
@@ -222,19 +222,19 @@
 func TestRestartedServer(t *testing.T) {
 	is := is.New(t)
 	tb := steer.New(steer.Config{DataCentre: "east"})
-	before := &origin.Upstream{ID: "a", Born: 1, Addr: "a:1", DataCentre: "east"}
-	after := &origin.Upstream{ID: "a", Born: 2, Addr: "a:1", DataCentre: "east"}
-	far := &origin.Upstream{ID: "b", Born: 1, Addr: "b:1", DataCentre: "west"}
+	before := &origin.Upstream{ID: "a", StartMs: 1, Addr: "a:1", DataCentre: "east"}
+	after := &origin.Upstream{ID: "a", StartMs: 2, Addr: "a:1", DataCentre: "east"}
+	far := &origin.Upstream{ID: "b", StartMs: 1, Addr: "b:1", DataCentre: "west"}
 	pick := func(up *origin.Upstream) string {
-		found, ok := tb.Pick(time.Second, steer.Kind{Usual: usual}, []*origin.Upstream{up, far}, nil, half)
+		found, ok := tb.Pick(time.Second, steer.RequestKind{UsualLatency: usual}, []*origin.Upstream{up, far}, nil, half)
 		is.True(ok)
 		return found.ID
 	}
 	tb.Begin(0, usual, before.Process())
-	tb.Reached(time.Second, before.Process(), false)
+	tb.RecordConnect(time.Second, before.Process(), false)
 	is.Equal(pick(before), "b")
 	is.Equal(pick(after), "a")
-	tb.End(time.Second, before.Process(), steer.Attempt{Verdict: fanout.Elsewhere})
+	tb.End(time.Second, before.Process(), steer.Result{Verdict: fanout.Elsewhere})
 	is.Equal(pick(after), "a")
 }
 
@@ -242,23 +242,23 @@
 func TestSound(t *testing.T) {
 	cases := []struct {
 		name  string
-		at    steer.Attempt
+		at    steer.Result
 		sound bool
 	}{
-		{"served", steer.Attempt{Verdict: fanout.Served, Took: 10 * time.Millisecond, Usual: 10 * time.Millisecond}, true},
-		{"slow", steer.Attempt{Verdict: fanout.Served, Took: 90 * time.Millisecond, Usual: 10 * time.Millisecond}, false},
-		{"refused", steer.Attempt{Verdict: fanout.Refused}, false},
-		{"failed", steer.Attempt{Verdict: fanout.Failed}, false},
-		{"elsewhere", steer.Attempt{Verdict: fanout.Elsewhere}, false},
+		{"served", steer.Result{Verdict: fanout.Served, Latency: 10 * time.Millisecond, UsualLatency: 10 * time.Millisecond}, true},
+		{"slow", steer.Result{Verdict: fanout.Served, Latency: 90 * time.Millisecond, UsualLatency: 10 * time.Millisecond}, false},
+		{"refused", steer.Result{Verdict: fanout.Refused}, false},
+		{"failed", steer.Result{Verdict: fanout.Failed}, false},
+		{"elsewhere", steer.Result{Verdict: fanout.Elsewhere}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
 			tb := steer.New(steer.Config{})
-			is.True(tb.Sound(0, process("a")))
+			is.True(tb.Healthy(0, process("a")))
 			tb.Begin(0, 10*time.Millisecond, process("a"))
 			tb.End(100*time.Millisecond, process("a"), tc.at)
-			is.Equal(tb.Sound(101*time.Millisecond, process("a")), tc.sound)
+			is.Equal(tb.Healthy(101*time.Millisecond, process("a")), tc.sound)
 		})
 	}
 }
@@ -267,25 +267,25 @@
 func TestLoadReports(t *testing.T) {
 	is := is.New(t)
 	tb := steer.New(steer.Config{DataCentre: "east"})
-	up := &origin.Upstream{ID: "a", Born: 1, Service: "s"}
-	a, b := up.Process(), origin.Process{ID: "a", Born: 2}
-	_, known := tb.Tells("s")
+	up := &origin.Upstream{ID: "a", StartMs: 1, Service: "s"}
+	a, b := up.Process(), origin.Process{ID: "a", StartMs: 2}
+	_, known := tb.ReportsLoad("s")
 	is.True(!known)
-	_, _, ok := tb.Told(time.Second, a)
+	_, _, ok := tb.LastLoad(time.Second, a)
 	is.True(!ok)
-	tb.Tell(time.Second, up, steer.Load{Running: 2, Slots: 6, Pace: 1}, 0)
-	lo, age, ok := tb.Told(3*time.Second, a)
+	tb.RecordLoad(time.Second, up, steer.Load{Running: 2, Slots: 6, Slowdown: 1}, 0)
+	lo, age, ok := tb.LastLoad(3*time.Second, a)
 	is.True(ok)
 	is.Equal(lo.Running, 2)
 	is.Equal(age, 2*time.Second)
-	_, _, ok = tb.Told(3*time.Second, b)
+	_, _, ok = tb.LastLoad(3*time.Second, b)
 	is.True(!ok)
-	tb.TellsNot("s")
-	tells, _ := tb.Tells("s")
+	tb.RecordNoLoad("s")
+	tells, _ := tb.ReportsLoad("s")
 	is.True(tells)
-	tb.TellsNot("t")
-	tells, known = tb.Tells("t")
+	tb.RecordNoLoad("t")
+	tells, known = tb.ReportsLoad("t")
 	is.True(known && !tells)
-	is.True(tb.Misread(b))
-	is.True(!tb.Misread(b))
+	is.True(tb.RecordUnreadableLoad(b))
+	is.True(!tb.RecordUnreadableLoad(b))
 }
--- a/core/steer/warn_test.go
+++ b/core/steer/warn_test.go
@@ -100,7 +100,7 @@
 func attempt(now, took time.Duration, home *steer.Table, tables []*steer.Table, ups []*origin.Upstream, slow map[string]bool, warn bool, rnd *rand.Rand) int {
 	var tried []*origin.Upstream
 	for {
-		up, ok := home.Pick(now, steer.Kind{Usual: took, Slack: 3 * took}, ups, tried, rnd.Float64)
+		up, ok := home.Pick(now, steer.RequestKind{UsualLatency: took, Slack: 3 * took}, ups, tried, rnd.Float64)
 		if !ok {
 			return 0
 		}
@@ -112,9 +112,9 @@
 			tried = append(tried, up)
 			continue
 		}
-		at := steer.Attempt{Verdict: fanout.Served, Took: took, Usual: took}
+		at := steer.Result{Verdict: fanout.Served, Latency: took, UsualLatency: took}
 		if slow[up.ID] {
-			at.Took = 10 * took
+			at.Latency = 10 * took
 		}
 		seen := []*steer.Table{home}
 		if neighbour != home {
@@ -122,7 +122,7 @@
 		}
 		for _, tb := range seen {
 			tb.Begin(now, took, up.Process())
-			tb.End(now+at.Took, up.Process(), at)
+			tb.End(now+at.Latency, up.Process(), at)
 		}
 		if slow[up.ID] {
 			return 1
--- a/core/ticket/property_test.go
+++ b/core/ticket/property_test.go
@@ -158,7 +158,7 @@
 		vd := tb.Begin(0, text, "wash", 1)
 		is, ok := ticket.IssuerOf(text)
 		switch vd.Kind {
-		case ticket.VerdictForged, ticket.VerdictVoid:
+		case ticket.VerdictForged, ticket.VerdictEarlierProcess:
 		case ticket.VerdictElsewhere:
 			if !ok || is != vd.Issuer {
 				t.Fatalf("verdict names issuer %v, IssuerOf returns %v", vd.Issuer, is)
--- a/core/ticket/table.go
+++ b/core/ticket/table.go
@@ -55,7 +55,7 @@
 	// VerdictElsewhere: the request has to be forwarded to Issuer.
 	VerdictElsewhere
 	// VerdictVoid: issued by an earlier process at this address.
-	VerdictVoid
+	VerdictEarlierProcess
 	// VerdictExpired: the ticket expired; an earlier use may have run.
 	VerdictExpired
 	// VerdictForged: not a ticket of any VM, or modified.
@@ -143,7 +143,7 @@
 		return Verdict[A]{Kind: VerdictElsewhere, Issuer: Issuer{Addr: tk.Addr, Incarnation: tk.Incarnation}}
 	}
 	if tk.Incarnation != tb.cfg.Incarnation {
-		return Verdict[A]{Kind: VerdictVoid}
+		return Verdict[A]{Kind: VerdictEarlierProcess}
 	}
 	if !hmac.Equal(tk.MAC, tk.sign(tb.cfg.Secret)) {
 		return Verdict[A]{Kind: VerdictForged}
--- a/core/ticket/table_test.go
+++ b/core/ticket/table_test.go
@@ -71,7 +71,7 @@
 		}, ticket.VerdictExpired},
 		{"issuer restarted", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
 			return newTable("vm1", 2).Begin(0, token, "wash", 1)
-		}, ticket.VerdictVoid},
+		}, ticket.VerdictEarlierProcess},
 		{"different VM", func(_ *ticket.Table[string], token string) ticket.Verdict[string] {
 			return newTable("vm2", 1).Begin(0, token, "wash", 1)
 		}, ticket.VerdictElsewhere},
--- a/core/valve/valve.go
+++ b/core/valve/valve.go
@@ -102,7 +102,7 @@
 
 // Note records the result of an admitted request; short is set if it was late or failed for lack
 // of capacity.
-func (va *Valve) Note(short bool) {
+func (va *Valve) Record(short bool) {
 	va.mu.Lock()
 	defer va.mu.Unlock()
 	if short {
@@ -119,7 +119,7 @@
 }
 
 // Open returns the share of the most urgent requests that is admitted, 0 to 1.
-func (va *Valve) Open() float64 {
+func (va *Valve) Share() float64 {
 	va.mu.Lock()
 	defer va.mu.Unlock()
 	return va.share
--- a/core/valve/valve_test.go
+++ b/core/valve/valve_test.go
@@ -43,7 +43,7 @@
 			answered++
 		}
 		if va != nil {
-			va.Note(parts < minParts)
+			va.Record(parts < minParts)
 		}
 	}
 	return answered, refused
@@ -77,15 +77,15 @@
 	is := is.New(t)
 	va := valve.New(valve.Config{})
 	for range 1000 {
-		va.Note(true)
+		va.Record(true)
 	}
-	is.Equal(va.Open(), valve.DefaultMinShare)
+	is.Equal(va.Share(), valve.DefaultMinShare)
 	is.True(va.Admit(1, valve.DefaultMinShare-0.01))
 	is.True(!va.Admit(1, valve.DefaultMinShare+0.01))
 	for range 100 {
-		va.Note(false)
+		va.Record(false)
 	}
-	is.Equal(va.Open(), 1.0)
+	is.Equal(va.Share(), 1.0)
 }
 
 // Less urgent requests are refused first.
@@ -93,9 +93,9 @@
 	is := is.New(t)
 	va := valve.New(valve.Config{})
 	for range 10 {
-		va.Note(true)
+		va.Record(true)
 	}
-	between := va.Open() - 0.05
+	between := va.Share() - 0.05
 	is.True(va.Admit(0, between))
 	is.True(!va.Admit(1, between))
 }
@@ -106,11 +106,11 @@
 	is := is.New(t)
 	va := valve.New(valve.Config{})
 	for range 100 {
-		va.Note(true)
+		va.Record(true)
 	}
 	const admitted = 25
 	for range admitted {
-		va.Note(false)
+		va.Record(false)
 	}
-	is.Equal(va.Open(), 1.0)
+	is.Equal(va.Share(), 1.0)
 }
--- a/core/view/snapshot.go
+++ b/core/view/snapshot.go
@@ -65,7 +65,7 @@
 
 // Newer returns the newest snapshot that covers all its shards, if its version is higher than
 // version.
-func (rg Register) Newer(version uint64, live func(ServerID) bool) (Snapshot, bool) {
+func (rg Register) NewerComplete(version uint64, live func(ServerID) bool) (Snapshot, bool) {
 	for _, sn := range rg.Snapshots {
 		if sn.Version <= version {
 			return Snapshot{}, false
--- a/core/warm/example_test.go
+++ b/core/warm/example_test.go
@@ -21,6 +21,6 @@
 			ga.Failed(now, warm.FaultRefused)
 		}
 	}
-	fmt.Println(ga.Open(), ga.Waiting(now), ga.Waiting(now+time.Second))
+	fmt.Println(ga.Open(), ga.BackingOff(now), ga.BackingOff(now+time.Second))
 	// Output: 2 true false
 }
--- a/core/warm/storm_test.go
+++ b/core/warm/storm_test.go
@@ -114,7 +114,7 @@
 	so := newStorm(9, 3, 25, true)
 	so.run(40 * time.Second)
 	is.Equal(so.open(), 25)
-	is.True(so.peakOpening <= 9*warm.DefaultMostAtOnce)
+	is.True(so.peakOpening <= 9*warm.DefaultMaxOpening)
 	for _, n := range so.attempts[15:] {
 		is.True(n <= 9) // at any time two of nine VMs are refused, with growing waits
 	}
--- a/core/warm/warm.go
+++ b/core/warm/warm.go
@@ -36,7 +36,7 @@
 	DefaultFillInterval = 20 * time.Millisecond
 	DefaultMinWait      = 5 * time.Millisecond
 	DefaultMaxWait      = 2 * time.Second
-	DefaultMostAtOnce   = 4
+	DefaultMaxOpening   = 4
 	DefaultPeakWindow   = 30 * time.Second
 )
 
@@ -101,7 +101,7 @@
 		cfg.MaxWait = DefaultMaxWait
 	}
 	if cfg.MaxOpening == 0 {
-		cfg.MaxOpening = DefaultMostAtOnce
+		cfg.MaxOpening = DefaultMaxOpening
 	}
 	if cfg.PeakWindow == 0 {
 		cfg.PeakWindow = DefaultPeakWindow
@@ -136,14 +136,14 @@
 
 // MayOpen reports whether a connection may be opened for a waiting request.
 func (ga *Gate) MayOpen(now time.Duration) bool {
-	if ga.Waiting(now) || ga.opening >= ga.maxOpening {
+	if ga.BackingOff(now) || ga.opening >= ga.maxOpening {
 		return false
 	}
 	return ga.open+ga.opening < ga.capacity(now)
 }
 
 // Waiting reports whether a failure forbids attempts for now.
-func (ga *Gate) Waiting(now time.Duration) bool {
+func (ga *Gate) BackingOff(now time.Duration) bool {
 	return now < ga.blockedUntil
 }
 
@@ -204,7 +204,7 @@
 }
 
 // Used records how many connections are in use.
-func (ga *Gate) Used(now time.Duration, n int) {
+func (ga *Gate) RecordUse(now time.Duration, n int) {
 	if now-ga.windowStart >= ga.cfg.PeakWindow {
 		ga.prevPeak, ga.peak, ga.windowStart = ga.peak, 0, now
 	}
@@ -213,7 +213,7 @@
 
 // Want returns the number of connections to keep open: the floor or, if greater, one more than were
 // recently in use, within the limit.
-func (ga *Gate) Want() int {
+func (ga *Gate) Target() int {
 	want := ga.cfg.Floor
 	if peak := max(ga.peak, ga.prevPeak); peak > 0 {
 		want = max(want, peak+1)
@@ -223,8 +223,8 @@
 
 // Fill reports whether to open a connection for which no request waits. If it returns true, it
 // does so again only after FillInterval, with jitter.
-func (ga *Gate) Fill(now time.Duration) bool {
-	if ga.open+ga.opening >= ga.Want() || now < ga.nextFill || !ga.MayOpen(now) {
+func (ga *Gate) MayFill(now time.Duration) bool {
+	if ga.open+ga.opening >= ga.Target() || now < ga.nextFill || !ga.MayOpen(now) {
 		return false
 	}
 	ga.nextFill = now + ga.jitter(ga.cfg.FillInterval)
--- a/core/warm/warm_test.go
+++ b/core/warm/warm_test.go
@@ -90,15 +90,15 @@
 func TestWantFollowsUse(t *testing.T) {
 	is := is.New(t)
 	ga := newGate(8, 2)
-	is.Equal(ga.Want(), 2)
-	ga.Used(time.Second, 5)
-	is.Equal(ga.Want(), 6)
-	ga.Used(32*time.Second, 1)
-	is.Equal(ga.Want(), 6)
-	ga.Used(63*time.Second, 1)
-	is.Equal(ga.Want(), 2)
+	is.Equal(ga.Target(), 2)
+	ga.RecordUse(time.Second, 5)
+	is.Equal(ga.Target(), 6)
+	ga.RecordUse(32*time.Second, 1)
+	is.Equal(ga.Target(), 6)
+	ga.RecordUse(63*time.Second, 1)
+	is.Equal(ga.Target(), 2)
 	ga.SetLimit(1)
-	is.Equal(ga.Want(), 1)
+	is.Equal(ga.Target(), 1)
 }
 
 // Whatever the order of events, no attempt may begin at or above the current limit, and no more than
@@ -130,7 +130,7 @@
 			if total := ga.Open() + ga.Opening(); total >= ga.Limit() && ga.MayOpen(now) {
 				rt.Fatalf("one more over the limit %d with %d", ga.Limit(), total)
 			}
-			if ga.Opening() > warm.DefaultMostAtOnce {
+			if ga.Opening() > warm.DefaultMaxOpening {
 				rt.Fatalf("%d openings at once", ga.Opening())
 			}
 		}
--- a/docs/capacity/page_test.go
+++ b/docs/capacity/page_test.go
@@ -85,8 +85,8 @@
 		file, name string
 		want       int
 	}{
-		{"io/node/members_riders.go", "riderBytes", piggybackBytes},
-		{"io/node/upstreams.go", "hintBytes", pollBytes},
+		{"io/node/members_riders.go", "piggybackBytes", piggybackBytes},
+		{"io/node/upstreams.go", "hintBytesPerSecond", pollBytes},
 		{"io/upst/keep.go", "fillsPerTick", connsOpenedPerSecond / ticksPerSecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/io/accept/context.go
+++ b/io/accept/context.go
@@ -29,15 +29,15 @@
 // ClientPath returns what is known of the network path to the client of ctx, and whether the
 // client opened its connection for the current request. It returns the zero value if ctx
 // carries no connection.
-func ClientPath(ctx context.Context) lead.Trip {
+func ClientPath(ctx context.Context) lead.Path {
 	cn, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
-		return lead.Trip{}
+		return lead.Path{}
 	}
 	cn.mu.Lock()
 	first := cn.requests == 1
 	cn.mu.Unlock()
-	return lead.Trip{RoundTrip: cn.roundTrip(), Fresh: first}
+	return lead.Path{RoundTrip: cn.roundTrip(), FirstRequest: first}
 }
 
 func (cn *Conn) addHandlers(n int) {
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -124,7 +124,7 @@
 func (cl *Client) Carry(ctx context.Context, vms []*origin.Upstream, usual time.Duration, rq *inner.CarryRequest) (*inner.CarryReply, string, error) {
 	var tried []*origin.Upstream
 	for range maxTries {
-		vm, ok := cl.table.Pick(cl.cfg.Clock(), steer.Kind{Usual: usual}, vms, tried, rand.Float64)
+		vm, ok := cl.table.Pick(cl.cfg.Clock(), steer.RequestKind{UsualLatency: usual}, vms, tried, rand.Float64)
 		if !ok {
 			break
 		}
@@ -158,13 +158,13 @@
 	case err == nil && rp.GetDeclined():
 		cl.recordDeclined(now, vm.Process(), rp.GetReason())
 	case err == nil:
-		cl.table.End(now, vm.Process(), steer.Attempt{Verdict: fanout.Served, Took: now - began, Usual: usual})
+		cl.table.End(now, vm.Process(), steer.Result{Verdict: fanout.Served, Latency: now - began, UsualLatency: usual})
 	case ctx.Err() != nil:
 		// The client disconnected.
 		cl.table.Withdraw(now, vm.Process(), now-began)
 	default:
 		cl.table.Withdraw(now, vm.Process(), 0)
-		cl.table.Reached(now, vm.Process(), false)
+		cl.table.RecordConnect(now, vm.Process(), false)
 		cl.stubs.Drop(vm.Addr)
 	}
 	return rp, sent, err
@@ -176,7 +176,7 @@
 		cl.table.Withdraw(now, pr, 0)
 		return
 	}
-	cl.table.End(now, pr, steer.Attempt{Verdict: fanout.Refused})
+	cl.table.End(now, pr, steer.Result{Verdict: fanout.Refused})
 }
 
 // cancelIfSilent cancels a request if its VM has sent no response for silentAfter and then does
@@ -192,7 +192,7 @@
 				return
 			case <-tm.C:
 			}
-			if cl.table.Quiet(cl.cfg.Clock(), vm.Process()) >= silentAfter && !cl.Alive(vm.Addr, probeTimeout) {
+			if cl.table.SilentFor(cl.cfg.Clock(), vm.Process()) >= silentAfter && !cl.Alive(vm.Addr, probeTimeout) {
 				cancel(errSilent)
 				return
 			}
--- a/io/carry/join.go
+++ b/io/carry/join.go
@@ -17,7 +17,7 @@
 // VM with Follow.
 func (cl *Client) Join(ctx context.Context, vms []*origin.Upstream, usual time.Duration, rq *inner.JoinRequest) (*inner.JoinReply, *origin.Upstream, error) {
 	began := cl.cfg.Clock()
-	vm, ok := cl.table.Pick(began, steer.Kind{Usual: usual}, vms, nil, rand.Float64)
+	vm, ok := cl.table.Pick(began, steer.RequestKind{UsualLatency: usual}, vms, nil, rand.Float64)
 	if !ok {
 		return nil, nil, &Error{Op: "carry.Join", Kind: KindNone, Err: errNoVM}
 	}
@@ -30,7 +30,7 @@
 	if err != nil {
 		cl.table.Withdraw(now, vm.Process(), now-began)
 		if ctx.Err() == nil {
-			cl.table.Reached(now, vm.Process(), false)
+			cl.table.RecordConnect(now, vm.Process(), false)
 			cl.stubs.Drop(vm.Addr)
 		}
 		kind := KindNone
@@ -43,7 +43,7 @@
 		cl.recordDeclined(now, vm.Process(), rp.GetReason())
 		return nil, vm, &Error{Op: "carry.Join", Kind: KindNone, Addr: vm.Addr, Err: errNoVM}
 	}
-	cl.table.End(now, vm.Process(), steer.Attempt{Verdict: fanout.Served, Took: now - began, Usual: usual})
+	cl.table.End(now, vm.Process(), steer.Result{Verdict: fanout.Served, Latency: now - began, UsualLatency: usual})
 	return rp, vm, nil
 }
 
--- a/io/drive/admit.go
+++ b/io/drive/admit.go
@@ -142,7 +142,7 @@
 	vd := as.queue.offer(ctx, ad.dr, ar)
 	if !vd.start {
 		if as.bucket != nil {
-			as.bucket.GiveBack()
+			as.bucket.Refund()
 		}
 		return nil, ad.refuse(vd.reason, vd.retryAfter)
 	}
@@ -165,7 +165,7 @@
 		return
 	}
 	as.confirmed = true
-	as.queue.update(as.ad.dr, func(mc *machine) { mc.Begun() })
+	as.queue.update(as.ad.dr, func(mc *machine) { mc.ConfirmStart() })
 }
 
 // finish ends the search. NoWorker is set if sub-requests were not sent for lack of workers.
@@ -176,12 +176,12 @@
 	now := as.ad.dr.now()
 	as.queue.update(as.ad.dr, func(mc *machine) {
 		if !as.confirmed {
-			mc.Begun()
+			mc.ConfirmStart()
 		}
 		mc.Done(now, as.class, now-as.startedAt, noWorker)
 	})
 	if as.bucket != nil {
-		as.bucket.Give()
+		as.bucket.Release()
 	}
 }
 
@@ -219,9 +219,9 @@
 		id := view.ServerID(i)
 		sv := vw.ServerRef(id)
 		if i >= ad.limits.Len() {
-			ad.limits.Place(id, limit.GroupKey{Team: sv.Team, Register: sv.Register, Service: sv.Service})
+			ad.limits.Add(id, limit.GroupKey{Team: sv.Team, Register: sv.Register, Service: sv.Service})
 		}
-		ad.limits.SetOut(id, sv.State.Leaving())
+		ad.limits.SetExcluded(id, sv.State.Leaving())
 	}
 }
 
@@ -230,7 +230,7 @@
 		return aq.(*admissionQueue)
 	}
 	pl := ad.limits.Pool(key)
-	aq, _ := ad.queues.LoadOrStore(key, &admissionQueue{machine: admit.New[*waiter](admit.Config{Room: pl.Room})})
+	aq, _ := ad.queues.LoadOrStore(key, &admissionQueue{machine: admit.New[*waiter](admit.Config{HasCapacity: pl.HasCapacity})})
 	return aq.(*admissionQueue)
 }
 
@@ -253,11 +253,11 @@
 // limitSample returns what a sub-request's result means for the server's limit. A cancelled
 // sub-request still shows how long the server had it; one that was not sent shows nothing.
 func (at *attempt) limitSample(result pick.Result, rp wire.ShardReply, latency time.Duration) limit.Sample {
-	if result == pick.Nothing && !at.cancelled.Load() {
+	if result == pick.NoResult && !at.cancelled.Load() {
 		latency = 0
 	}
 	kinds := [...]limit.Kind{
-		pick.Nothing: limit.Neutral,
+		pick.NoResult: limit.Neutral,
 		pick.Replied: limit.Replied,
 		pick.Refused: limit.Shed,
 		pick.Failed:  limit.Failed,
--- a/io/drive/attempt.go
+++ b/io/drive/attempt.go
@@ -83,7 +83,7 @@
 	case rf == wire.RefusalShed || rf == wire.RefusalCold:
 		return pick.Refused
 	case ev.Kind == search.EvRefused || at.cancelled.Load() || isLocalFailure(ev.Reason):
-		return pick.Nothing
+		return pick.NoResult
 	default:
 		return pick.Failed
 	}
--- a/io/drive/driver.go
+++ b/io/drive/driver.go
@@ -139,8 +139,8 @@
 			Floor:    time.Duration(conf.Hedge.MinDelayMs) * time.Millisecond,
 			Ceiling:  conf.HardDeadline() / 2,
 		}),
-		hedges:  budget.New(budget.Config{Share: conf.Hedge.Budget, Burst: hedgeBurst, Rounds: hedgeRounds}),
-		retries: budget.New(budget.Config{Share: conf.Retry.Budget, Burst: retryBurst, Rounds: retryRounds}),
+		hedges:  budget.New(budget.Config{Share: conf.Hedge.Budget, Burst: hedgeBurst, BurstPerPrimary: hedgeRounds}),
+		retries: budget.New(budget.Config{Share: conf.Retry.Budget, Burst: retryBurst, BurstPerPrimary: retryRounds}),
 	}
 	dr.kinds.Store(key, kd)
 	return kd
--- a/io/drive/queue.go
+++ b/io/drive/queue.go
@@ -80,9 +80,9 @@
 }
 
 func (aq *admissionQueue) wait(ctx context.Context, dr *Driver, wt *waiter, de admit.Decision) verdict {
-	tm := time.NewTimer(de.Until - dr.now())
+	tm := time.NewTimer(de.StartBy - dr.now())
 	defer tm.Stop()
-	reason := string(admit.ReasonWaited)
+	reason := string(admit.ReasonQueueTimeout)
 	select {
 	case vd := <-wt.ready:
 		return vd
@@ -170,5 +170,5 @@
 }
 
 func (ch capacityChooser) hasCapacity(now time.Duration, id view.ServerID) bool {
-	return ch.unlimited || int(id) >= ch.ad.limits.Len() || ch.ad.limits.Room(now, id)
+	return ch.unlimited || int(id) >= ch.ad.limits.Len() || ch.ad.limits.HasCapacity(now, id)
 }
--- a/io/drive/search.go
+++ b/io/drive/search.go
@@ -113,9 +113,9 @@
 		once:     once,
 	}
 	cf := dr.searchConfig(vw, rq, kd, sn, once)
-	cf.Soft -= as.waited
-	cf.Hard -= as.waited
-	se.prepare(cf.Number, cf.Hard, sn.Shards())
+	cf.SoftDeadline -= as.waited
+	cf.HardDeadline -= as.waited
+	se.prepare(cf.ID, cf.HardDeadline, sn.Shards())
 	se.machine = search.New(cf)
 	an := se.run(ctx)
 	as.finish(an.Reason == ReasonNoWorker)
@@ -135,21 +135,21 @@
 		delay = kd.tracker.Delay()
 	}
 	return search.Config{
-		Number:        number,
+		ID:        number,
 		Snapshot:      sn,
 		Newer:         dr.newerSnapshot(rq.Team, kd.conf.Register),
-		Soft:          now + min(hard, kd.conf.SoftDeadline()),
-		Hard:          now + hard,
+		SoftDeadline:          now + min(hard, kd.conf.SoftDeadline()),
+		HardDeadline:          now + hard,
 		MinCoverage:   minCoverage,
-		Once:          once,
+		AtMostOnce:          once,
 		HitLimit:      kd.conf.HitLimit,
 		Chooser:       dr.chooser(now, vw, number, once),
 		HedgeDelay:    delay,
 		LostDelay:     lostDelayFactor * delay,
-		HedgeBudget:   limit.Hedges(kd.hedges, dr.admission.extra),
-		RetryBudget:   limit.Retries(kd.retries, dr.admission.extra),
+		HedgeBudget:   limit.HedgeBudget(kd.hedges, dr.admission.extra),
+		RetryBudget:   limit.RetryBudget(kd.retries, dr.admission.extra),
 		RetryPerShard: kd.conf.Retry.PerShard,
-		LeastTime:     max(minSendTime, min(kd.tracker.Least(), hard/maxReplyTimeDivisor)),
+		MinTimeLeft:     max(minSendTime, min(kd.tracker.LowQuantile(), hard/maxReplyTimeDivisor)),
 	}
 }
 
@@ -162,7 +162,7 @@
 		if !ok {
 			return view.Snapshot{}, false
 		}
-		return rg.Newer(version, dr.liveFilter(vw))
+		return rg.NewerComplete(version, dr.liveFilter(vw))
 	}
 }
 
--- a/io/drive/session.go
+++ b/io/drive/session.go
@@ -146,6 +146,6 @@
 func (se *session) cancel(ac *search.Action) {
 	at := se.attempts[ac.Sub.Attempt]
 	at.cancelled.Store(true)
-	se.kd.tracker.GaveUp(se.dr.now() - ac.Started)
+	se.kd.tracker.ObserveCancelled(se.dr.now() - ac.Started)
 	se.dr.cfg.Upstream(at.ac.Server).Cancel(at.id())
 }
--- a/io/drive/ticket.go
+++ b/io/drive/ticket.go
@@ -148,7 +148,7 @@
 func (dr *Driver) RunForwarded(ctx context.Context, rq wire.SearchRequest) (an wire.SearchAnswer, void bool) {
 	is, ok := ticket.IssuerOf(rq.Ticket)
 	if !ok || is.Addr != dr.cfg.Tickets.Addr || is.Incarnation != dr.cfg.Incarnation {
-		return dr.ticketRefusal(ticket.VerdictVoid), true
+		return dr.ticketRefusal(ticket.VerdictEarlierProcess), true
 	}
 	return dr.Search(ctx, rq), false
 }
--- a/io/edge/config.go
+++ b/io/edge/config.go
@@ -88,7 +88,7 @@
 	// Keep renews a lease.
 	Keep(ctx context.Context, lease uint64) error
 	// Put writes entries, each under its lease, in one transaction.
-	Put(ctx context.Context, entries []enlist.Leased) error
+	Put(ctx context.Context, entries []enlist.LeasedEntry) error
 	// Remove deletes entries in one transaction. None is deleted if an item has a revision and
 	// its entry was written since.
 	Remove(ctx context.Context, items []feed.Item) error
--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -33,23 +33,23 @@
 func (eg *Edge) updateCutOff(ctx context.Context) {
 	vw, now := eg.view.Load(), eg.clock()
 	tr := eg.entry.Stats()
-	si := reach.Sight{
+	si := reach.Observation{
 		Silence:  min(eg.follow.Silence(), now-tr.RemoteAnsweredAt),
-		Asked:    tr.Routed,
+		Requests:    tr.Routed,
 		Unserved: tr.Unserved,
 	}
 	// Usually nothing is silent, and the checks of servers and routes can be skipped.
-	if si.Silence > reach.DefaultSoon {
-		si.Told = !eg.set.Off.Off(toggle.Proofs) && eg.follow.ToldCut()
-		si.Owed = tr.RemoteLost + eg.steer.Overdue(now, vw.Upstreams())
-		si.Mute = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-si.Silence
-		si.Lacking = !vw.ServesAlone()
+	if si.Silence > reach.DefaultShortSilence {
+		si.CutReported = !eg.set.Off.Off(toggle.Proofs) && eg.follow.ToldCut()
+		si.Overdue = tr.RemoteLost + eg.steer.CountOverdue(now, vw.Upstreams())
+		si.ProbesFailed = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-si.Silence
+		si.LocalInsufficient = !vw.LocalServersSuffice()
 	}
-	if si.Silence > probeSilence || vw.BlindMatters() && eg.ramp.Doubts(now) || eg.cutOff.Load() || eg.cutDetector.Doubts(si) {
+	if si.Silence > probeSilence || vw.StaleStateMatters() && eg.ramp.ShouldProbe(now) || eg.cutOff.Load() || eg.cutDetector.ShouldProbe(si) {
 		eg.probeRemote(now)
 	}
-	blind := vw.BlindMatters() && eg.ramp.Blind(now)
-	off := (eg.cutDetector.Look(now, si) && !eg.set.Off.Off(toggle.Cuts) || blind) && vw.FleetSize() > 1
+	blind := vw.StaleStateMatters() && eg.ramp.Stale(now)
+	off := (eg.cutDetector.Update(now, si) && !eg.set.Off.Off(toggle.Cuts) || blind) && vw.FleetSize() > 1
 	if eg.cutOff.Swap(off) == off {
 		return
 	}
@@ -58,8 +58,8 @@
 	if off {
 		eg.workers.submit(func() { eg.follow.TellCut(ctx) })
 	}
-	eg.cfg.Log.Warn().Bool("cutOff", off).Int64("silenceMs", si.Silence.Milliseconds()).Int("owed", si.Owed).
-		Bool("told", si.Told).Bool("blind", blind).Bool("mute", si.Mute).Bool("failing", eg.cutDetector.Failing()).Msg("cut-off state changed")
+	eg.cfg.Log.Warn().Bool("cutOff", off).Int64("silenceMs", si.Silence.Milliseconds()).Int("owed", si.Overdue).
+		Bool("told", si.CutReported).Bool("blind", blind).Bool("mute", si.ProbesFailed).Bool("failing", eg.cutDetector.Failing()).Msg("cut-off state changed")
 }
 
 // probeRemote probes VMs of other data centres. While the store is down nothing changes, and a
@@ -70,14 +70,14 @@
 		return
 	}
 	eg.nextProbe = now + probeInterval
-	vms := eg.view.Load().FarVMs(probesPerRound, rand.Float64)
+	vms := eg.view.Load().RemoteVMs(probesPerRound, rand.Float64)
 	var left atomic.Int64
 	left.Store(int64(len(vms)))
 	for _, vm := range vms {
 		eg.workers.submit(func() {
 			eg.meter.Count(meter.Platform, "probe")
 			alive := eg.homeClient.Alive(vm.Addr, probeTimeout)
-			eg.ramp.Probed(eg.clock(), alive)
+			eg.ramp.RecordProbe(eg.clock(), alive)
 			if alive {
 				eg.follow.Touch()
 				return
--- a/io/edge/edge.go
+++ b/io/edge/edge.go
@@ -67,7 +67,7 @@
 	leases     atomic.Pointer[map[string]uint64]
 	homeClient *carry.Client
 	// ramp limits the requests to servers that are warming up.
-	ramp *ramp.Gate
+	ramp *ramp.Limiter
 	// poison holds the requests under which servers crashed; poisonWriter writes them to the
 	// store for other VMs.
 	poison       *poison.Table
@@ -83,7 +83,7 @@
 	ready   atomic.Bool
 	// knownSince is when routes and servers were first known.
 	knownSince  time.Duration
-	cutDetector *reach.Judge
+	cutDetector *reach.Detector
 	// cutOff is set while clients should use another VM.
 	cutOff atomic.Bool
 	// nextProbe is when VMs of other data centres may be probed again.
@@ -199,7 +199,7 @@
 		Dial:     eg.cfg.Dial,
 		Go:       eg.workers.submit,
 		Count:    func(event string) { eg.meter.Count(meter.Connection, event) },
-		Dialled:  func(pr origin.Process, ok bool) { eg.steer.Reached(eg.clock(), pr, ok) },
+		Dialled:  func(pr origin.Process, ok bool) { eg.steer.RecordConnect(eg.clock(), pr, ok) },
 		Ended:    eg.serverEnded,
 		Opened:   func() { eg.conns.Add(1) },
 		Closed:   func() { eg.conns.Add(-1) },
@@ -315,7 +315,7 @@
 	}
 	cold, waited := eg.pool.ColdServers(), now-eg.knownSince
 	silence := min(eg.follow.Silence(), now-eg.entry.Stats().RemoteAnsweredAt)
-	if !eg.set.Off.Off(toggle.Cuts) && !reach.Enters(eg.follow.ToldCut(), silence, now, waited) {
+	if !eg.set.Off.Off(toggle.Cuts) && !reach.MayEnterRotation(eg.follow.ToldCut(), silence, now, waited) {
 		return
 	}
 	partlyWarm := cold*coldDivisor <= vw.Upstreams().Len() && waited >= partlyWarmWait
@@ -329,11 +329,11 @@
 
 func (st *state) limits(up *upstream) relay.Limits {
 	li := st.view.Limits(up)
-	if !up.Takes() {
+	if !up.Accepting() {
 		// Connections in use are closed after their requests.
-		return relay.Limits{Max: li.Most, Halted: true}
+		return relay.Limits{Max: li.Max, Halted: true}
 	}
-	return relay.Limits{Idle: li.Warm, Max: li.Most}
+	return relay.Limits{Idle: li.Idle, Max: li.Max}
 }
 
 // setExtra sets this VM's part of the limits on extra attempts.
@@ -347,7 +347,7 @@
 // attempts.
 func (eg *Edge) Reload(set Settings) {
 	eg.extra.Store(&set.Extra)
-	eg.setExtra(eg.view.Load().ExtraPart())
+	eg.setExtra(eg.view.Load().ExtraShare())
 	eg.cfg.Log.Info().Float64("extraShare", set.Extra.Share).Int("extraBurst", set.Extra.Burst).Msg("settings reloaded")
 }
 
--- a/io/edge/poison.go
+++ b/io/edge/poison.go
@@ -18,12 +18,12 @@
 // sendHint notifies the other VMs at once of a request under which servers crash, because its
 // client may retry at one of them a few milliseconds later.
 func (eg *Edge) sendHint(rd poison.Record) {
-	eg.workers.submit(func() { eg.follow.TellHint(context.Background(), rd.Word()) })
+	eg.workers.submit(func() { eg.follow.TellHint(context.Background(), rd.EncodeHint()) })
 }
 
 // receiveHint processes such a notification from another VM.
 func (eg *Edge) receiveHint(text string) {
-	rd, err := poison.ParseWord(text)
+	rd, err := poison.ParseHint(text)
 	if err != nil {
 		eg.meter.Count(meter.Platform, "hintUnreadable")
 		eg.cfg.Log.Warn().Err(err).Msg("hint from another VM cannot be read")
--- a/io/edge/poisonwriter.go
+++ b/io/edge/poisonwriter.go
@@ -113,7 +113,7 @@
 			if err := pw.write(ctx, ups); err != nil {
 				pw.requeue(ups)
 				fails++
-				bo := retry.Backoff{First: minPoisonRetryWait, Most: maxPoisonRetryWait, Jitter: 1}
+				bo := retry.Backoff{Initial: minPoisonRetryWait, Max: maxPoisonRetryWait, Jitter: 1}
 				wait = bo.Wait(fails, rand.Float64())
 				pw.eg.cfg.Log.Warn().Err(err).Int("records", len(ups)).Int("fails", fails).Msg("could not write records of requests under which servers ended")
 			} else {
@@ -132,7 +132,7 @@
 	bounded, cancel := context.WithTimeout(ctx, poisonWriteTimeout)
 	defer cancel()
 	pw.eg.meter.Count(meter.Platform, "share")
-	var puts []enlist.Leased
+	var puts []enlist.LeasedEntry
 	var deletes []feed.Item
 	for _, up := range ups {
 		key, value := pw.eg.cfg.Decoder.PoisonEntry(up.Record)
@@ -140,7 +140,7 @@
 			deletes = append(deletes, feed.Item{Key: key})
 			continue
 		}
-		puts = append(puts, enlist.Leased{Entry: enlist.Entry{Key: key, Value: value}})
+		puts = append(puts, enlist.LeasedEntry{Entry: enlist.Entry{Key: key, Value: value}})
 	}
 	if err := pw.put(bounded, puts); err != nil {
 		return err
@@ -151,13 +151,13 @@
 	return pw.eg.cfg.Store.Remove(bounded, deletes)
 }
 
-func (pw *poisonWriter) put(ctx context.Context, puts []enlist.Leased) error {
+func (pw *poisonWriter) put(ctx context.Context, puts []enlist.LeasedEntry) error {
 	if len(puts) == 0 {
 		return nil
 	}
 	store, now := pw.eg.cfg.Store, pw.eg.clock()
 	if pw.lease == 0 || now-pw.leasedAt > poisonLeaseReuse {
-		lease, _, err := store.Grant(ctx, poison.BlockFor)
+		lease, _, err := store.Grant(ctx, poison.BlockDuration)
 		if err != nil {
 			return err
 		}
--- a/io/edge/registrar.go
+++ b/io/edge/registrar.go
@@ -29,7 +29,7 @@
 	leases map[string]uint64
 
 	mu      sync.Mutex
-	batch   enlist.Book
+	batch   enlist.Batch
 	waiting map[string]chan registerResult
 }
 
@@ -151,7 +151,7 @@
 // put writes entries under the leases of their data centres: those that this VM created, or
 // else those that the copy of the store shows. If one of them has ended, the store does not say
 // which, so all are created anew.
-func (rg *registrar) put(ctx context.Context, entries []enlist.Entry) ([]enlist.Leased, error) {
+func (rg *registrar) put(ctx context.Context, entries []enlist.Entry) ([]enlist.LeasedEntry, error) {
 	known := maps.Clone(*rg.eg.leases.Load())
 	maps.Copy(known, rg.leases)
 	leased, err := rg.assignLeases(ctx, entries, known)
@@ -169,8 +169,8 @@
 }
 
 // assignLeases gives each entry the lease of its data centre, and creates one if none is known.
-func (rg *registrar) assignLeases(ctx context.Context, entries []enlist.Entry, known map[string]uint64) ([]enlist.Leased, error) {
-	leased := make([]enlist.Leased, len(entries))
+func (rg *registrar) assignLeases(ctx context.Context, entries []enlist.Entry, known map[string]uint64) ([]enlist.LeasedEntry, error) {
+	leased := make([]enlist.LeasedEntry, len(entries))
 	for i, en := range entries {
 		lease := known[en.DataCentre]
 		if lease == 0 {
@@ -180,7 +180,7 @@
 			}
 			known[en.DataCentre], rg.leases[en.DataCentre] = lease, lease
 		}
-		leased[i] = enlist.Leased{Entry: en, Lease: lease}
+		leased[i] = enlist.LeasedEntry{Entry: en, Lease: lease}
 	}
 	return leased, nil
 }
--- a/io/edge/registrar_test.go
+++ b/io/edge/registrar_test.go
@@ -37,7 +37,7 @@
 	return uint64(cs.grants), time.Minute, nil
 }
 
-func (cs *countingStore) Put(_ context.Context, entries []enlist.Leased) error {
+func (cs *countingStore) Put(_ context.Context, entries []enlist.LeasedEntry) error {
 	time.Sleep(storeLatency)
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -99,6 +99,6 @@
 	all.Wait()
 	is.Equal(len(cs.entries), vms)
 	is.Equal(cs.grants, min(vms, 2)) // one lease of each data centre
-	is.True(cs.writes <= 1+int(over/collectTime)+(vms-1)/enlist.TxnMost)
+	is.True(cs.writes <= 1+int(over/collectTime)+(vms-1)/enlist.MaxTxnEntries)
 	is.True(time.Since(began) <= over+collectTime+time.Duration(cs.writes+cs.grants)*storeLatency)
 }
--- a/io/edge/registration.go
+++ b/io/edge/registration.go
@@ -110,7 +110,7 @@
 	rn.awaitCopy(ctx)
 	fails := 0
 	for ctx.Err() == nil {
-		wait := rn.eg.set.LeaseTime / enlist.Rounds
+		wait := rn.eg.set.LeaseTime / enlist.RenewRounds
 		if err := rn.refresh(ctx); err != nil {
 			fails++
 			wait = registerRetryWait(fails)
@@ -136,7 +136,7 @@
 
 // registerRetryWait returns the wait after the given number of consecutive failures.
 func registerRetryWait(fails int) time.Duration {
-	bo := retry.Backoff{First: minRegisterWait, Most: maxRegisterWait, Jitter: 1}
+	bo := retry.Backoff{Initial: minRegisterWait, Max: maxRegisterWait, Jitter: 1}
 	return bo.Wait(fails, rand.Float64())
 }
 
--- a/io/edge/silent.go
+++ b/io/edge/silent.go
@@ -28,12 +28,12 @@
 		return
 	}
 	st.nextSilentCheck = now + silentCheckInterval
-	silent := enlist.Silent(enlist.Sight{
+	silent := enlist.Silent(enlist.Observation{
 		Now:       now,
 		LeaseTime: st.eg.set.LeaseTime,
-		Leads:     st.followed,
+		Followed:     st.followed,
 		Since:     st.followedSince,
-		Fresh:     st.eg.follow.Age() < feed.StaleAfter,
+		StoreFresh:     st.eg.follow.Age() < feed.StaleAfter,
 	}, st.localVMs())
 	if len(silent) > 0 {
 		st.eg.workers.submit(func() { st.eg.removeDead(ctx, silent) })
@@ -41,15 +41,15 @@
 }
 
 // localVMs returns the other VMs of this data centre whose entries have not lapsed.
-func (st *state) localVMs() []enlist.Other {
-	var others []enlist.Other
+func (st *state) localVMs() []enlist.OtherVM {
+	var others []enlist.OtherVM
 	self := st.eg.set.Self
 	for key, vr := range st.vms {
 		if _, lapsed := st.lapsed[key]; lapsed || vr.vm.DataCentre != self.DataCentre || vr.vm.Addr == self.Addr {
 			continue
 		}
-		others = append(others, enlist.Other{
-			Key: key, Addr: vr.vm.Addr, Revision: vr.revision, Heard: st.eg.follow.Heard(vr.vm.Addr),
+		others = append(others, enlist.OtherVM{
+			Key: key, Addr: vr.vm.Addr, Revision: vr.revision, LastContact: st.eg.follow.Heard(vr.vm.Addr),
 		})
 	}
 	return others
@@ -57,7 +57,7 @@
 
 // removeDead probes VMs and removes the entries of those that do not respond. A VM that is
 // alive after all sees that its entry was removed and has it written again.
-func (eg *Edge) removeDead(ctx context.Context, silent []enlist.Other) {
+func (eg *Edge) removeDead(ctx context.Context, silent []enlist.OtherVM) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	var dead []feed.Item
--- a/io/edge/state.go
+++ b/io/edge/state.go
@@ -52,7 +52,7 @@
 func newState(eg *Edge) *state {
 	return &state{
 		eg:             eg,
-		servers:        origin.NewTable(origin.Config{Linger: lapseGrace, Forget: serverForgetTime}),
+		servers:        origin.NewTable(origin.Config{LapseGrace: lapseGrace, TombstoneTTL: serverForgetTime}),
 		vms:            make(map[string]vmRecord),
 		lapsed:         make(map[string]time.Duration),
 		unreadableKeys: make(map[string]bool),
@@ -64,7 +64,7 @@
 func (st *state) applyChange(ch follow.Change) {
 	now := st.eg.clock()
 	if ch.Returned > 0 && !st.eg.set.Off.Off(toggle.Absence) && now < ch.Returned+lapseGrace && st.view.Upstreams().Len() > 0 {
-		st.servers.Suspect(ch.Returned)
+		st.servers.StoreReturned(ch.Returned)
 	}
 	upstreams, fleet := false, false
 	for _, ev := range ch.Events {
@@ -137,8 +137,8 @@
 	if !st.servers.Put(now, up) {
 		return false
 	}
-	st.eg.cfg.Log.Info().Str("server", up.ID).Str("service", up.Service).Str("addr", up.Addr).Int64("born", up.Born).
-		Bool("leaving", up.Leaving).Int64("coldMs", up.WarmFor.Milliseconds()).Uint64("sequence", up.Sequence).Uint64("revision", ev.Revision).Msg("server entry")
+	st.eg.cfg.Log.Info().Str("server", up.ID).Str("service", up.Service).Str("addr", up.Addr).Int64("born", up.StartMs).
+		Bool("leaving", up.Leaving).Int64("coldMs", up.ColdFor.Milliseconds()).Uint64("sequence", up.Sequence).Uint64("revision", ev.Revision).Msg("server entry")
 	return true
 }
 
@@ -156,7 +156,7 @@
 
 // endEvacuation lets the servers of a data centre get requests again.
 func (st *state) endEvacuation(dataCentre string) bool {
-	if !st.servers.Return(st.eg.clock(), dataCentre, st.warmUpTime) {
+	if !st.servers.EndEvacuation(st.eg.clock(), dataCentre, st.warmUpTime) {
 		return false
 	}
 	st.eg.meter.Count(meter.Evacuation, "ended")
@@ -232,7 +232,7 @@
 func (st *state) observeStore(now time.Duration) {
 	_, listed := st.vms[st.eg.vmKey]
 	_, lapsed := st.lapsed[st.eg.vmKey]
-	st.eg.ramp.Look(now, st.eg.follow.Age(), listed && !lapsed)
+	st.eg.ramp.ObserveStore(now, st.eg.follow.Age(), listed && !lapsed)
 }
 
 // tick removes expired state.
@@ -282,7 +282,7 @@
 	}
 	leases := make(map[string]uint64, len(byDataCentre))
 	for dc, all := range byDataCentre {
-		if lease := enlist.LeaseOf(all); lease != 0 {
+		if lease := enlist.CommonLease(all); lease != 0 {
 			leases[dc] = lease
 		}
 	}
@@ -294,10 +294,10 @@
 func (st *state) publish() {
 	st.eg.view.Store(st.view)
 	st.eg.pool.Sync(st.view.Upstreams(), st.limits)
-	st.eg.steer.Keep(st.view.Upstreams())
-	st.eg.ramp.Keep(st.view.Upstreams())
+	st.eg.steer.Retain(st.view.Upstreams())
+	st.eg.ramp.Retain(st.view.Upstreams())
 	st.observeStore(st.eg.clock())
-	st.eg.setExtra(st.view.ExtraPart())
+	st.eg.setExtra(st.view.ExtraShare())
 	if !st.eg.ready.Load() {
 		// Open connections at once: until it is ready, the VM serves nothing.
 		st.eg.pool.Tick()
--- a/io/entry/answer.go
+++ b/io/entry/answer.go
@@ -143,7 +143,7 @@
 func (fl *flight) notRunResponse(an fanout.Answer) *response {
 	wait := retryAfterNoServer
 	switch {
-	case an.Full:
+	case an.NoCapacity:
 		wait = retryAfterBusy
 	case fl.onlyColdLeft:
 		wait = fl.timeUntilWarm(fl.en.cfg.Clock())
@@ -163,8 +163,8 @@
 // failedResponse says that the request may have run. If a server reported a failure itself, its
 // response is passed on.
 func (fl *flight) failedResponse(an fanout.Answer) *response {
-	if fl.rt.Gather == nil && an.Shown >= 0 {
-		if rp := fl.results[an.Shown].rs.Reply; rp != nil && rp.Header.Get(fl.en.cfg.Names.Receipt) != "" {
+	if fl.rt.Gather == nil && an.ShownFailure >= 0 {
+		if rp := fl.results[an.ShownFailure].rs.Reply; rp != nil && rp.Header.Get(fl.en.cfg.Names.Receipt) != "" {
 			return serverResponse(rp)
 		}
 	}
--- a/io/entry/choose.go
+++ b/io/entry/choose.go
@@ -15,7 +15,7 @@
 // Pick chooses a server of a shard. A server that is warming up gets a request only if no other
 // server is left, and only as the first one of that shard: retries and hedges would use up the
 // few requests that such a server can bear.
-func (fl *flight) Pick(now time.Duration, pr fanout.Ask) (*origin.Upstream, bool) {
+func (fl *flight) Pick(now time.Duration, pr fanout.PickRequest) (*origin.Upstream, bool) {
 	warm, cold := fl.warmAndCold(now, pr.Shard)
 	if pr.Trial {
 		if up, ok := fl.pick(now, pr.Shard, warm, fl.withOnTrial(warm, pr.Tried)); ok {
@@ -32,7 +32,7 @@
 }
 
 func (fl *flight) pick(now time.Duration, shard int, ups, tried []*origin.Upstream) (*origin.Upstream, bool) {
-	ki := steer.Kind{Usual: fl.latency.usualLatency(), Slack: fl.hedgeAfter, Joined: fl.joinFrom[shard], Told: !fl.rt.Idempotent}
+	ki := steer.RequestKind{UsualLatency: fl.latency.usualLatency(), Slack: fl.hedgeAfter, JoinDataCentre: fl.joinFrom[shard], UseLoadReports: !fl.rt.Idempotent}
 	return fl.en.cfg.Steer.Pick(now, ki, ups, tried, rand.Float64)
 }
 
@@ -41,7 +41,7 @@
 func (fl *flight) withOnTrial(ups, tried []*origin.Upstream) []*origin.Upstream {
 	avoid := append([]*origin.Upstream(nil), tried...)
 	for _, up := range ups {
-		if fl.en.cfg.Poison.OnTrial(up.Process()) {
+		if fl.en.cfg.Poison.HasTrial(up.Process()) {
 			avoid = append(avoid, up)
 		}
 	}
@@ -55,12 +55,12 @@
 	if fl.en.mayMissWarmUp(vw, fl.services[shard]) {
 		return nil, nil
 	}
-	if !vw.Warms(fl.services[shard]) {
+	if !vw.HasWarming(fl.services[shard]) {
 		return ups, nil
 	}
 	warm = make([]*origin.Upstream, 0, len(ups))
 	for _, up := range ups {
-		if vw.WarmsUp(now, up) {
+		if vw.IsWarming(now, up) {
 			cold = append(cold, up)
 		} else {
 			warm = append(warm, up)
@@ -72,14 +72,14 @@
 // mayMissWarmUp reports whether servers of a service may be warming up without this VM knowing,
 // because its copy of the store is not up to date.
 func (en *Entry) mayMissWarmUp(vw *plan.View, service string) bool {
-	return vw.BlindMatters() && en.cfg.Ramp.Blind(en.cfg.Clock()) && vw.Bounds(service)
+	return vw.StaleStateMatters() && en.cfg.Ramp.Stale(en.cfg.Clock()) && vw.LimitsWarmUp(service)
 }
 
 // candidates returns the servers that were candidates when the request arrived, in their
 // current state. A server may have announced its shutdown or begun to warm up since then.
 func (fl *flight) candidates(shard int) []*origin.Upstream {
 	vw := fl.en.cfg.View()
-	ups := fl.vw.Within(fl.rt, fl.vw.Candidates(fl.services[shard]))
+	ups := fl.vw.FilterByRegion(fl.rt, fl.vw.Candidates(fl.services[shard]))
 	if vw == fl.vw {
 		return ups
 	}
@@ -94,7 +94,7 @@
 
 // pickCold chooses one of the servers that are warming up. If this VM may not send to a server
 // directly, it asks the server's owner, which may decline.
-func (fl *flight) pickCold(now time.Duration, pr fanout.Ask, cold []*origin.Upstream) (*origin.Upstream, bool) {
+func (fl *flight) pickCold(now time.Duration, pr fanout.PickRequest, cold []*origin.Upstream) (*origin.Upstream, bool) {
 	denied := append([]*origin.Upstream(nil), pr.Tried...)
 	for {
 		up, ok := fl.pick(now, pr.Shard, cold, denied)
@@ -118,7 +118,7 @@
 	if fl.en.cfg.Off.Off(toggle.Asks) {
 		return false
 	}
-	return fl.rt.Gather != nil && fl.vw.Allows(fl.rt, owner.DataCentre) && fl.en.cfg.Ramp.MayAsk(now, up.Process())
+	return fl.rt.Gather != nil && fl.vw.Allows(fl.rt, owner.DataCentre) && fl.en.cfg.Ramp.MayAskOwner(now, up.Process())
 }
 
 // admitCold reports whether a request may be sent to a server that may be warming up. If the
@@ -128,7 +128,7 @@
 	if !bound {
 		return true
 	}
-	ok := wa.Self && now >= up.ColdFrom && en.cfg.Ramp.Take(now, up.Process(), wa.Most)
+	ok := wa.Self && now >= up.ColdKnownFrom && en.cfg.Ramp.Allow(now, up.Process(), wa.MaxPerSecond)
 	if ok {
 		en.cfg.Meter.Count(meter.Sent, "warming")
 	} else {
@@ -165,7 +165,7 @@
 // send it, the attempt ends as not sent.
 func (fl *flight) sendUnjoined(ac fanout.Action) {
 	now := fl.en.cfg.Clock()
-	if !fl.en.cfg.View().WarmsUp(now, ac.Upstream) {
+	if !fl.en.cfg.View().IsWarming(now, ac.Upstream) {
 		fl.send(ac)
 		return
 	}
@@ -175,8 +175,8 @@
 
 // recordOwnerReply records whether the owner of a server that is warming up sent an attempt.
 func (fl *flight) recordOwnerReply(now time.Duration, up *origin.Upstream, sent bool) {
-	if fl.en.cfg.View().WarmsUp(now, up) {
-		fl.en.cfg.Ramp.Asked(now, up.Process(), sent)
+	if fl.en.cfg.View().IsWarming(now, up) {
+		fl.en.cfg.Ramp.RecordReply(now, up.Process(), sent)
 	}
 }
 
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -71,7 +71,7 @@
 	// Load parses a server's load report.
 	Load func(text string) (steer.Load, error)
 	// Ramp limits the requests of this VM to servers that are warming up.
-	Ramp *ramp.Gate
+	Ramp *ramp.Limiter
 	// HomeClient forwards requests to other VMs.
 	HomeClient HomeClient
 	// Poison holds the requests under which servers crashed, and SharePoison distributes an
@@ -149,11 +149,11 @@
 		return ti
 	}
 	li := tb.Limits()
-	if li.RequestTime > 0 {
-		ti.Request = li.RequestTime + extraBodyTimeout
+	if li.HeaderTimeout > 0 {
+		ti.Request = li.HeaderTimeout + extraBodyTimeout
 	}
-	if li.IdleTime > 0 {
-		ti.Idle = li.IdleTime
+	if li.IdleTimeout > 0 {
+		ti.Idle = li.IdleTimeout
 	}
 	return ti
 }
@@ -213,7 +213,7 @@
 	en.inFlight.Add(1)
 	defer en.inFlight.Add(-1)
 	rq, rf := en.read(rc, en.cfg.Clock())
-	rq.transitTime = en.lead.Away(en.clientTrip(ctx))
+	rq.transitTime = en.lead.TransitTime(en.clientTrip(ctx))
 	if rf == nil {
 		rf = en.route(ctx, rc, rq)
 	}
@@ -226,9 +226,9 @@
 }
 
 // clientTrip returns what is known of the network path to the client.
-func (en *Entry) clientTrip(ctx context.Context) lead.Trip {
+func (en *Entry) clientTrip(ctx context.Context) lead.Path {
 	if en.cfg.Off.Off(toggle.Trips) {
-		return lead.Trip{}
+		return lead.Path{}
 	}
 	return accept.ClientPath(ctx)
 }
@@ -252,7 +252,7 @@
 		en.refuseBlocked(rq).write(rc)
 		return nil
 	}
-	if en.moving.Load() && (!vw.ServesNear(rt) || !vw.BlindServes(rt) && en.cfg.Ramp.Blind(en.cfg.Clock())) {
+	if en.moving.Load() && (!vw.LocalServersSufficeFor(rt) || !vw.ServesWithStaleState(rt) && en.cfg.Ramp.Stale(en.cfg.Clock())) {
 		en.refuseCutOff(rq).write(rc)
 		return nil
 	}
@@ -261,7 +261,7 @@
 			rs.write(rc)
 			return nil
 		}
-	} else if targets := vw.Homes(rt); len(targets) > 0 && !en.cfg.Off.Off(toggle.Homes) {
+	} else if targets := vw.ForwardTargets(rt); len(targets) > 0 && !en.cfg.Off.Off(toggle.Homes) {
 		if rs := en.forward(ctx, targets, rq, rt); rs != nil {
 			rs.write(rc)
 			return nil
@@ -294,7 +294,7 @@
 	fl := en.newFlight(rq, rt, vw)
 	an := fl.run(ctx)
 	fl.reportArrival()
-	va.Note(fl.lackedCapacity && (an.Outcome != fanout.OutcomeServed || an.At > rq.began+rt.Target))
+	va.Record(fl.lackedCapacity && (an.Outcome != fanout.OutcomeServed || an.At > rq.began+rt.Target))
 	rs := fl.response(an)
 	en.recordOutcome(an, rq)
 	fl.log(an, rs.status)
--- a/io/entry/flight.go
+++ b/io/entry/flight.go
@@ -97,7 +97,7 @@
 	if rq.timeout > 0 {
 		wait = min(wait, rq.timeout)
 	}
-	overhead := rq.transitTime + en.lead.Own()
+	overhead := rq.transitTime + en.lead.LocalTime()
 	if rq.forwarded {
 		overhead += forwardOverhead
 	}
@@ -111,7 +111,7 @@
 	for _, name := range fl.services {
 		// A server is asked again only after it refused, and no more often than the route
 		// allows.
-		maxAttempts += len(vw.Candidates(name)) + rt.MaxAttempts + fanout.SpareTries
+		maxAttempts += len(vw.Candidates(name)) + rt.MaxAttempts + fanout.SpareAttempts
 	}
 	fl.mailbox = make(chan attemptResult, maxAttempts)
 	fl.machine = fanout.New(fanout.Config{
@@ -120,13 +120,13 @@
 		Idempotent:  rt.Idempotent,
 		MaxAttempts: rt.MaxAttempts,
 		Target:      rq.began + rt.Target - overhead,
-		Hard:        fl.hardDeadline,
+		HardDeadline:        fl.hardDeadline,
 		HedgeAfter:  hedgeAfter,
-		LeastTime:   minAttemptTime,
+		MinTimeLeft:   minAttemptTime,
 		Suspect:     rq.suspect,
 		TrialGap:    trialSettleTime,
 		Blocked:     fl.blocked,
-		Draw:        rand.Float64,
+		Rand:        rand.Float64,
 		Chooser:     fl,
 		Budget:      fl,
 	})
@@ -182,7 +182,7 @@
 			ending = nil
 			now, ev = fl.hardDeadline, fanout.Event{Kind: fanout.EvWake}
 		case <-ctx.Done():
-			ev = fanout.Event{Kind: fanout.EvGone}
+			ev = fanout.Event{Kind: fanout.EvClientGone}
 		}
 		if an, done = fl.perform(fl.machine.Step(max(now, clock()), ev)); done {
 			return an
@@ -234,7 +234,7 @@
 			fl.calls = append(fl.calls, nil)
 			sends = append(sends, ac)
 		case fanout.ActDrop:
-			fl.drop(ac, done && an.Outcome == fanout.OutcomeGone)
+			fl.drop(ac, done && an.Outcome == fanout.OutcomeClientGone)
 		}
 	}
 	fl.dispatch(sends)
@@ -287,11 +287,11 @@
 	}
 	lo, err := en.cfg.Load(text)
 	if err == nil {
-		en.cfg.Steer.Tell(now, up, lo, took)
+		en.cfg.Steer.RecordLoad(now, up, lo, took)
 		return
 	}
 	en.cfg.Meter.Count(meter.Upstream, "badLoad")
-	if en.cfg.Steer.Misread(up.Process()) {
+	if en.cfg.Steer.RecordUnreadableLoad(up.Process()) {
 		en.cfg.Log.Warn().Str("server", up.ID).Str("load", text).Err(err).Msg("a server's load cannot be read; ignored")
 	}
 }
@@ -318,11 +318,11 @@
 	} else if ar.verdict != fanout.Served {
 		en.cfg.Meter.Count(meter.Upstream, ar.verdict.String())
 	}
-	window := en.cfg.Steer.End(now, up.Process(), steer.Attempt{
+	window := en.cfg.Steer.End(now, up.Process(), steer.Result{
 		Verdict: ar.verdict,
-		Took:    ar.rs.Took,
-		Usual:   usual,
-		Most:    en.cfg.View().Limits(up).Most,
+		Latency:    ar.rs.Took,
+		UsualLatency:   usual,
+		MaxConnections:    en.cfg.View().Limits(up).Max,
 	})
 	if !en.cfg.Off.Off(toggle.Windows) {
 		en.cfg.Relay.SetWindow(up, window)
--- a/io/entry/forward.go
+++ b/io/entry/forward.go
@@ -84,7 +84,7 @@
 		Route:   rt.Digest(),
 		Suspect: rq.suspect,
 		// The response passes through this VM too.
-		AwayUs: uint64((rq.transitTime + en.lead.Own()).Microseconds()),
+		AwayUs: uint64((rq.transitTime + en.lead.LocalTime()).Microseconds()),
 	}
 	if rq.timeout > 0 {
 		cr.LeftUs = uint64(max(1, (rq.timeout - spent).Microseconds()))
--- a/io/entry/forwarded.go
+++ b/io/entry/forwarded.go
@@ -32,7 +32,7 @@
 	}
 	if rq.transitTime == 0 {
 		// VMs of older versions do not send it.
-		rq.transitTime = ld.Away(lead.Trip{})
+		rq.transitTime = ld.TransitTime(lead.Path{})
 	}
 	rq.path, _, _ = strings.Cut(rq.uri, "?")
 	for _, fi := range cr.GetFields() {
--- a/io/entry/join.go
+++ b/io/entry/join.go
@@ -46,8 +46,8 @@
 	var pl cover.Planner
 	for shard := range fl.services {
 		warm, _ := fl.warmAndCold(now, shard)
-		if local, dcs := fl.en.cfg.Steer.SoundPlaces(now, warm); !local {
-			pl.Need(shard, dcs)
+		if local, dcs := fl.en.cfg.Steer.HealthyDataCentres(now, warm); !local {
+			pl.AddShard(shard, dcs)
 		}
 	}
 	fl.joinFrom = pl.Choose(minJoin, rand.Float64)
@@ -85,7 +85,7 @@
 // asked only after the reply.
 func (fl *flight) joinDataCentre(ac fanout.Action) string {
 	up, en := ac.Upstream, fl.en
-	if ac.Cause != fanout.CauseFirst || up.DataCentre == en.cfg.DataCentre || !en.cfg.Steer.Sound(en.cfg.Clock(), up.Process()) {
+	if ac.Cause != fanout.CauseFirst || up.DataCentre == en.cfg.DataCentre || !en.cfg.Steer.Healthy(en.cfg.Clock(), up.Process()) {
 		return ""
 	}
 	return up.DataCentre
@@ -106,7 +106,7 @@
 	rq.Request.LeftUs = uint64((fl.hardDeadline - now).Microseconds())
 	for _, ac := range group {
 		rq.Servers = append(rq.Servers, ac.Upstream.ID)
-		fl.machine.Hold(ac.Attempt, now+wait+joinSlack)
+		fl.machine.HoldHedges(ac.Attempt, now+wait+joinSlack)
 		en.cfg.Steer.Begin(now, usual, ac.Upstream.Process())
 		en.cfg.Meter.Count(meter.Sent, "joined")
 	}
@@ -216,7 +216,7 @@
 		ar.rs.Reply.Header.Set(en.cfg.Names.Receipt, pa.GetReceipt())
 	}
 	fl.recordOwnerReply(now, ac.Upstream, true)
-	en.cfg.Steer.End(now, ac.Upstream.Process(), steer.Attempt{Verdict: ar.verdict, Took: ar.rs.Took, Usual: fl.latency.usualLatency()})
+	en.cfg.Steer.End(now, ac.Upstream.Process(), steer.Result{Verdict: ar.verdict, Latency: ar.rs.Took, UsualLatency: fl.latency.usualLatency()})
 	return ar
 }
 
@@ -240,10 +240,10 @@
 		evs[i] = fl.record(ar)
 	}
 	for _, ac := range jr.open {
-		fl.machine.Release(ac.Attempt)
+		fl.machine.ReleaseHedges(ac.Attempt)
 		if jr.unsent {
 			fl.sendUnjoined(ac)
 		}
 	}
-	return fl.machine.StepAll(fl.en.cfg.Clock(), evs)
+	return fl.machine.StepJoined(fl.en.cfg.Clock(), evs)
 }
--- a/io/entry/joiner.go
+++ b/io/entry/joiner.go
@@ -107,7 +107,7 @@
 	jo.head = en.head(jo.rq)
 	for k, id := range jr.GetServers() {
 		up, ok := vw.Upstreams().Find(id)
-		if !ok || !up.Takes() {
+		if !ok || !up.Accepting() {
 			jo.results[k].verdict = fanout.Unsent
 			continue
 		}
--- a/io/entry/log.go
+++ b/io/entry/log.go
@@ -99,9 +99,9 @@
 // loadText describes the last load report of an attempt's server: running, waiting and slots,
 // its pace, and the age of the report.
 func (fl *flight) loadText(k int) string {
-	lo, age, ok := fl.en.cfg.Steer.Told(fl.en.cfg.Clock(), fl.machine.Upstream(k).Process())
+	lo, age, ok := fl.en.cfg.Steer.LastLoad(fl.en.cfg.Clock(), fl.machine.Upstream(k).Process())
 	if !ok {
 		return ""
 	}
-	return fmt.Sprintf(" load %d/%d/%d pace %.2f %dms ago", lo.Running, lo.Waiting, lo.Slots, lo.Pace, age.Milliseconds())
+	return fmt.Sprintf(" load %d/%d/%d pace %.2f %dms ago", lo.Running, lo.Waiting, lo.Slots, lo.Slowdown, age.Milliseconds())
 }
--- a/io/entry/poison.go
+++ b/io/entry/poison.go
@@ -31,7 +31,7 @@
 // arrivals of it continue; it is tried again after none came for poison.BlockFor.
 func (en *Entry) refuseBlocked(rq *request) *response {
 	rs := refusalResponse(consts.StatusServiceUnavailable, fanout.ReasonCrashes, "servers that run this request crash")
-	rs.setRetryAfter(poison.BlockFor)
+	rs.setRetryAfter(poison.BlockDuration)
 	en.cfg.Meter.Count(meter.Refusal, fanout.ReasonCrashes)
 	en.cfg.Log.Info().Str("id", rq.id).Str("host", rq.host).Str("path", rq.path).
 		Str("fingerprint", rq.fingerprint().String()).Int("status", rs.status).
@@ -41,7 +41,7 @@
 
 // ServerEnded records that a server crashed under requests.
 func (en *Entry) ServerEnded(pr origin.Process) {
-	en.reportPoison(en.cfg.Poison.Ended(en.cfg.Clock(), pr))
+	en.reportPoison(en.cfg.Poison.RecordServerEnd(en.cfg.Clock(), pr))
 }
 
 // ReceiveHint processes another VM's direct message about a request, which arrives before the
@@ -52,12 +52,12 @@
 
 // ApplyPoison processes an entry of the store that another VM wrote about a request.
 func (en *Entry) ApplyPoison(rd poison.Record) {
-	en.reportPoison(en.cfg.Poison.Learn(en.cfg.Clock(), rd))
+	en.reportPoison(en.cfg.Poison.Merge(en.cfg.Clock(), rd))
 }
 
 // RemovePoison processes the removal of a request's entry from the store.
 func (en *Entry) RemovePoison(fp poison.Fingerprint) {
-	if up, ok := en.cfg.Poison.Release(en.cfg.Clock(), fp); ok {
+	if up, ok := en.cfg.Poison.Unblock(en.cfg.Clock(), fp); ok {
 		en.reportPoison([]poison.Update{up})
 	}
 }
@@ -67,7 +67,7 @@
 	for _, up := range updates {
 		en.cfg.Meter.Count(meter.Poison, up.State.String())
 		en.cfg.Log.Warn().Str("fingerprint", up.Fingerprint.String()).Str("state", up.State.String()).
-			Int("ends", up.Ends).Strs("trials", up.Trials).Bool("shared", up.Share).Bool("answered", up.Cleared).
+			Int("ends", up.Crashes).Strs("trials", up.Trials).Bool("shared", up.Share).Bool("answered", up.Cleared).
 			Msg("request under which servers ended")
 		if up.Share {
 			en.cfg.SharePoison(up)
@@ -88,12 +88,12 @@
 
 // reportAttempt records what the result of an attempt shows about the request.
 func (fl *flight) reportAttempt(ac fanout.Action, ar attemptResult) {
-	pr, how := ac.Upstream.Process(), poison.Among
+	pr, how := ac.Upstream.Process(), poison.NotTrial
 	if ac.Trial {
 		how = fl.en.cfg.Poison.EndTrial(pr)
 	}
 	if ar.broken {
-		fl.en.reportPoison(fl.en.cfg.Poison.Broken(fl.en.cfg.Clock(), fl.rq.fingerprint(), pr, how))
+		fl.en.reportPoison(fl.en.cfg.Poison.RecordBroken(fl.en.cfg.Clock(), fl.rq.fingerprint(), pr, how))
 	}
 }
 
@@ -135,10 +135,10 @@
 	now, table := fl.en.cfg.Clock(), fl.en.cfg.Poison
 	if fl.answeredCount == 0 {
 		fl.sendHint(1)
-		fl.en.reportPoison(table.Unserved(now, fl.rq.fingerprint()))
+		fl.en.reportPoison(table.RecordUnserved(now, fl.rq.fingerprint()))
 		return
 	}
-	if up, known := table.Answered(now, fl.rq.fingerprint()); known {
+	if up, known := table.RecordAnswer(now, fl.rq.fingerprint()); known {
 		fl.en.reportPoison([]poison.Update{up})
 	}
 }
--- a/io/entry/request.go
+++ b/io/entry/request.go
@@ -54,7 +54,7 @@
 		for _, fi := range rq.fields {
 			same.Fields = append(same.Fields, poison.Field{Name: fi.name, Value: fi.value})
 		}
-		rq.cachedFingerprint = poison.Of(same)
+		rq.cachedFingerprint = poison.FingerprintOf(same)
 	})
 	return rq.cachedFingerprint
 }
--- a/io/entry/status.go
+++ b/io/entry/status.go
@@ -38,7 +38,7 @@
 	if !ok || sv.StatusPath == "" {
 		return
 	}
-	if reports, known := en.cfg.Steer.Tells(sv.Name); known && !reports {
+	if reports, known := en.cfg.Steer.ReportsLoad(sv.Name); known && !reports {
 		return
 	}
 	warm, _ := fl.warmAndCold(now, 0)
@@ -54,7 +54,7 @@
 		return
 	}
 	answered := en.askStatus(candidates, sv.StatusPath, min(statusCheckTimeout, time.Duration(statusCheckShare*float64(fl.rt.Target))))
-	fl.ready = en.cfg.Steer.Ready(en.cfg.Clock(), answered)
+	fl.ready = en.cfg.Steer.FilterReady(en.cfg.Clock(), answered)
 	if len(answered) > 0 {
 		// If none responds, this VM itself may be slow.
 		fl.notReady = slices.DeleteFunc(candidates, func(up *origin.Upstream) bool { return slices.Contains(fl.ready, up) })
@@ -62,11 +62,11 @@
 }
 
 // pickReady chooses a server that reported that it is ready, or else one that was not asked.
-func (fl *flight) pickReady(now time.Duration, pr fanout.Ask, warm []*origin.Upstream) (*origin.Upstream, bool) {
+func (fl *flight) pickReady(now time.Duration, pr fanout.PickRequest, warm []*origin.Upstream) (*origin.Upstream, bool) {
 	if !pr.First || len(fl.ready)+len(fl.notReady) == 0 {
 		return nil, false
 	}
-	if up, ok := fl.pick(now, pr.Shard, fl.ready, pr.Tried); ok && up.Takes() {
+	if up, ok := fl.pick(now, pr.Shard, fl.ready, pr.Tried); ok && up.Accepting() {
 		return up, true
 	}
 	return fl.pick(now, pr.Shard, warm, slices.Concat(fl.notReady, pr.Tried))
@@ -118,7 +118,7 @@
 		return false
 	}
 	if sr.rs.Reply.Header.Get(en.cfg.Names.Load) == "" {
-		en.cfg.Steer.TellsNot(sr.up.Service)
+		en.cfg.Steer.RecordNoLoad(sr.up.Service)
 	}
 	en.recordLoad(en.cfg.Clock(), sr.up, sr.rs.Reply, 0)
 	return true
--- a/io/entry/waketimer.go
+++ b/io/entry/waketimer.go
@@ -36,6 +36,6 @@
 
 func (wt *wakeTimer) recordLateness() {
 	if wt.due > 0 && !wt.fl.en.cfg.Off.Off(toggle.Timers) {
-		wt.fl.en.lead.Woke(wt.fl.en.cfg.Clock() - wt.due)
+		wt.fl.en.lead.RecordLateness(wt.fl.en.cfg.Clock() - wt.due)
 	}
 }
--- a/io/follow/boot.go
+++ b/io/follow/boot.go
@@ -25,7 +25,7 @@
 	rd := &storeRead{fo: fo, done: make(chan storeResult, 1)}
 	for ctx.Err() == nil && !fo.known() {
 		if as := fo.takeFreshCaller(); as.addr != "" {
-			bo.Name(fo.cfg.Clock(), as.addr)
+			bo.AddPeer(fo.cfg.Clock(), as.addr)
 		}
 		if re, ok := rd.finished(); ok {
 			fo.bootFromStore(ctx, bo, re)
@@ -59,10 +59,10 @@
 func (fo *Follower) bootFromStore(ctx context.Context, bo *feed.Boot, re storeResult) {
 	st := feed.Step{From: feed.FromStore}
 	if err := fo.applyStore(re.update, re.err); err != nil {
-		bo.Failed(fo.cfg.Clock(), st, feed.Report{Failed: true})
+		bo.Failed(fo.cfg.Clock(), st, feed.Outcome{Failed: true})
 		return
 	}
-	if bo.Tells(st) {
+	if bo.Announces(st) {
 		fo.notifySeeds(ctx)
 	}
 }
@@ -79,10 +79,10 @@
 		members = nil
 	}
 	readers, own := feed.Readers(fo.cfg.Self, members)
-	bo.Listed(fo.cfg.Clock(), readers, own)
+	bo.SetReaders(fo.cfg.Clock(), readers, own)
 }
 
-func (fo *Follower) bootCallPeer(ctx context.Context, st feed.Step) (feed.Report, error) {
+func (fo *Follower) bootCallPeer(ctx context.Context, st feed.Step) (feed.Outcome, error) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
 	rp, err := fo.updateFromPeer(bounded, st.Addr)
@@ -208,5 +208,5 @@
 func (fo *Follower) known() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.replica.Known()
+	return fo.replica.Loaded()
 }
--- a/io/follow/boot_test.go
+++ b/io/follow/boot_test.go
@@ -103,7 +103,7 @@
 func TestListFails(t *testing.T) {
 	is := is.New(t)
 	changes := make(chan follow.Change, 1)
-	cfg := config("10.0.0.3:7000", &fullStore{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
+	cfg := config("10.0.0.3:7000", &fullStore{update: feed.Update{Full: true, AsOf: 1, Events: entries(1)}})
 	cfg.LinkMbps = 20
 	cfg.List = func(ctx context.Context) ([]feed.Member, error) {
 		<-ctx.Done()
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -102,12 +102,12 @@
 // Follower keeps a copy of the store up to date.
 type Follower struct {
 	cfg         Config
-	guide       *feed.Guide
+	guide       *feed.Selector
 	peers       *stubs.Pool[inner.Feed]
 	valuePacker packer
 	// copyPacker compresses copies for VMs that have none, and giver limits how many are sent.
 	copyPacker copyPacker
-	giver      feed.Giver
+	giver      feed.CopyLimiter
 	// dataCentres maps the address of each VM to its data centre; only Run uses it.
 	dataCentres map[string]string
 	// calls tracks calls that run in the background.
@@ -119,7 +119,7 @@
 
 	mu      sync.Mutex
 	replica *feed.Replica
-	absence feed.Absence
+	absence feed.Outage
 	// remoteAnswerAt is when the store or a VM of another data centre last answered, with
 	// updates or without.
 	remoteAnswerAt time.Duration
@@ -159,7 +159,7 @@
 	}
 	return &Follower{
 		cfg:           cfg,
-		guide:         feed.NewGuide(feed.GuideConfig{Self: cfg.Self, Rand: cfg.Rand}),
+		guide:         feed.NewSelector(feed.SelectorConfig{Self: cfg.Self, Rand: cfg.Rand}),
 		peers:         newStubs(),
 		replica:       feed.NewReplica(feed.DefaultHistory),
 		storeCalledAt: -storeInterval,
@@ -198,7 +198,7 @@
 func (fo *Follower) Silence() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.cfg.Clock() - max(fo.remoteAnswerAt, fo.absence.Last())
+	return fo.cfg.Clock() - max(fo.remoteAnswerAt, fo.absence.LastContact())
 }
 
 // Touch records that a VM of another data centre answered just now.
@@ -216,10 +216,10 @@
 }
 
 func (fo *Follower) age(now time.Duration) time.Duration {
-	if !fo.absence.Ever() {
+	if !fo.absence.Contacted() {
 		return unknownAge
 	}
-	return now - fo.absence.Last()
+	return now - fo.absence.LastContact()
 }
 
 // Run keeps the copy up to date until the context ends.
@@ -232,16 +232,16 @@
 	for ctx.Err() == nil {
 		fo.applyPeers()
 		if as := fo.takeFreshCaller(); as.addr != "" {
-			fo.guide.Hint(as.addr, fo.cfg.Clock()-as.currentAt)
+			fo.guide.Suggest(as.addr, fo.cfg.Clock()-as.currentAt)
 		}
 		st := fo.guide.Next(fo.cfg.Clock(), fo.Age())
-		if st.From != feed.FromNobody && (st.From != last.From || st.Addr != last.Addr) {
+		if st.From != feed.FromNone && (st.From != last.From || st.Addr != last.Addr) {
 			fo.cfg.Switched(st, fo.Age(), nil)
 			last = st
 		}
 		fo.setFollows(st)
 		rp, err := fo.step(ctx, st)
-		fo.guide.Heard(fo.cfg.Clock(), st, rp)
+		fo.guide.Done(fo.cfg.Clock(), st, rp)
 		if err != nil && ctx.Err() == nil {
 			fo.cfg.Switched(st, fo.Age(), err)
 			last = feed.Step{}
@@ -279,7 +279,7 @@
 
 // setFollows records which VM this VM follows.
 func (fo *Follower) setFollows(st feed.Step) {
-	if st.From == feed.FromNobody {
+	if st.From == feed.FromNone {
 		return
 	}
 	fo.mu.Lock()
@@ -290,7 +290,7 @@
 	}
 }
 
-func (fo *Follower) step(ctx context.Context, st feed.Step) (feed.Report, error) {
+func (fo *Follower) step(ctx context.Context, st feed.Step) (feed.Outcome, error) {
 	switch st.From {
 	case feed.FromStore:
 		return fo.updateFromStore(ctx)
@@ -298,7 +298,7 @@
 		return fo.updateFromPeer(ctx, st.Addr)
 	}
 	sleep(ctx, st.Wait)
-	return feed.Report{}, nil
+	return feed.Outcome{}, nil
 }
 
 func sleep(ctx context.Context, wait time.Duration) {
@@ -310,15 +310,15 @@
 	}
 }
 
-func (fo *Follower) updateFromStore(ctx context.Context) (feed.Report, error) {
+func (fo *Follower) updateFromStore(ctx context.Context) (feed.Outcome, error) {
 	if wait := fo.storeCalledAt + storeInterval - fo.cfg.Clock(); wait > 0 {
 		sleep(ctx, wait)
 	}
 	fo.noteStoreCall()
 	if err := fo.applyStore(fo.callStore(ctx)); err != nil {
-		return feed.Report{Failed: true}, err
+		return feed.Outcome{Failed: true}, err
 	}
-	return feed.Report{}, nil
+	return feed.Outcome{}, nil
 }
 
 // noteStoreCall records a call to the store.
@@ -343,7 +343,7 @@
 
 func (fo *Follower) callStore(ctx context.Context) (feed.Update, error) {
 	fo.mu.Lock()
-	known, after := fo.replica.Known(), fo.replica.AsOf()
+	known, after := fo.replica.Loaded(), fo.replica.AsOf()
 	fo.mu.Unlock()
 	if known {
 		bounded, cancel := context.WithTimeout(ctx, watchWait+watchSlack)
@@ -362,7 +362,7 @@
 // errNoCopy means that a peer has no copy yet, or does not give one now.
 var errNoCopy = errors.New("VM gave no copy of the store")
 
-func (fo *Follower) updateFromPeer(ctx context.Context, addr string) (feed.Report, error) {
+func (fo *Follower) updateFromPeer(ctx context.Context, addr string) (feed.Outcome, error) {
 	fo.cfg.Count("peer")
 	fo.mu.Lock()
 	after := fo.replica.AsOf()
@@ -379,27 +379,27 @@
 	}
 	if err == nil && an.update.AsOf == 0 {
 		fo.cfg.Count("peerEmpty")
-		return feed.Report{Empty: true, Age: unknownAge, Others: an.others}, errors.Wrap(errNoCopy, addr)
+		return feed.Outcome{Empty: true, Age: unknownAge, Holders: an.others}, errors.Wrap(errNoCopy, addr)
 	}
 	if err != nil {
 		fo.cfg.Count("peerFailed")
 		fo.peers.Drop(addr)
-		return feed.Report{Failed: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Age: unknownAge}, errors.Wrap(err, addr)
+		return feed.Outcome{Failed: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Age: unknownAge}, errors.Wrap(err, addr)
 	}
 	now := fo.cfg.Clock()
 	fo.apply(an.update, source{from: feed.FromPeer, peer: addr, origin: an.origin, currentAt: now - an.age, returned: an.returnedAt(now)})
 	if an.leaving {
-		return feed.Report{Age: unknownAge}, nil
+		return feed.Outcome{Age: unknownAge}, nil
 	}
 	self := fo.cfg.Self.Addr
-	return feed.Report{Age: an.age, Own: an.origin == self, Follows: an.follows == self}, nil
+	return feed.Outcome{Age: an.age, OwnData: an.origin == self, Follows: an.follows == self}, nil
 }
 
 func (fo *Follower) noteFailed() {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	fo.absence.Failed(now)
+	fo.absence.RecordFailure(now)
 }
 
 // source describes where an update comes from.
@@ -419,18 +419,18 @@
 func (fo *Follower) apply(up feed.Update, so source) {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
-	ch := Change{Whole: up.Whole, Age: fo.age(now), From: so.from, Peer: so.peer, AsOf: up.AsOf}
+	ch := Change{Whole: up.Full, Age: fo.age(now), From: so.from, Peer: so.peer, AsOf: up.AsOf}
 	before := fo.replica.AsOf()
-	ch.Events = fo.replica.Take(up)
+	ch.Events = fo.replica.Apply(up)
 	// An update that is older than this VM's copy does not show that the copy is current.
-	if fo.replica.Known() && up.AsOf >= before {
-		if so.currentAt > fo.absence.Last() {
+	if fo.replica.Loaded() && up.AsOf >= before {
+		if so.currentAt > fo.absence.LastContact() {
 			fo.origin = so.origin
 		}
-		fo.absence.Heard(so.currentAt)
+		fo.absence.RecordContact(so.currentAt)
 	}
-	fo.absence.Told(so.returned)
-	ch.Returned = fo.absence.Returned()
+	fo.absence.RecordRecovery(so.returned)
+	ch.Returned = fo.absence.Recovered()
 	fo.wakeAll()
 	fo.mu.Unlock()
 	// Changed is also called when an old copy becomes current again without changes: the next
--- a/io/follow/follow_test.go
+++ b/io/follow/follow_test.go
@@ -26,7 +26,7 @@
 }
 
 func (st *store) Range(context.Context, string) (feed.Update, error) {
-	return feed.Update{Whole: true, AsOf: 1, Events: []feed.Event{{Item: feed.Item{Key: "a", Revision: 1}}}}, nil
+	return feed.Update{Full: true, AsOf: 1, Events: []feed.Event{{Item: feed.Item{Key: "a", Revision: 1}}}}, nil
 }
 
 func (st *store) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (feed.Update, error) {
--- a/io/follow/heard.go
+++ b/io/follow/heard.go
@@ -19,7 +19,7 @@
 func (fo *Follower) Leads() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.replica.Known() && fo.leader == ""
+	return fo.replica.Loaded() && fo.leader == ""
 }
 
 // Note records a sign of life of another VM.
--- a/io/follow/help_test.go
+++ b/io/follow/help_test.go
@@ -49,7 +49,7 @@
 // and returns a function that ends it.
 func startWithCopy(t *testing.T, size int) (fo *follow.Follower, end func()) {
 	t.Helper()
-	st := &fullStore{update: feed.Update{Whole: true, AsOf: uint64(size), Events: entries(size)}}
+	st := &fullStore{update: feed.Update{Full: true, AsOf: uint64(size), Events: entries(size)}}
 	fo, end = start(t, config("10.0.0.1:7000", st))
 	for fo.Age() > time.Second {
 		time.Sleep(time.Millisecond)
--- a/io/follow/hint_test.go
+++ b/io/follow/hint_test.go
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	var hints []string
-	cfg := config("10.0.0.1:7000", &fullStore{update: feed.Update{Whole: true, AsOf: 1, Events: entries(1)}})
+	cfg := config("10.0.0.1:7000", &fullStore{update: feed.Update{Full: true, AsOf: 1, Events: entries(1)}})
 	cfg.Hinted = func(hint string) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/io/follow/peers.go
+++ b/io/follow/peers.go
@@ -77,7 +77,7 @@
 	fo.mu.Unlock()
 	fo.acceptHints(toStrings(rp.GetHints()))
 	an := answer{
-		update:  feed.Update{Whole: rp.GetWhole(), AsOf: rp.GetAsOf()},
+		update:  feed.Update{Full: rp.GetWhole(), AsOf: rp.GetAsOf()},
 		age:     time.Duration(rp.GetAgeMs()) * time.Millisecond,
 		leaving: rp.GetLeaving(),
 		others:  rp.GetOthers(),
--- a/io/follow/serve.go
+++ b/io/follow/serve.go
@@ -54,10 +54,10 @@
 	if rq.GetAfter() > 0 || !rq.GetPacks() {
 		return nil, true
 	}
-	if !fo.replica.Known() {
-		return fo.giver.Others(fo.cfg.Clock(), rq.GetFrom()), false
+	if !fo.replica.Loaded() {
+		return fo.giver.Holders(fo.cfg.Clock(), rq.GetFrom()), false
 	}
-	give, others = fo.giver.Ask(fo.cfg.Clock(), rq.GetFrom())
+	give, others = fo.giver.Allow(fo.cfg.Clock(), rq.GetFrom())
 	return others, give
 }
 
@@ -76,7 +76,7 @@
 		fo.noteCutProof(now)
 	}
 	if age <= feed.StaleAfter && rq.GetAfter() > 0 {
-		fo.giver.Note(now, rq.GetFrom())
+		fo.giver.AddHolder(now, rq.GetFrom())
 	}
 	if age < fo.age(now) {
 		fo.freshCaller = freshCaller{addr: rq.GetFrom(), currentAt: now - age}
@@ -86,7 +86,7 @@
 func (fo *Follower) lastCurrent() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.absence.Last()
+	return fo.absence.LastContact()
 }
 
 // replyNow returns the reply as of now, and whether it should be sent without further waiting.
@@ -97,13 +97,13 @@
 	rp := fo.newReply(age)
 	hinted := fo.attachHints(rq, rp)
 	up, found := fo.replica.Since(rq.GetAfter())
-	if found && (up.Whole || len(up.Events) > 0) {
-		rp.Whole = up.Whole
+	if found && (up.Full || len(up.Events) > 0) {
+		rp.Whole = up.Full
 		rp.AsOf = up.AsOf
 		for _, ev := range up.Events {
 			rp.Events = append(rp.Events, fo.valuePacker.pack(ev))
 		}
-		if up.Whole && rq.GetPacks() {
+		if up.Full && rq.GetPacks() {
 			fo.packCopy(rp)
 		}
 		return rp, fo.changed, true
@@ -124,10 +124,10 @@
 		Origin:  fo.origin,
 		Follows: fo.follows,
 	}
-	if returned := fo.absence.Returned(); returned > 0 {
+	if returned := fo.absence.Recovered(); returned > 0 {
 		rp.ReturnedMs = uint64((fo.cfg.Clock() - returned).Milliseconds()) + 1
 	}
-	if fo.replica.Known() {
+	if fo.replica.Loaded() {
 		rp.AsOf = fo.replica.AsOf()
 	}
 	return rp
--- a/io/node/change.go
+++ b/io/node/change.go
@@ -59,7 +59,7 @@
 		Document: pr.Document, Expect: pr.Expect, DryRun: pr.DryRun,
 	}
 	if pl.ID == "" {
-		pl.ID, pl.Fresh = newChangeID(), true
+		pl.ID, pl.NewID = newChangeID(), true
 	}
 	oc := nd.propose(pl)
 	var ce *change.Error
@@ -90,7 +90,7 @@
 	cl := changeCalls{nd: nd, deadline: time.Since(nd.started) + changeTimeout}
 	pr := change.NewProposer(change.Config{
 		Proposal: pl,
-		Held:     entryInForce(held),
+		InForce:     entryInForce(held),
 		Deadline: cl.deadline,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
@@ -159,7 +159,7 @@
 	rp, err := cl.nd.kv.Swap(ctx, wire.KVSwapRequest{Key: ac.Key, Value: ac.Value, Expect: ac.Expect})
 	if err != nil {
 		cl.nd.notePlatformFailure(cl.nd.stopping, "swap", err)
-		return change.SwapFailed{Doubtful: mayHaveApplied(err), Err: err}
+		return change.SwapFailed{MayHaveApplied: mayHaveApplied(err), Err: err}
 	}
 	ev := change.Swapped{Done: rp.Swapped}
 	if rp.Current != nil {
@@ -185,7 +185,7 @@
 func (nd *Node) logChange(pl change.Proposal, oc change.Outcome) {
 	nd.log.Info().Str("team", pl.Team).Str("change", pl.ID).Str("actor", pl.Actor).
 		Str("result", string(oc.Result)).Uint64("revision", oc.Entry.Revision).Int("swaps", oc.Swaps).
-		Bool("serviceBehind", oc.Behind).AnErr("cause", oc.Err).Msg("change")
+		Bool("serviceBehind", oc.ServiceBehind).AnErr("cause", oc.Err).Msg("change")
 }
 
 func changeReply(pl change.Proposal, oc change.Outcome) wire.ChangeReply {
--- a/io/node/change_status.go
+++ b/io/node/change_status.go
@@ -46,11 +46,11 @@
 	out.Known, out.Team, out.Revision = true, rv.GetTeam(), rv.GetRevision()
 	rows := nd.surveyDataCentres(ctx, tb, out.Team)
 	for _, dc := range tb.DataCentres() {
-		missing := missingFrom(tb.Members(dc), rows[dc])
+		missing := missingFrom(tb.VMs(dc), rows[dc])
 		if len(rows[dc]) > 0 && len(missing) <= maxMissing {
 			rows[dc] = append(rows[dc], nd.surveyVMs(ctx, missing, []string{out.Team})...)
 		}
-		sum, vms := summary(dc, tb.Members(dc), rows[dc], out.Revision)
+		sum, vms := summary(dc, tb.VMs(dc), rows[dc], out.Revision)
 		out.DataCentres = append(out.DataCentres, sum)
 		out.VMs = append(out.VMs, vms...)
 	}
@@ -153,7 +153,7 @@
 	if tb == nil {
 		return nil
 	}
-	return nd.surveyVMs(ctx, tb.Members(nd.set.DataCentre), teams)
+	return nd.surveyVMs(ctx, tb.VMs(nd.set.DataCentre), teams)
 }
 
 // missingFrom returns the VMs that have no row.
--- a/io/node/config.go
+++ b/io/node/config.go
@@ -33,7 +33,7 @@
 	ct         *control
 	machine    *spread.Machine
 	timer      *time.Timer
-	cancels    map[spread.Call]context.CancelFunc
+	cancels    map[spread.CallID]context.CancelFunc
 	alarms     map[spread.AlarmKind]map[string]string
 	peers      []rank.VM
 	peersKnown bool
@@ -51,11 +51,11 @@
 		machine: spread.New(spread.Config{
 			Self:     rank.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre},
 			Rand:     rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr))),
-			Readable: checkReadable,
+			CheckReadable: checkReadable,
 			Pace:     spread.Pace{CompareEvery: compareInterval},
 		}),
 		timer:   time.NewTimer(0),
-		cancels: make(map[spread.Call]context.CancelFunc),
+		cancels: make(map[spread.CallID]context.CancelFunc),
 		alarms:  make(map[spread.AlarmKind]map[string]string),
 	}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-func (cs *configs) release(id spread.Call) {
+func (cs *configs) release(id spread.CallID) {
 	if cancel, ok := cs.cancels[id]; ok {
 		cancel()
 		delete(cs.cancels, id)
@@ -136,7 +136,7 @@
 
 // call runs f on a goroutine of its own and posts its event. The context ends when the call is
 // abandoned.
-func (cs *configs) call(id spread.Call, f func(ctx context.Context) spread.Event) {
+func (cs *configs) call(id spread.CallID, f func(ctx context.Context) spread.Event) {
 	nd := cs.ct.nd
 	ctx, cancel := context.WithCancel(nd.stopping)
 	cs.cancels[id] = cancel
--- a/io/node/config_calls.go
+++ b/io/node/config_calls.go
@@ -48,7 +48,7 @@
 // updatesFromPairs decodes the values of teams' keys and returns those that cannot be decoded as
 // broken. Other keys are ignored, and so are deleted ones: deleting a key does not revoke a
 // configuration.
-func updatesFromPairs(pairs []wire.KVPair) (ups []spread.Update, broken []spread.Broken) {
+func updatesFromPairs(pairs []wire.KVPair) (ups []spread.Update, broken []spread.Undecodable) {
 	for _, pair := range pairs {
 		name, ok := change.TeamOf(pair.Key)
 		if !ok || pair.Deleted {
@@ -56,7 +56,7 @@
 		}
 		en, err := change.Decode(pair.Value)
 		if err != nil {
-			broken = append(broken, spread.Broken{Team: name, Err: err})
+			broken = append(broken, spread.Undecodable{Team: name, Err: err})
 			continue
 		}
 		if cur, ok := en.Current(); ok {
--- a/io/node/config_digest.go
+++ b/io/node/config_digest.go
@@ -26,5 +26,5 @@
 		// The usual case; it costs the control goroutine nothing.
 		return
 	}
-	nd.post(configEvent{ev: spread.Beat{From: rankVMFromWire(from), Digest: dg}})
+	nd.post(configEvent{ev: spread.PeerDigest{From: rankVMFromWire(from), Digest: dg}})
 }
--- a/io/node/limits.go
+++ b/io/node/limits.go
@@ -37,7 +37,7 @@
 		Concurrent:        limits.Concurrent,
 	}
 	if bu := nd.bucket(name); bu != nil {
-		tl.SearchesPerSecondPart, tl.ConcurrentPart = bu.Part()
+		tl.SearchesPerSecondPart, tl.ConcurrentPart = bu.Limits()
 		tl.InFlight = bu.InFlight()
 	}
 	return tl
--- a/io/node/members.go
+++ b/io/node/members.go
@@ -67,7 +67,7 @@
 
 // tick is called when the timer fires.
 func (ms *members) tick() {
-	ms.step(member.Tick{Slept: ms.suspendedFor()})
+	ms.step(member.Tick{Suspended: ms.suspendedFor()})
 }
 
 // suspendedFor returns how far the wall clock has advanced beyond the monotonic clock since the
@@ -101,9 +101,9 @@
 		ms.requestProbe(ac)
 	case member.Reply:
 		ms.answer(ac.Tag, ac)
-	case member.Helped:
+	case member.HelpReply:
 		ms.answer(ac.Tag, ac)
-	case member.Woke:
+	case member.Resumed:
 		ms.resumed(ac)
 	case member.Changed:
 		ms.countChange(ac)
@@ -178,7 +178,7 @@
 	}
 }
 
-func (ms *members) resumed(ac member.Woke) {
+func (ms *members) resumed(ac member.Resumed) {
 	nd := ms.ct.nd
 	nd.meter.Count(meter.Member, "woke")
 	nd.log.Warn().Int64("pauseMs", ac.Pause.Milliseconds()).Uint64("incarnation", ac.Incarnation).
--- a/io/node/members_riders.go
+++ b/io/node/members_riders.go
@@ -50,7 +50,7 @@
 
 // sendNow has heartbeats sent at once. The state machine limits this to a few each second.
 func (ms *members) sendNow() {
-	ms.step(member.Kick{})
+	ms.step(member.SendNow{})
 }
 
 // collect returns the data of all piggybackers for a VM.
@@ -192,7 +192,7 @@
 // signs are not counted.
 func (sg *signs) markDelivered(sent []*inner.Sign) {
 	vms := len(sg.ms.holders())
-	sg.queue.Sent(member.Retransmits(vms), func(sn *inner.Sign) bool { return slices.Contains(sent, sn) })
+	sg.queue.MarkSent(member.Retransmits(vms), func(sn *inner.Sign) bool { return slices.Contains(sent, sn) })
 }
 
 // fieldBytes is the encoded size of the tag and length of a short embedded message.
--- a/io/node/members_service.go
+++ b/io/node/members_service.go
@@ -44,9 +44,9 @@
 		target.VM = vmFromWire(ev.request.GetTarget())
 	}
 	ct.members.request(
-		func(tag uint64) member.Event { return member.HelpAsked{Tag: tag, Target: target} },
+		func(tag uint64) member.Event { return member.HelpRequested{Tag: tag, Target: target} },
 		func(ac member.Action) {
-			he := ac.(member.Helped)
+			he := ac.(member.HelpReply)
 			rp := &inner.ProbeReply{Version: inner.Version, Reached: he.Reached}
 			if he.Reached {
 				rp.Incarnation = he.Target.Incarnation
--- a/io/node/members_wire.go
+++ b/io/node/members_wire.go
@@ -57,33 +57,33 @@
 	return out
 }
 
-func placeToWire(pl member.Place) *inner.Place {
+func placeToWire(pl member.Cursor) *inner.Place {
 	if pl.DataCentre == "" {
 		return nil
 	}
 	return &inner.Place{DataCentre: pl.DataCentre, After: pl.After}
 }
 
-func placeFromWire(pl *inner.Place) member.Place {
-	return member.Place{DataCentre: pl.GetDataCentre(), After: pl.GetAfter()}
+func placeFromWire(pl *inner.Place) member.Cursor {
+	return member.Cursor{DataCentre: pl.GetDataCentre(), After: pl.GetAfter()}
 }
 
-func linkToWire(li member.Link) *inner.Link {
+func linkToWire(li member.DataCentreView) *inner.Link {
 	if li.DataCentre == "" {
 		return nil
 	}
 	out := &inner.Link{DataCentre: li.DataCentre, Digest: li.Digest}
-	if li.Silent >= 0 {
-		out.SilentMs = li.Silent.Milliseconds() + 1
+	if li.SinceHeard >= 0 {
+		out.SilentMs = li.SinceHeard.Milliseconds() + 1
 	}
 	return out
 }
 
-func linkFromWire(li *inner.Link) member.Link {
-	return member.Link{
+func linkFromWire(li *inner.Link) member.DataCentreView {
+	return member.DataCentreView{
 		DataCentre: li.GetDataCentre(),
 		Digest:     li.GetDigest(),
-		Silent:     time.Duration(li.GetSilentMs()-1) * time.Millisecond,
+		SinceHeard:     time.Duration(li.GetSilentMs()-1) * time.Millisecond,
 	}
 }
 
@@ -95,10 +95,10 @@
 		Count:   uint64(mg.From.Count),
 		Joining: mg.Joining,
 		Members: membersToWire(mg.Members),
-		Want:    placeToWire(mg.Want),
-		Next:    placeToWire(mg.Next),
+		Want:    placeToWire(mg.WantPage),
+		Next:    placeToWire(mg.NextPage),
 		Fleet:   mg.Digest,
-		Other:   linkToWire(mg.Other),
+		Other:   linkToWire(mg.OtherDataCentre),
 	}
 }
 
@@ -110,10 +110,10 @@
 		Count:   uint64(mg.From.Count),
 		Joining: mg.Joining,
 		Members: membersToWire(mg.Members),
-		Want:    placeToWire(mg.Want),
-		Next:    placeToWire(mg.Next),
+		Want:    placeToWire(mg.WantPage),
+		Next:    placeToWire(mg.NextPage),
 		Fleet:   mg.Digest,
-		Other:   linkToWire(mg.Other),
+		Other:   linkToWire(mg.OtherDataCentre),
 	}
 }
 
@@ -135,9 +135,9 @@
 		From:    member.Member{VM: vmFromWire(be.GetFrom()), Count: uint32(be.GetCount()), Leaving: be.GetLeaving()},
 		Joining: be.GetJoining(),
 		Members: membersFromWire(be.GetMembers()),
-		Want:    placeFromWire(be.GetWant()),
-		Next:    placeFromWire(be.GetNext()),
+		WantPage:    placeFromWire(be.GetWant()),
+		NextPage:    placeFromWire(be.GetNext()),
 		Digest:  be.GetFleet(),
-		Other:   linkFromWire(be.GetOther()),
+		OtherDataCentre:   linkFromWire(be.GetOther()),
 	}
 }
--- a/io/node/service_config.go
+++ b/io/node/service_config.go
@@ -49,7 +49,7 @@
 		held = append(held, spread.Revision{Team: tr.GetTeam(), Revision: tr.GetRevision(), ChangeID: tr.GetChangeId()})
 	}
 	var ups []spread.Update
-	ps.nd.onControl(func(ct *control) { ups, rp.More = ct.configs.machine.Answer(held) })
+	ps.nd.onControl(func(ct *control) { ups, rp.More = ct.configs.machine.MissingFrom(held) })
 	for _, up := range ups {
 		rp.Teams = append(rp.Teams, updateToWire(up))
 	}
@@ -80,7 +80,7 @@
 	}
 	var rv spread.Revision
 	var ok bool
-	nd.onControl(func(ct *control) { rv, ok = ct.configs.machine.Find(id) })
+	nd.onControl(func(ct *control) { rv, ok = ct.configs.machine.FindChange(id) })
 	if !ok {
 		return nil
 	}
--- a/io/node/shares.go
+++ b/io/node/shares.go
@@ -52,7 +52,7 @@
 	self := share.VM{Addr: ct.nd.addr, Incarnation: ct.nd.set.Incarnation}
 	return &shares{
 		ct:             ct,
-		machine:        share.New(share.Config{Self: self, Window: shareWindow, Way: maxDemandDelay, Forget: shareForgetAfter}),
+		machine:        share.New(share.Config{Self: self, Window: shareWindow, MaxDelay: maxDemandDelay, ForgetAfter: shareForgetAfter}),
 		queue:          member.NewQueue[demandKey, *inner.Demand](maxQueuedDemands),
 		newestSequence: make(map[demandKey]uint64),
 		timer:          time.NewTimer(shareInterval),
--- a/io/node/upstreams.go
+++ b/io/node/upstreams.go
@@ -60,7 +60,7 @@
 	us.noServer = upst.New(upst.Config{})
 	us.rnd = rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr)))
 	us.maps = server.NewMaps(func(id view.ServerID) bool { return !ct.view.ServerRef(id).State.Leaving() })
-	us.states = server.New(server.Config{Rand: us.rnd, Last: us.maps.Last})
+	us.states = server.New(server.Config{Rand: us.rnd, IsLastReplica: us.maps.IsLastReplica})
 	us.polls = server.NewPolls(server.PollsConfig{Rand: us.rnd, BytesPerSecond: hintBytes, Burst: hintBurstBytes, Every: hintInterval})
 	us.plan = newConnPlan(us, conns.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre})
 	return us
@@ -122,7 +122,7 @@
 		case server.Probe:
 			us.ct.nd.meter.Count(meter.Server, "probe")
 			us.pollLoad(ac.ID, true)
-		case server.Spread:
+		case server.SendSign:
 			us.sendSign(ac.Sign)
 		}
 	}
@@ -144,7 +144,7 @@
 	us.ct.nd.upstream(id).setStatus(st)
 	if restarted {
 		us.plan.restart(us.now(), id)
-		us.polls.Urge(us.now(), id)
+		us.polls.PollSoon(us.now(), id)
 	}
 	if st.State == view.StateGone {
 		us.maps.Set(id, nil)
@@ -167,7 +167,7 @@
 // receiveSign processes another VM's sign.
 func (us *upstreams) receiveSign(sn *inner.Sign) {
 	us.ct.nd.meter.Count(meter.Member, "signHeard")
-	us.do(us.states.Learn(us.now(), server.Sign{
+	us.do(us.states.StepSign(us.now(), server.Sign{
 		Addr:        sn.GetServer(),
 		Incarnation: sn.GetIncarnation(),
 		Kind:        server.SignKind(sn.GetKind()),
--- a/io/node/upstreams_bench_test.go
+++ b/io/node/upstreams_bench_test.go
@@ -97,7 +97,7 @@
 		b.Run("state/"+name, func(b *testing.B) {
 			for i := range b.N {
 				id := view.ServerID(i % ct.view.Len())
-				ct.upstreams.step(id, server.Event{Kind: server.Hint, Incarnation: uint64(i + 1), Says: server.SaysServing})
+				ct.upstreams.step(id, server.Event{Kind: server.Hint, Incarnation: uint64(i + 1), Reported: server.ReportedServing})
 				ct.upstreams.flush()
 			}
 		})
--- a/io/node/upstreams_conns.go
+++ b/io/node/upstreams_conns.go
@@ -40,9 +40,9 @@
 
 func newConnPlan(us *upstreams, self conns.VM) *connPlan {
 	cp := &connPlan{us: us, self: self, vms: make(map[conns.VM]bool), groups: make(map[string]*planGroup), remote: true}
-	cp.roster = conns.NewRoster(conns.RosterConfig{Self: self, Hold: departureDelay, Patience: listSettleTime})
-	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: self, Far: true})
-	cp.ramp = conns.NewRamp(conns.RampConfig{Rand: us.rnd, Setup: connSetupTime, Load: connSetupShare})
+	cp.roster = conns.NewRoster(conns.RosterConfig{Self: self, DepartureDelay: departureDelay, SettleTime: listSettleTime})
+	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: self, Remote: true})
+	cp.ramp = conns.NewRamp(conns.RampConfig{Rand: us.rnd, SetupTime: connSetupTime, SetupShare: connSetupShare})
 	return cp
 }
 
@@ -85,7 +85,7 @@
 
 // rebuild replaces the planner with a new one.
 func (cp *connPlan) rebuild(now time.Duration) {
-	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: cp.self, Far: cp.remote})
+	cp.planner = conns.NewPlanner(conns.PlannerConfig{Self: cp.self, Remote: cp.remote})
 	for vm := range cp.vms {
 		cp.planner.Apply(conns.Change{VM: vm, Joined: true})
 	}
--- a/io/node/upstreams_hint.go
+++ b/io/node/upstreams_hint.go
@@ -51,7 +51,7 @@
 	us.step(ev.id, server.Event{
 		Kind:        server.Hint,
 		Incarnation: ev.status.Incarnation,
-		Says:        reportedState(ev.status.State),
+		Reported:        reportedState(ev.status.State),
 		Probe:       ev.probe,
 	})
 	us.updateHoldings(ev.id, ev.status.Holdings)
@@ -89,16 +89,16 @@
 	}
 }
 
-func reportedState(us wire.UpstreamState) server.Says {
+func reportedState(us wire.UpstreamState) server.ReportedState {
 	switch us {
 	case wire.UpstreamCold:
-		return server.SaysCold
+		return server.ReportedCold
 	case wire.UpstreamDraining:
-		return server.SaysDraining
+		return server.ReportedDraining
 	case wire.UpstreamServing:
-		return server.SaysServing
+		return server.ReportedServing
 	default:
-		return server.SaysNothing
+		return server.ReportedNone
 	}
 }
 
@@ -126,7 +126,7 @@
 		behind = behind || !slices.ContainsFunc(held, func(ho server.Holding) bool { return ho.Key == key && ho.Version == now })
 	}
 	if behind {
-		us.polls.Behind(us.now(), id)
+		us.polls.RepeatLagging(us.now(), id)
 	}
 }
 
@@ -147,7 +147,7 @@
 	us.ct.nd.meter.Count(meter.Server, "newSnapshot")
 	for _, other := range us.placement.byRegister[key] {
 		if other != id {
-			us.polls.Urge(us.now(), other)
+			us.polls.PollSoon(us.now(), other)
 		}
 	}
 }
--- a/io/node/upstreams_reply.go
+++ b/io/node/upstreams_reply.go
@@ -110,7 +110,7 @@
 			}
 		}
 	}
-	us.polls.Urge(us.now(), ev.id)
+	us.polls.PollSoon(us.now(), ev.id)
 }
 
 // Replied processes a server's reply. Refusal is empty for a reply with a result.
@@ -165,9 +165,9 @@
 
 func (ev stateChanged) apply(ct *control) {
 	ct.nd.upstream(ev.id).stateChangePending.Store(false)
-	se := server.Event{Kind: server.Reply, Incarnation: ev.load.Incarnation, Says: reportedState(ev.load.State), Good: 1}
+	se := server.Event{Kind: server.Reply, Incarnation: ev.load.Incarnation, Reported: reportedState(ev.load.State), Good: 1}
 	if ev.leaving {
-		se.Says, se.Good = server.SaysDraining, 0
+		se.Reported, se.Good = server.ReportedDraining, 0
 	}
 	ct.upstreams.step(ev.id, se)
 }
@@ -224,19 +224,19 @@
 	up.tallyPending.Store(false)
 	good, shed, cold, failed := up.good.Swap(0), up.shed.Swap(0), up.cold.Swap(0), up.failed.Swap(0)
 	if good+shed+cold > 0 {
-		says := server.SaysServing
+		says := server.ReportedServing
 		if up.reportsCold.Load() {
-			says = server.SaysCold
+			says = server.ReportedCold
 		}
 		ct.upstreams.step(ev.id, server.Event{
-			Kind: server.Reply, Incarnation: up.incarnation.Load(), Says: says,
+			Kind: server.Reply, Incarnation: up.incarnation.Load(), Reported: says,
 			Good: int(good), Shed: int(shed), Cold: int(cold),
 		})
 	}
 	if failed > 0 {
 		ct.upstreams.step(ev.id, server.Event{Kind: server.Failure, Failed: int(failed)})
 	}
-	if ct.upstreams.states.Calm(ev.id) {
+	if ct.upstreams.states.Healthy(ev.id) {
 		up.countGood.Store(false)
 	}
 }
--- a/io/relay/server.go
+++ b/io/relay/server.go
@@ -71,7 +71,7 @@
 	// busy counts the connections with a request; window limits them, and 0 means no limit.
 	busy   int
 	window int
-	queue  queue.Line[*Call]
+	queue  queue.Queue[*Call]
 	closed bool
 	// dialAfter is when a dial may be tried again, idleDialAfter the same for a connection
 	// without demand. dialFails counts consecutive dials that failed.
@@ -120,7 +120,7 @@
 // countBusy counts a request that gets a connection. The caller holds the lock.
 func (sv *Server) countBusy(now time.Duration) {
 	sv.busy++
-	sv.peak.Note(now, sv.busy)
+	sv.peak.Record(now, sv.busy)
 }
 
 func (sv *Server) hasCapacity() bool { return sv.window == 0 || sv.busy < sv.window }
@@ -229,7 +229,7 @@
 func (sv *Server) backOff(now time.Duration) {
 	sv.dialFails++
 	sv.dialAfter = now + dialBackoff
-	warm := retry.Backoff{First: dialBackoff, Most: maxIdleBackoff, Jitter: idleJitter}
+	warm := retry.Backoff{Initial: dialBackoff, Max: maxIdleBackoff, Jitter: idleJitter}
 	sv.idleDialAfter = now + warm.Wait(sv.dialFails, rand.Float64())
 }
 
@@ -350,7 +350,7 @@
 func (sv *Server) tick(now time.Duration, mayOpen bool) bool {
 	sv.mu.Lock()
 	var old []*conn
-	warm := min(sv.limits.Idle, max(1, sv.peak.Most(now)))
+	warm := min(sv.limits.Idle, max(1, sv.peak.Max(now)))
 	kept := sv.idle[:0]
 	for _, cn := range sv.idle {
 		switch {
--- a/io/upst/keep.go
+++ b/io/upst/keep.go
@@ -117,10 +117,10 @@
 	po.pingIdle(now)
 	po.closeUnneeded(now)
 	po.openForWaiters()
-	if po.tracker.Doubt(now) {
+	if po.tracker.ShouldPing(now) {
 		po.checkServer(now)
 	}
-	if fill && po.gate.Fill(now) {
+	if fill && po.gate.MayFill(now) {
 		po.startOpening()
 		return true
 	}
@@ -191,7 +191,7 @@
 		defer po.mu.Unlock()
 		po.probing = false
 		if err == nil {
-			po.tracker.Vouch(began)
+			po.tracker.Overtake(began)
 		}
 	}()
 }
@@ -208,7 +208,7 @@
 }
 
 func (po *pool) closeUnneeded(now time.Duration) {
-	if len(po.idle) == 0 || po.gate.Open() <= po.gate.Want() {
+	if len(po.idle) == 0 || po.gate.Open() <= po.gate.Target() {
 		return
 	}
 	if now-po.idle[0].usedAt >= po.cfg.IdleClose {
--- a/io/upst/open.go
+++ b/io/upst/open.go
@@ -24,7 +24,7 @@
 		}
 		po.stats.count(evOpened)
 		po.gate.Opened()
-		po.tracker.Vouch(began)
+		po.tracker.Overtake(began)
 		if po.closed || po.gate.Excess() > 0 {
 			po.closeConn(cn)
 			return
--- a/io/upst/pool.go
+++ b/io/upst/pool.go
@@ -121,7 +121,7 @@
 	if po.gate.Limit() == 0 {
 		return po.fail("upst.take", KindNoConn, nil)
 	}
-	if po.gate.Waiting(po.cfg.Clock()) {
+	if po.gate.BackingOff(po.cfg.Clock()) {
 		po.stats.count(evBackoff)
 		return po.fail("upst.take", KindBackoff, nil)
 	}
@@ -148,7 +148,7 @@
 	now := po.cfg.Clock()
 	cn.usedAt = now
 	po.inUse++
-	po.gate.Used(now, po.inUse)
+	po.gate.RecordUse(now, po.inUse)
 }
 
 // put gives back a connection on which no request was sent.
@@ -262,7 +262,7 @@
 	defer po.mu.Unlock()
 	if cs == connUsable {
 		cn.answeredAt = po.cfg.Clock()
-		po.tracker.Vouch(began)
+		po.tracker.Overtake(began)
 		return true
 	}
 	po.stats.count(evPingFailed)
--- a/io/upst/pool_test.go
+++ b/io/upst/pool_test.go
@@ -32,7 +32,7 @@
 	fx.is.True(fx.sv.Open() <= 2)
 	_, refused := fx.up.Connections()
 	// Up to this many openings may be in progress when the first is refused.
-	fx.is.True(refused <= warm.DefaultMostAtOnce)
+	fx.is.True(refused <= warm.DefaultMaxOpening)
 }
 
 // Cancel is sent at once over an idle connection, so that a hedged sub-request that is no longer
