--- a/cmd/laburnumvane/gateway.go
+++ b/cmd/laburnumvane/gateway.go
@@ -35,7 +35,7 @@
 		Description: `gateway runs one VM that carries clients' requests to upstream servers as the
 operator's configuration in the platform's store says: by host and prefix, to
 one service or gathered over all shards of a register. It reads the platform's
-settings file, whose path is in ` + platform.SettingsVariable + `, and finds
+settings file, whose path is in ` + platform.SettingsEnv + `, and finds
 everything else in the store.
 
 SIGTERM begins a planned stop: the balancer's check fails, requests are served
@@ -53,12 +53,12 @@
    2  a flag or the settings file is wrong
 
 Examples:
-   ` + platform.SettingsVariable + `=node.yaml laburnumvane gateway --metrics-port 9464`,
+   ` + platform.SettingsEnv + `=node.yaml laburnumvane gateway --metrics-port 9464`,
 		Flags: []cli.Flag{
 			&cli.StringFlag{
 				Name:    "settings",
 				Usage:   "read the platform's settings from `PATH`",
-				Sources: cli.EnvVars(platform.SettingsVariable),
+				Sources: cli.EnvVars(platform.SettingsEnv),
 			},
 			&cli.IntFlag{
 				Name:  "metrics-port",
--- a/cmd/laburnumvane/procs_kill_test.go
+++ b/cmd/laburnumvane/procs_kill_test.go
@@ -37,7 +37,7 @@
 			an, err := vm.caller.Search(t.Context(), rq)
 			is.NoErr(err)
 			is.Equal(an.Outcome, wire.OutcomeUnknown)
-			is.Equal(an.Reason, drive.ReasonIssuerGone)
+			is.Equal(an.Reason, drive.ReasonIssuerUnreachable)
 		}
 	}
 	lo.awaitTraffic(t, remaining...)
--- a/cmd/laburnumvane/soak_client_test.go
+++ b/cmd/laburnumvane/soak_client_test.go
@@ -118,7 +118,7 @@
 // runCount returns how often servers ran the request, those that have ended included.
 func (sc *soakClient) runCount(id string) int {
 	n := 0
-	for _, sv := range sc.so.site.Ever() {
+	for _, sv := range sc.so.site.AllServers() {
 		for _, ran := range sv.Ran() {
 			if ran == id {
 				n++
@@ -130,8 +130,8 @@
 
 // issuedReceipt reports whether a server of the service issued the receipt for the request.
 func (sc *soakClient) issuedReceipt(id, service, receipt string) bool {
-	for _, sv := range sc.so.site.Ever() {
-		if sv.Service == service && sv.Receipt(id) == receipt {
+	for _, sv := range sc.so.site.AllServers() {
+		if sv.Service == service && sv.Signature(id) == receipt {
 			return true
 		}
 	}
--- a/cmd/laburnumvane/soak_crash_test.go
+++ b/cmd/laburnumvane/soak_crash_test.go
@@ -27,7 +27,7 @@
 // servers that have crashed.
 func (so *soak) removeServerLinks() {
 	for sv := range so.serverLinks {
-		so.site.Enter(sv, "ready", 3)
+		so.site.PutEntry(sv, "ready", 3)
 	}
 	clear(so.serverLinks)
 	so.links = nil
@@ -75,7 +75,7 @@
 // checkCrashesEnd checks, after recovery, that the crashing request hardly reaches servers any more.
 func (so *soak) checkCrashesEnd() {
 	time.Sleep(soakCrashKnown)
-	before := len(so.crash.Reached())
+	before := len(so.crash.Requests())
 	var all sync.WaitGroup
 	for _, vm := range so.vms {
 		all.Add(1)
@@ -88,10 +88,10 @@
 	}
 	all.Wait()
 	reached := map[string]bool{}
-	for _, re := range so.crash.Reached()[before:] {
+	for _, re := range so.crash.Requests()[before:] {
 		reached[re.ID] = true
 	}
-	so.t.Logf("%d servers crashed", len(so.crash.Ended()))
+	so.t.Logf("%d servers crashed", len(so.crash.CrashTimes()))
 	if len(reached) > soakLateMost {
 		so.fail("%d requests that crash servers reached servers later than %v after recovery", len(reached), soakCrashKnown)
 	}
--- a/cmd/laburnumvane/soak_faults_test.go
+++ b/cmd/laburnumvane/soak_faults_test.go
@@ -27,11 +27,11 @@
 		so.record("%s gets SIGHUP", vm.name)
 		vm.signal(syscall.SIGHUP)
 	case 5:
-		modes := []stand.Mode{stand.Busy, stand.Silent, stand.Cut, stand.Lost}
+		modes := []stand.Mode{stand.Busy, stand.Silent, stand.Disconnect, stand.LoseAnswers}
 		mode := modes[so.rnd.IntN(len(modes))]
 		so.record("the store serves %s in mode %d for %v", vm.name, mode, span)
-		vm.place.Door.Set(mode)
-		so.undoAfter(span, func() { vm.place.Door.Set(stand.Serving) })
+		vm.place.Endpoint.Set(mode)
+		so.undoAfter(span, func() { vm.place.Endpoint.Set(stand.Serving) })
 	case 6:
 		so.record("the store does not answer for %v", span)
 		so.site.Store.SetAll(stand.Silent)
@@ -85,7 +85,7 @@
 	}
 	so.record("%s restarts", sv.ID)
 	li.reset()
-	so.site.EnterBorn(sv, li.addr(), "ready", 1, time.Now().UnixMilli())
+	so.site.PutEntryWithStart(sv, li.addr(), "ready", 1, time.Now().UnixMilli())
 }
 
 // writeForeignEntries simulates another writer under the servers' keys. It writes an entry of its own
@@ -101,7 +101,7 @@
 	so.site.Store.Put("servers/foreign", []byte("\xff\x00"))
 	so.site.Store.Put("servers/"+sv.ID, []byte(`{"service":7}`))
 	time.Sleep(50 * time.Millisecond)
-	so.site.EnterBorn(sv, li.addr(), "ready", 1, time.Now().UnixMilli())
+	so.site.PutEntryWithStart(sv, li.addr(), "ready", 1, time.Now().UnixMilli())
 }
 
 // silenceServers silences the links of all servers of one data centre, but not its VMs.
@@ -181,7 +181,7 @@
 func (so *soak) spoilAnswers(span time.Duration) {
 	servers := so.site.Servers()
 	sv := servers[so.rnd.IntN(len(servers))]
-	be := stand.Behaviour{Fault: stand.Fault(1 + so.rnd.IntN(int(stand.Drop))), Every: 1 + so.rnd.IntN(4),
+	be := stand.Behaviour{Fault: stand.Fault(1 + so.rnd.IntN(int(stand.CloseOnReuse))), Every: 1 + so.rnd.IntN(4),
 		Delay: time.Duration(so.rnd.IntN(30)) * time.Millisecond}
 	so.record("%s has fault %d in one of %d answers for %v", sv.ID, be.Fault, be.Every, span)
 	sv.Set(be)
@@ -203,7 +203,7 @@
 	so.record("%s is drained, %s is added", sv.ID, next.ID)
 	li := so.serverLinks[sv]
 	delete(so.serverLinks, sv)
-	so.site.EnterAt(sv, li.addr(), "draining", 3)
+	so.site.PutEntryAt(sv, li.addr(), "draining", 3)
 	left := time.Now()
 	so.undos = append(so.undos, func() {})
 	go so.checkDrained(sv, left)
--- a/cmd/laburnumvane/soak_places_test.go
+++ b/cmd/laburnumvane/soak_places_test.go
@@ -56,8 +56,8 @@
 			}
 		}
 	}
-	so.site.Chill(servers...)
-	so.site.Return(dataCentre)
+	so.site.StartWarmUp(servers...)
+	so.site.EndEvacuation(dataCentre)
 	so.record("%s is taken back", dataCentre)
 	time.Sleep(stand.WarmUp)
 }
@@ -65,9 +65,9 @@
 // checkWarmUpLimit checks that no server ever got more requests than it can take while it warmed up,
 // whatever faults VMs and the store had.
 func (so *soak) checkWarmUpLimit() {
-	for _, sv := range so.site.Ever() {
-		if sv.OverrunSince(0) {
-			so.fail("%s got more than %d requests within a second while it was cold", sv.ID, so.site.WarmUpMost())
+	for _, sv := range so.site.AllServers() {
+		if sv.ExceededLimitAfter(0) {
+			so.fail("%s got more than %d requests within a second while it was cold", sv.ID, so.site.WarmUpLimit())
 		}
 	}
 }
--- a/cmd/laburnumvane/soak_test.go
+++ b/cmd/laburnumvane/soak_test.go
@@ -98,7 +98,7 @@
 	served      atomic.Int64
 	routes      int
 	// crash is not nil if servers crash on a request; places is set if data centres are evacuated.
-	crash  *stand.Crash
+	crash  *stand.CrashRule
 	places bool
 
 	mu       sync.Mutex
@@ -125,7 +125,7 @@
 func newSoak(t *testing.T, tc soakCase) *soak {
 	is := is.New(t)
 	dataCentres := []string{"east", "west", "south"}
-	cfg := stand.Config{DataCentres: dataCentres, Shards: soakShards, Apart: true}
+	cfg := stand.Config{DataCentres: dataCentres, Shards: soakShards, Colocated: true}
 	if tc.places {
 		cfg.WarmUpPerSecond = soakWarmUp
 	}
@@ -137,17 +137,17 @@
 		li := newLink(t, sv.Addr())
 		so.serverLinks[sv] = li
 		so.links = append(so.links, li)
-		site.EnterAt(sv, li.addr(), "ready", 2)
+		site.PutEntryAt(sv, li.addr(), "ready", 2)
 	}
 	var seeds []stand.VM
 	for i, dataCentre := range dataCentres {
 		place, err := site.VM(fmt.Sprintf("vm-%d", i+1), dataCentre, seeds...)
 		is.NoErr(err)
 		seeds = append(seeds, place)
-		vm := &soakVM{so: so, name: fmt.Sprintf("vm-%d", i+1), place: place, store: newLink(t, place.Door.Addr())}
+		vm := &soakVM{so: so, name: fmt.Sprintf("vm-%d", i+1), place: place, store: newLink(t, place.Endpoint.Addr())}
 		so.links = append(so.links, vm.store)
 		vm.settings = filepath.Join(t.TempDir(), "node.yaml")
-		text := strings.ReplaceAll(place.Settings, place.Door.Addr(), vm.store.addr())
+		text := strings.ReplaceAll(place.Settings, place.Endpoint.Addr(), vm.store.addr())
 		is.NoErr(os.WriteFile(vm.settings, []byte(text), 0o600))
 		so.vms = append(so.vms, vm)
 	}
--- a/cmd/laburnumvane/story.go
+++ b/cmd/laburnumvane/story.go
@@ -61,7 +61,7 @@
 			return failure(cmd.FullName(), err)
 		}
 	}
-	rep := storyReply{ID: args[0], Lines: st.Lines(), BadLines: st.Bad, LeftOut: st.LeftOut}
+	rep := storyReply{ID: args[0], Lines: st.Lines(), BadLines: st.BadLines, LeftOut: st.LeftOut}
 	if len(rep.Lines) == 0 {
 		return &Error{Op: cmd.FullName(), Kind: KindFailure, Msg: fmt.Sprintf("no line names %s; %d could not be read", rep.ID, rep.BadLines)}
 	}
@@ -73,7 +73,7 @@
 }
 
 // readStory streams one file, as a log may be larger than memory.
-func readStory(cmd *cli.Command, st *story.Story, name string) error {
+func readStory(cmd *cli.Command, st *story.Collector, name string) error {
 	if name == "-" {
 		return st.Read("stdin", cmd.Root().Reader)
 	}
--- a/cmd/laburnumvane/try.go
+++ b/cmd/laburnumvane/try.go
@@ -75,7 +75,7 @@
 	tr.sendAndPrint("a search over all shards", stand.PathSearch+"2f")
 	tr.sendAndPrint("a request to one server", stand.PathLedger+"2f")
 	leaving := tr.site.Server(stand.Shard(0), "east")
-	tr.site.Enter(leaving, "draining", 2)
+	tr.site.PutEntry(leaving, "draining", 2)
 	tr.sendAndPrint("a search while a server leaves", stand.PathSearch+"2f")
 	tr.site.Store.SetAll(stand.Silent)
 	tr.sendAndPrint("a search while the store is away", stand.PathSearch+"2f")
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -38,7 +38,7 @@
 func Check(t testing.TB, name, got string) {
 	t.Helper()
 	is := is.New(t)
-	gls, wls := strings.Split(got, "\n"), strings.Split(Want(t, name, got), "\n")
+	gls, wls := strings.Split(got, "\n"), strings.Split(Content(t, name, got), "\n")
 	for i := range min(len(gls), len(wls)) {
 		if gls[i] != wls[i] {
 			t.Fatalf("%s:%d: run with -update to rewrite it\ngot  %s\nwant %s", Path(name), i+1, gls[i], wls[i])
@@ -49,7 +49,7 @@
 
 // Want returns the content of the golden file, for tests that do the comparison themselves. With
 // -update it writes got to the file first.
-func Want(t testing.TB, name, got string) string {
+func Content(t testing.TB, name, got string) string {
 	t.Helper()
 	is := is.New(t)
 	if *update {
--- a/io/accept/accept_test.go
+++ b/io/accept/accept_test.go
@@ -44,7 +44,7 @@
 		server.WithOnAccept(accept.Context),
 	)
 	ts.srv.Use(func(ctx context.Context, rc *app.RequestContext) {
-		defer accept.Begin(ctx)()
+		defer accept.BeginRequest(ctx)()
 		rc.Next(ctx)
 	})
 	ts.srv.GET("/quick", func(_ context.Context, rc *app.RequestContext) { rc.String(200, "quick") })
--- a/io/accept/context.go
+++ b/io/accept/context.go
@@ -17,7 +17,7 @@
 
 // Begin marks the connection of ctx as busy until the returned function is called. It does
 // nothing if ctx carries no connection.
-func Begin(ctx context.Context) (end func()) {
+func BeginRequest(ctx context.Context) (end func()) {
 	cn, ok := ctx.Value(connKey{}).(*Conn)
 	if !ok {
 		return func() {}
--- a/io/carry/carry.go
+++ b/io/carry/carry.go
@@ -112,9 +112,9 @@
 		cfg:   cfg,
 		table: steer.New(steer.Config{DataCentre: cfg.DataCentre}),
 		stubs: stubs.New(stubs.Config[inner.Home]{
-			Make:     func(base string, hc *http.Client) inner.Home { return inner.NewHomeProtobufClient(base, hc) },
-			DialTime: dialTimeout,
-			Idle:     idleConnsPerVM,
+			NewClient:     func(base string, hc *http.Client) inner.Home { return inner.NewHomeProtobufClient(base, hc) },
+			DialTimeout: dialTimeout,
+			MaxIdle:     idleConnsPerVM,
 		}),
 	}
 }
@@ -152,7 +152,7 @@
 	traced := httptrace.WithClientTrace(bounded, &httptrace.ClientTrace{
 		WroteHeaders: func() { sent = true },
 	})
-	rp, err := cl.stubs.At(vm.Addr).Carry(traced, rq)
+	rp, err := cl.stubs.Client(vm.Addr).Carry(traced, rq)
 	now := cl.cfg.Clock()
 	switch {
 	case err == nil && rp.GetDeclined():
@@ -165,7 +165,7 @@
 	default:
 		cl.table.Withdraw(now, vm.Process(), 0)
 		cl.table.RecordConnect(now, vm.Process(), false)
-		cl.stubs.Drop(vm.Addr)
+		cl.stubs.Remove(vm.Addr)
 	}
 	return rp, sent, err
 }
--- a/io/carry/join.go
+++ b/io/carry/join.go
@@ -23,7 +23,7 @@
 	}
 	cl.table.Begin(began, usual, vm.Process())
 	sent := false
-	rp, err := cl.stubs.At(vm.Addr).Join(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+	rp, err := cl.stubs.Client(vm.Addr).Join(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		WroteHeaders: func() { sent = true },
 	}), rq)
 	now := cl.cfg.Clock()
@@ -31,7 +31,7 @@
 		cl.table.Withdraw(now, vm.Process(), now-began)
 		if ctx.Err() == nil {
 			cl.table.RecordConnect(now, vm.Process(), false)
-			cl.stubs.Drop(vm.Addr)
+			cl.stubs.Remove(vm.Addr)
 		}
 		kind := KindNone
 		if sent {
@@ -49,7 +49,7 @@
 
 // Follow requests from a VM the results that its reply to Join left out.
 func (cl *Client) Follow(ctx context.Context, vm *origin.Upstream, token uint64) (*inner.JoinReply, error) {
-	rp, err := cl.stubs.At(vm.Addr).Join(ctx, &inner.JoinRequest{Follow: token})
+	rp, err := cl.stubs.Client(vm.Addr).Join(ctx, &inner.JoinRequest{Follow: token})
 	switch {
 	case err != nil:
 		return nil, &Error{Op: "carry.Follow", Kind: KindLost, Addr: vm.Addr, Err: err}
--- a/io/contr/platform_test.go
+++ b/io/contr/platform_test.go
@@ -32,7 +32,7 @@
 
 func TestEmulatedKV(t *testing.T) {
 	contr.KV(t, func(t *testing.T) contr.KVService {
-		kv := emul.NewKV(emul.KVConfig{Sweep: time.Millisecond})
+		kv := emul.NewKV(emul.KVConfig{SweepInterval: time.Millisecond})
 		is.New(t).NoErr(kv.Start())
 		t.Cleanup(kv.Close)
 		return contr.KVService{Addr: kv.Addr(), Compact: kv.Compact}
--- a/io/contr/reply_fuzz_test.go
+++ b/io/contr/reply_fuzz_test.go
@@ -148,7 +148,7 @@
 
 // The only upstream sends malformed or wrong replies. The caller must get a correct answer in time.
 // No bad reply may become a hit or count as coverage, use up the VM's memory, or crash the VM.
-func TestLyingReplies(t *testing.T) {
+func TestMalformedReplies(t *testing.T) {
 	is := is.New(t)
 	fu := startFakeUpstreamVM(t)
 	an := fu.search(t, []byte(goodReply))
--- a/io/contr/talk.go
+++ b/io/contr/talk.go
@@ -24,7 +24,7 @@
 	// the reply is read to the end of the stream.
 	Until string
 	// Hang closes the sending side after Send.
-	Hang bool
+	CloseWrite bool
 }
 
 // Talk opens a connection, performs the steps and returns everything that the server sent, with the
@@ -43,7 +43,7 @@
 			// A server that refuses the request may close before everything is sent.
 			tb.Logf("send: %v", err)
 		}
-		if st.Hang {
+		if st.CloseWrite {
 			is.NoErr(nc.(*net.TCPConn).CloseWrite())
 		}
 		received += readUntil(tb, nc, st.Until)
@@ -82,7 +82,7 @@
 	sb.WriteString("== " + name + "\n")
 	for _, st := range steps {
 		writeLines(&sb, "> ", st.Send)
-		if st.Hang {
+		if st.CloseWrite {
 			sb.WriteString("> (end of sending)\n")
 		}
 	}
--- a/io/costs/exchange_test.go
+++ b/io/costs/exchange_test.go
@@ -30,8 +30,8 @@
 // ignoreObserver ignores what replies report about servers.
 type ignoreObserver struct{}
 
-func (ignoreObserver) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (ignoreObserver) Failed(view.ServerID, string)                           {}
+func (ignoreObserver) ObserveReply(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
+func (ignoreObserver) ObserveFailure(view.ServerID, string)                           {}
 
 // noForwarder fails every forwarded search: there is no other VM.
 type noForwarder struct{}
--- a/io/costs/memory_test.go
+++ b/io/costs/memory_test.go
@@ -29,12 +29,12 @@
 	ad := startPeer(b)
 	for b.Loop() {
 		before := memoryInUse()
-		sv := upst.New(upst.Config{Addr: ad.Upstream, MaxConns: conns, Floor: conns})
+		sv := upst.New(upst.Config{Addr: ad.Upstream, MaxConns: conns, MinConns: conns})
 		for tries := 0; sv.Open() < conns; tries++ {
 			if tries > 10_000 {
 				b.Fatal("connections open: ", sv.Open())
 			}
-			sv.Tick(true)
+			sv.MaintainOnce(true)
 			time.Sleep(time.Millisecond)
 		}
 		after := memoryInUse()
--- a/io/drive/driver.go
+++ b/io/drive/driver.go
@@ -39,8 +39,8 @@
 
 // Observer receives the result of each exchange with a server.
 type Observer interface {
-	Replied(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal)
-	Failed(id view.ServerID, kind string)
+	ObserveReply(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal)
+	ObserveFailure(id view.ServerID, kind string)
 }
 
 // Config configures a Driver. All fields but Bucket are required.
--- a/io/drive/event.go
+++ b/io/drive/event.go
@@ -22,7 +22,7 @@
 		dr.cfg.Meter.Count(meter.Dropped, "foreign")
 		return search.Event{Kind: search.EvFailed, Sub: ac.Sub, Reason: "foreignReply", Sent: true}
 	}
-	dr.cfg.Observe.Replied(ac.Server, rp.Load, rp.Refusal)
+	dr.cfg.Observe.ObserveReply(ac.Server, rp.Load, rp.Refusal)
 	if rp.Refusal != "" {
 		dr.cfg.Meter.Count(meter.Upstream, string(rp.Refusal))
 		return search.Event{
@@ -59,7 +59,7 @@
 	}
 	dr.cfg.Meter.Count(meter.Upstream, reason)
 	if !isLocalFailure(reason) {
-		dr.cfg.Observe.Failed(at.ac.Server, reason)
+		dr.cfg.Observe.ObserveFailure(at.ac.Server, reason)
 	}
 	return search.Event{Kind: search.EvFailed, Sub: at.ac.Sub, Reason: reason, Sent: sent}
 }
--- a/io/drive/fixture_test.go
+++ b/io/drive/fixture_test.go
@@ -48,8 +48,8 @@
 // nopObserver ignores all results.
 type nopObserver struct{}
 
-func (nopObserver) Replied(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (nopObserver) Failed(view.ServerID, string)                           {}
+func (nopObserver) ObserveReply(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
+func (nopObserver) ObserveFailure(view.ServerID, string)                           {}
 
 // nopForwarder fails to forward any search.
 type nopForwarder struct{}
--- a/io/drive/search.go
+++ b/io/drive/search.go
@@ -16,9 +16,9 @@
 const (
 	ReasonBadRequest = "badRequest"
 	ReasonNoConfig   = "noConfig"
-	ReasonNoSearch   = "unknownSearch"
-	ReasonNoRegister = "noUpstreams"
-	ReasonTicket     = "ticketNeeded"
+	ReasonUnknownSearch   = "unknownSearch"
+	ReasonNoUpstreams = "noUpstreams"
+	ReasonTicketNeeded     = "ticketNeeded"
 )
 
 const (
@@ -72,14 +72,14 @@
 	}
 	conf, ok := tm.Document.Searches[rq.Search]
 	if !ok {
-		return dr.refuse(ReasonNoSearch, "team "+rq.Team+" has no search "+rq.Search)
+		return dr.refuse(ReasonUnknownSearch, "team "+rq.Team+" has no search "+rq.Search)
 	}
 	if rq.Register != "" && rq.Register != conf.Register {
 		return dr.refuse(ReasonBadRequest, "search "+rq.Search+" is over register "+conf.Register)
 	}
 	once := conf.NeverRepeat || rq.Repeat == wire.RepeatNever
 	if once && rq.Ticket == "" {
-		return dr.refuse(ReasonTicket, "a search that must not be repeated needs a ticket")
+		return dr.refuse(ReasonTicketNeeded, "a search that must not be repeated needs a ticket")
 	}
 	// With a ticket every search runs at most once, also one that may be repeated.
 	return dr.execute(ctx, vw, rq, conf, rq.Ticket != "")
@@ -89,11 +89,11 @@
 func (dr *Driver) execute(ctx context.Context, vw *view.View, rq wire.SearchRequest, conf team.Search, once bool) wire.SearchAnswer {
 	rg, ok := vw.Register(view.RegisterKey{Team: rq.Team, Register: conf.Register})
 	if !ok {
-		return dr.refuse(ReasonNoRegister, "no upstream of register "+conf.Register+" has been seen yet")
+		return dr.refuse(ReasonNoUpstreams, "no upstream of register "+conf.Register+" has been seen yet")
 	}
 	sn, ok := rg.Pin(dr.liveFilter(vw))
 	if !ok {
-		return dr.refuse(ReasonNoRegister, "no snapshot of register "+conf.Register+" is known yet")
+		return dr.refuse(ReasonNoUpstreams, "no snapshot of register "+conf.Register+" is known yet")
 	}
 	if conf.HitLimit == 0 {
 		conf.HitLimit = defaultHitLimit
--- a/io/drive/site_test.go
+++ b/io/drive/site_test.go
@@ -129,7 +129,7 @@
 
 	an := ts.renew(1, token, query)
 	ts.is.Equal(an.Outcome, wire.OutcomeUnknown)
-	ts.is.Equal(an.Reason, drive.ReasonIssuerGone)
+	ts.is.Equal(an.Reason, drive.ReasonIssuerUnreachable)
 
 	next := ts.boot(gone.Addrs().Inner)
 	defer func() { _ = next.Stop(ctx) }()
--- a/io/drive/ticket.go
+++ b/io/drive/ticket.go
@@ -17,8 +17,8 @@
 // Reasons of answers to searches with tickets.
 const (
 	ReasonTicketForged    = "ticketForged"
-	ReasonTicketTeam      = "ticketOfOtherTeam"
-	ReasonTicketBody      = "ticketOfOtherRequest"
+	ReasonTicketOfOtherTeam      = "ticketOfOtherTeam"
+	ReasonTicketOfOtherRequest      = "ticketOfOtherRequest"
 	ReasonTicketTableFull = "ticketTableFull"
 	ReasonTicketExpired   = "ticketExpired"
 	ReasonTicketVoid      = "ticketVoid"
@@ -28,7 +28,7 @@
 	ReasonTicketForgotten  = "ticketAnswerForgotten"
 	// ReasonIssuerGone means that the issuer could not be reached, so that this attempt did
 	// not run.
-	ReasonIssuerGone = "ticketIssuerUnreachable"
+	ReasonIssuerUnreachable = "ticketIssuerUnreachable"
 	// ReasonIssuerSilent means that the issuer was asked and did not answer.
 	ReasonIssuerSilent = "ticketIssuerSilent"
 )
@@ -132,8 +132,8 @@
 }
 
 func (dr *Driver) issuerUnreachable() wire.SearchAnswer {
-	dr.cfg.Meter.Count(meter.Refusal, ReasonIssuerGone)
-	return unknownAnswer(ReasonIssuerGone, "the VM that issued the ticket cannot be reached: this attempt did not run, an earlier one may have")
+	dr.cfg.Meter.Count(meter.Refusal, ReasonIssuerUnreachable)
+	return unknownAnswer(ReasonIssuerUnreachable, "the VM that issued the ticket cannot be reached: this attempt did not run, an earlier one may have")
 }
 
 // notSent reports whether a forwarded search was certainly not sent because no connection to the
@@ -158,9 +158,9 @@
 	case ticket.VerdictForged:
 		return dr.refuse(ReasonTicketForged, "this is not a ticket, or it was altered")
 	case ticket.VerdictOtherTeam:
-		return dr.refuse(ReasonTicketTeam, "the ticket was issued to another team")
+		return dr.refuse(ReasonTicketOfOtherTeam, "the ticket was issued to another team")
 	case ticket.VerdictOtherBody:
-		return dr.refuse(ReasonTicketBody, "the ticket was used before with another request")
+		return dr.refuse(ReasonTicketOfOtherRequest, "the ticket was used before with another request")
 	case ticket.VerdictFull:
 		an := dr.refuse(ReasonTicketTableFull, "this VM remembers as many tickets as it may; come back later")
 		an.RetryAfterMs = ticketRetryAfter.Milliseconds()
--- a/io/drive/ticket_test.go
+++ b/io/drive/ticket_test.go
@@ -114,7 +114,7 @@
 		{"issuer unreachable", func(vp *vmPair, token string) wire.SearchAnswer {
 			vp.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 			return vp.second.dr.Search(ctx, withTicket(token))
-		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, 0},
+		}, wire.OutcomeUnknown, drive.ReasonIssuerUnreachable, 0},
 		{"issuer failed after it was asked", func(vp *vmPair, token string) wire.SearchAnswer {
 			vp.fo.err = &net.OpError{Op: "read", Err: context.DeadlineExceeded}
 			return vp.second.dr.Search(ctx, withTicket(token))
@@ -123,7 +123,7 @@
 			rq := withTicket(token)
 			rq.DeadlineMs = 1
 			return vp.second.dr.Search(ctx, rq)
-		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, 0},
+		}, wire.OutcomeUnknown, drive.ReasonIssuerUnreachable, 0},
 		{"issuer restarted", func(vp *vmPair, token string) wire.SearchAnswer {
 			cfg := ticketConfig("vm1")
 			cfg.Incarnation = 2
@@ -143,7 +143,7 @@
 			rq := withTicket(token)
 			rq.Query = json.RawMessage(`{"plate":"BBB-001"}`)
 			return vp.first.dr.Search(ctx, rq)
-		}, wire.OutcomeNotRun, drive.ReasonTicketBody, shards},
+		}, wire.OutcomeNotRun, drive.ReasonTicketOfOtherRequest, shards},
 		{"table full", func(vp *vmPair, token string) wire.SearchAnswer {
 			for _, other := range vp.first.dr.Tickets(teamName, 2) {
 				vp.first.dr.Search(ctx, withTicket(other))
@@ -163,7 +163,7 @@
 			vp.fo.err = &net.OpError{Op: "dial", Err: context.DeadlineExceeded}
 			bare := newFixture(vp.first.tb, fixtureConfig{shards: shards, workers: 64, noConfig: true, forward: vp.fo, tickets: ticketConfig("vm3")})
 			return bare.dr.Search(ctx, withTicket(token))
-		}, wire.OutcomeUnknown, drive.ReasonIssuerGone, shards},
+		}, wire.OutcomeUnknown, drive.ReasonIssuerUnreachable, shards},
 		{"repeatable search, sent twice with a ticket", func(vp *vmPair, token string) wire.SearchAnswer {
 			rq := withTicket(token)
 			rq.Repeat = wire.RepeatSafe
@@ -184,7 +184,7 @@
 		}, wire.OutcomeUnknown, drive.ReasonTicketUnverified, 0},
 		{"no ticket", func(vp *vmPair, _ string) wire.SearchAnswer {
 			return vp.first.dr.Search(ctx, withTicket(""))
-		}, wire.OutcomeNotRun, drive.ReasonTicket, 0},
+		}, wire.OutcomeNotRun, drive.ReasonTicketNeeded, 0},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -215,7 +215,7 @@
 // own deadline and the third's caller disconnects: both must get the outcome unknown. The first
 // caller disconnects too, but its run must continue, and a fourth attempt must get its answer. Each
 // shard must run the search once.
-func TestAttemptsMeet(t *testing.T) {
+func TestConcurrentAttempts(t *testing.T) {
 	is := is.New(t)
 	unblock := make(chan struct{})
 	var runs atomic.Int64
--- a/io/edge/config.go
+++ b/io/edge/config.go
@@ -68,7 +68,7 @@
 	// FirstStart is set when the whole fleet starts for the first time.
 	FirstStart bool
 	// Extra limits the attempts beyond the first; this package sets Part.
-	Extra entry.Extra
+	Extra entry.ExtraAttempts
 	// WarmUp limits the requests to servers that are warming up.
 	WarmUp ramp.Bounds
 	// StopGrace is the time from the stop signal to the end of the process.
@@ -93,7 +93,7 @@
 	// its entry was written since.
 	Remove(ctx context.Context, items []feed.Item) error
 	// Missing reports whether an error means that the lease no longer exists.
-	Missing(err error) bool
+	IsLeaseMissing(err error) bool
 }
 
 // Decoder decodes and encodes the store's entries.
@@ -127,7 +127,7 @@
 	Settings Settings
 	Store    Store
 	Decoder  Decoder
-	Names    entry.Names
+	Names    entry.HeaderNames
 	Log      *log.Logger
 	// Dial opens a connection to a server; nil means relay.Dial.
 	Dial func(addr string, timeout time.Duration) (net.Conn, error)
--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -34,13 +34,13 @@
 	vw, now := eg.view.Load(), eg.clock()
 	tr := eg.entry.Stats()
 	si := reach.Observation{
-		Silence:  min(eg.follow.Silence(), now-tr.RemoteAnsweredAt),
+		Silence:  min(eg.follow.RemoteSilence(), now-tr.RemoteAnsweredAt),
 		Requests:    tr.Routed,
 		Unserved: tr.Unserved,
 	}
 	// Usually nothing is silent, and the checks of servers and routes can be skipped.
 	if si.Silence > reach.DefaultShortSilence {
-		si.CutReported = !eg.set.Off.Off(toggle.Proofs) && eg.follow.ToldCut()
+		si.CutReported = !eg.set.Off.Off(toggle.Proofs) && eg.follow.CutReported()
 		si.Overdue = tr.RemoteLost + eg.steer.CountOverdue(now, vw.Upstreams())
 		si.ProbesFailed = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-si.Silence
 		si.LocalInsufficient = !vw.LocalServersSuffice()
@@ -56,7 +56,7 @@
 	eg.entry.SetCutOff(off)
 	eg.follow.SetCut(off)
 	if off {
-		eg.workers.submit(func() { eg.follow.TellCut(ctx) })
+		eg.workers.submit(func() { eg.follow.ReportCut(ctx) })
 	}
 	eg.cfg.Log.Warn().Bool("cutOff", off).Int64("silenceMs", si.Silence.Milliseconds()).Int("owed", si.Overdue).
 		Bool("told", si.CutReported).Bool("blind", blind).Bool("mute", si.ProbesFailed).Bool("failing", eg.cutDetector.Failing()).Msg("cut-off state changed")
@@ -79,7 +79,7 @@
 			alive := eg.homeClient.Alive(vm.Addr, probeTimeout)
 			eg.ramp.RecordProbe(eg.clock(), alive)
 			if alive {
-				eg.follow.Touch()
+				eg.follow.RecordRemoteAnswer()
 				return
 			}
 			eg.meter.Count(meter.Platform, "probeFailed")
--- a/io/edge/edge.go
+++ b/io/edge/edge.go
@@ -76,7 +76,7 @@
 	metrics      *server.Hertz
 	inner        *http.Server
 	view         atomic.Pointer[plan.View]
-	extra        atomic.Pointer[entry.Extra]
+	extra        atomic.Pointer[entry.ExtraAttempts]
 	conns        atomic.Int64
 
 	leaving atomic.Bool
@@ -181,12 +181,12 @@
 		FirstStart: eg.set.FirstStart,
 		Clock:      eg.clock,
 		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		Changed:    eg.applyChange,
-		Switched:   eg.logSource,
+		OnChange:    eg.applyChange,
+		OnSourceChange:   eg.logSource,
 		LinkMbps:   eg.set.LinkMbps,
 		List:       eg.listVMs,
 		Enlist:     eg.registrar.register,
-		Hinted:     eg.receiveHint,
+		OnHint:     eg.receiveHint,
 		Count:      func(event string) { eg.meter.Count(meter.Platform, event) },
 	})
 }
@@ -314,8 +314,8 @@
 		eg.knownSince = now
 	}
 	cold, waited := eg.pool.ColdServers(), now-eg.knownSince
-	silence := min(eg.follow.Silence(), now-eg.entry.Stats().RemoteAnsweredAt)
-	if !eg.set.Off.Off(toggle.Cuts) && !reach.MayEnterRotation(eg.follow.ToldCut(), silence, now, waited) {
+	silence := min(eg.follow.RemoteSilence(), now-eg.entry.Stats().RemoteAnsweredAt)
+	if !eg.set.Off.Off(toggle.Cuts) && !reach.MayEnterRotation(eg.follow.CutReported(), silence, now, waited) {
 		return
 	}
 	partlyWarm := cold*coldDivisor <= vw.Upstreams().Len() && waited >= partlyWarmWait
--- a/io/edge/poison.go
+++ b/io/edge/poison.go
@@ -18,7 +18,7 @@
 // sendHint notifies the other VMs at once of a request under which servers crash, because its
 // client may retry at one of them a few milliseconds later.
 func (eg *Edge) sendHint(rd poison.Record) {
-	eg.workers.submit(func() { eg.follow.TellHint(context.Background(), rd.EncodeHint()) })
+	eg.workers.submit(func() { eg.follow.SendHint(context.Background(), rd.EncodeHint()) })
 }
 
 // receiveHint processes such a notification from another VM.
--- a/io/edge/poisonwriter.go
+++ b/io/edge/poisonwriter.go
@@ -167,7 +167,7 @@
 		puts[i].Lease = pw.lease
 	}
 	err := store.Put(ctx, puts)
-	if err != nil && store.Missing(err) {
+	if err != nil && store.IsLeaseMissing(err) {
 		pw.lease = 0
 	}
 	return err
--- a/io/edge/registrar.go
+++ b/io/edge/registrar.go
@@ -159,7 +159,7 @@
 		return nil, err
 	}
 	store := rg.eg.cfg.Store
-	if err := store.Put(ctx, leased); err == nil || !store.Missing(err) {
+	if err := store.Put(ctx, leased); err == nil || !store.IsLeaseMissing(err) {
 		return leased, err
 	}
 	if leased, err = rg.assignLeases(ctx, entries, make(map[string]uint64)); err != nil {
--- a/io/edge/registration.go
+++ b/io/edge/registration.go
@@ -186,7 +186,7 @@
 	defer cancel()
 	store := rn.eg.cfg.Store
 	err = store.Keep(bounded, rn.lease)
-	return err != nil && store.Missing(err), err
+	return err != nil && store.IsLeaseMissing(err), err
 }
 
 // register has the entry written, by another VM that writes the entries of several VMs, or by
@@ -197,7 +197,7 @@
 	rn.mayExist = true
 	en := rn.entry()
 	for _, addr := range rn.helpers() {
-		lease, err := rn.eg.follow.AskEnlist(bounded, addr, en)
+		lease, err := rn.eg.follow.RequestEnlist(bounded, addr, en)
 		if err == nil {
 			rn.lease = lease
 			return nil
--- a/io/edge/silent.go
+++ b/io/edge/silent.go
@@ -21,7 +21,7 @@
 // expire, because other VMs renew the lease that they share.
 func (st *state) checkSilent(ctx context.Context) {
 	now := st.eg.clock()
-	if followed := st.eg.follow.Leads(); followed != st.followed {
+	if followed := st.eg.follow.IsLeader(); followed != st.followed {
 		st.followed, st.followedSince = followed, now
 	}
 	if now < st.nextSilentCheck {
@@ -49,7 +49,7 @@
 			continue
 		}
 		others = append(others, enlist.OtherVM{
-			Key: key, Addr: vr.vm.Addr, Revision: vr.revision, LastContact: st.eg.follow.Heard(vr.vm.Addr),
+			Key: key, Addr: vr.vm.Addr, Revision: vr.revision, LastContact: st.eg.follow.LastSeen(vr.vm.Addr),
 		})
 	}
 	return others
@@ -64,7 +64,7 @@
 	for _, ot := range silent {
 		wg.Go(func() {
 			if eg.homeClient.Alive(ot.Addr, probeTimeout) {
-				eg.follow.Note(ot.Addr)
+				eg.follow.RecordAlive(ot.Addr)
 				return
 			}
 			mu.Lock()
--- a/io/edge/stop.go
+++ b/io/edge/stop.go
@@ -36,7 +36,7 @@
 	began := time.Now()
 	eg.leaving.Store(true)
 	eg.entry.Leave()
-	eg.follow.Leave()
+	eg.follow.AnnounceExit()
 	eg.cfg.Log.Info().Int("inFlight", eg.entry.InFlight()).Msg("stop begins")
 	remaining := func() time.Duration { return eg.set.StopGrace - exitMargin - time.Since(began) }
 	time.Sleep(min(acceptTime, remaining()-earlyAnswerTime))
--- a/io/emul/fleet.go
+++ b/io/emul/fleet.go
@@ -23,7 +23,7 @@
 	Slots        int
 	Queue        int
 	Connections  int
-	Setup        time.Duration
+	ConnSetupTime        time.Duration
 	Service      ServiceTime
 	MaxSnapshots int
 	ReportsOnly  bool
@@ -86,7 +86,7 @@
 		Slots:        cfg.Slots,
 		Queue:        cfg.Queue,
 		Connections:  cfg.Connections,
-		Setup:        cfg.Setup,
+		ConnSetupTime:        cfg.ConnSetupTime,
 		Service:      cfg.Service,
 		MaxSnapshots: cfg.MaxSnapshots,
 		ReportsOnly:  cfg.ReportsOnly,
--- a/io/emul/kv.go
+++ b/io/emul/kv.go
@@ -22,7 +22,7 @@
 	// MaxEvents limits the events kept for watches; older ones are compacted.
 	MaxEvents int
 	// Sweep is the interval, in real time, of the search for expired leases.
-	Sweep time.Duration
+	SweepInterval time.Duration
 	// Addr is the address to listen on; empty means a free loopback port.
 	Addr string
 }
@@ -43,7 +43,7 @@
 	SilentWatches bool
 	// Past answers reads from the state that Remember saved, as a lagging replica does.
 	// Swaps use the current state.
-	Past bool
+	StaleReads bool
 }
 
 // KVCounts counts the calls that reached the service, including those affected by a fault. A
@@ -86,8 +86,8 @@
 	if cfg.MaxEvents <= 0 {
 		cfg.MaxEvents = DefaultMaxEvents
 	}
-	if cfg.Sweep <= 0 {
-		cfg.Sweep = DefaultSweepInterval
+	if cfg.SweepInterval <= 0 {
+		cfg.SweepInterval = DefaultSweepInterval
 	}
 	return &KV{
 		cfg:        cfg,
@@ -135,7 +135,7 @@
 }
 
 // Remember saves the current state for the fault Past and for Restore.
-func (kv *KV) Remember() {
+func (kv *KV) SaveState() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.remembered = kv.current.clone()
@@ -172,7 +172,7 @@
 
 func (kv *KV) sweepLeases() {
 	defer kv.sweeper.Done()
-	tk := time.NewTicker(kv.cfg.Sweep)
+	tk := time.NewTicker(kv.cfg.SweepInterval)
 	defer tk.Stop()
 	for {
 		select {
--- a/io/emul/kv_test.go
+++ b/io/emul/kv_test.go
@@ -177,7 +177,7 @@
 		{"refused", KVFaults{Refuse: true}, true, false},
 		{"failing", KVFaults{Fail: true}, true, false},
 		{"answer lost", KVFaults{LoseSwaps: true}, true, true},
-		{"outdated reads", KVFaults{Past: true}, false, true},
+		{"outdated reads", KVFaults{StaleReads: true}, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 			var ry wire.KVSwapReply
 			code, err := newTestClient(t, waitTimeout).send(kv.Addr(), wire.RouteKVSwap, wire.KVSwapRequest{Key: "a"}, &ry)
 			is.Equal(err != nil || code != http.StatusOK, tc.fails)
-			if tc.faults.Past {
+			if tc.faults.StaleReads {
 				is.Equal(len(rangeOf(t, kv, "").Pairs), 0)
 			}
 			kv.SetFaults(KVFaults{})
--- a/io/emul/kvroutes.go
+++ b/io/emul/kvroutes.go
@@ -54,7 +54,7 @@
 
 // readState returns the state that reads see. The caller holds the lock.
 func (kv *KV) readState() kvState {
-	if kv.faults.Past {
+	if kv.faults.StaleReads {
 		return kv.remembered
 	}
 	return kv.current
@@ -174,7 +174,7 @@
 func (kv *KV) checkEvents(rq wire.KVWatchRequest) (wire.KVWatchReply, <-chan struct{}) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	if kv.faults.Past {
+	if kv.faults.StaleReads {
 		return wire.KVWatchReply{Revision: kv.remembered.revision, Events: []wire.KVPair{}}, kv.changed
 	}
 	ry := wire.KVWatchReply{Revision: kv.current.revision, Events: []wire.KVPair{}}
--- a/io/emul/load.go
+++ b/io/emul/load.go
@@ -45,7 +45,7 @@
 	// Count and For end the load: after Count arrivals or after the time For, whichever
 	// comes first.
 	Count int
-	For   time.Duration
+	Duration   time.Duration
 	// Request makes the searches.
 	Request RequestMaker
 	// Timeout is how long to wait for an answer; 0 means DefaultLoadTimeout.
@@ -91,8 +91,8 @@
 		return errors.Errorf("rate %v is not positive", lc.Rate)
 	case lc.Count < 1 || lc.Count > MaxLoadCount:
 		return errors.Errorf("count %d is not within 1 and %d", lc.Count, MaxLoadCount)
-	case lc.For <= 0 || lc.For > MaxLoadTime:
-		return errors.Errorf("time %v is not within 0 and %v", lc.For, MaxLoadTime)
+	case lc.Duration <= 0 || lc.Duration > MaxLoadTime:
+		return errors.Errorf("time %v is not within 0 and %v", lc.Duration, MaxLoadTime)
 	case lc.Timeout < 0 || lc.MaxInFlight < 0:
 		return errors.New("negative timeout or bound")
 	case lc.Request == nil:
@@ -145,7 +145,7 @@
 	}
 	gap := ar.rnd.ExpFloat64() / ar.cfg.Rate
 	ar.at += time.Duration(gap * float64(time.Second))
-	if ar.at > ar.cfg.For {
+	if ar.at > ar.cfg.Duration {
 		return arrival{}, false
 	}
 	due := arrival{
--- a/io/emul/load_test.go
+++ b/io/emul/load_test.go
@@ -53,7 +53,7 @@
 		Targets: []string{addr},
 		Rate:    5000,
 		Count:   40,
-		For:     waitTimeout,
+		Duration:     waitTimeout,
 		Timeout: waitTimeout,
 		Request: roundRobin("all", "half", "none", "what"),
 	})
@@ -70,7 +70,7 @@
 	})
 	is.Equal(rep.Reasons, map[string]uint64{"shed": 10})
 	is.Equal(rep.Coverage, 0.75)
-	is.Equal(rep.Extra(), 0.125)
+	is.Equal(rep.ExtraWorkShare(), 0.125)
 	is.Equal(rep.Latency.TotalCount(), int64(30))
 	is.True(rep.Quantile(50) <= rep.Quantile(99))
 }
@@ -86,7 +86,7 @@
 		Targets:     []string{addr},
 		Rate:        1e6,
 		Count:       50,
-		For:         waitTimeout,
+		Duration:         waitTimeout,
 		Timeout:     waitTimeout,
 		MaxInFlight: 2,
 		Request:     roundRobin("all"),
@@ -109,7 +109,7 @@
 		Targets: []string{addr},
 		Rate:    1e6,
 		Count:   MaxLoadCount,
-		For:     MaxLoadTime,
+		Duration:     MaxLoadTime,
 		Request: func(_ *rand.Rand, n int) wire.SearchRequest {
 			if n == 10 {
 				cancel()
@@ -130,7 +130,7 @@
 		Targets: []string{"127.0.0.1:1", "127.0.0.1:2"},
 		Rate:    1000,
 		Count:   20_000,
-		For:     10 * time.Second,
+		Duration:     10 * time.Second,
 		Request: PlateLookups("wash", "kiosk", 100),
 		Seed:    7,
 	}
@@ -156,7 +156,7 @@
 		Targets: []string{"127.0.0.1:1", "[::1]:1"},
 		Rate:    1,
 		Count:   1,
-		For:     time.Second,
+		Duration:     time.Second,
 		Request: roundRobin("all"),
 	}
 	cases := []struct {
@@ -171,7 +171,7 @@
 		{"no port", func(lc *LoadConfig) { lc.Targets = []string{"127.0.0.1"} }, false},
 		{"no rate", func(lc *LoadConfig) { lc.Rate = 0 }, false},
 		{"unbounded count", func(lc *LoadConfig) { lc.Count = MaxLoadCount + 1 }, false},
-		{"unbounded time", func(lc *LoadConfig) { lc.For = 0 }, false},
+		{"unbounded time", func(lc *LoadConfig) { lc.Duration = 0 }, false},
 		{"negative timeout", func(lc *LoadConfig) { lc.Timeout = -1 }, false},
 		{"no request maker", func(lc *LoadConfig) { lc.Request = nil }, false},
 	}
--- a/io/emul/stage.go
+++ b/io/emul/stage.go
@@ -156,7 +156,7 @@
 		return
 	}
 	if rq.Remember {
-		sg.kv.Remember()
+		sg.kv.SaveState()
 	}
 	if rq.Restore {
 		sg.kv.Restore()
@@ -170,7 +170,7 @@
 		Slow:          millis(rq.SlowMs),
 		LoseSwaps:     rq.LoseSwaps,
 		SilentWatches: rq.SilentWatches,
-		Past:          rq.Past,
+		StaleReads:          rq.Past,
 	})
 	reply(rc, http.StatusOK, struct{}{})
 }
--- a/io/emul/stage_test.go
+++ b/io/emul/stage_test.go
@@ -65,7 +65,7 @@
 	is := is.New(t)
 	sg, ad := startStage(t)
 	is.NoErr(ad.KV(t.Context(), KVFaultRequest{Down: true, SlowMs: 5, LoseSwaps: true, SilentWatches: true, Past: true, Fail: true}))
-	is.Equal(sg.kv.faults, KVFaults{Refuse: true, Fail: true, Slow: millis(5), LoseSwaps: true, SilentWatches: true, Past: true})
+	is.Equal(sg.kv.faults, KVFaults{Refuse: true, Fail: true, Slow: millis(5), LoseSwaps: true, SilentWatches: true, StaleReads: true})
 	is.NoErr(ad.KV(t.Context(), KVFaultRequest{}))
 	is.Equal(sg.kv.faults, KVFaults{})
 
--- a/io/emul/stageup.go
+++ b/io/emul/stageup.go
@@ -49,7 +49,7 @@
 		Mute:        rq.Mute,
 		SilentAfter: rq.SilentAfter,
 		StatusLag:   millis(rq.StatusLagMs),
-		Claim:       rq.Claim,
+		ClaimedState:       rq.Claim,
 	}
 }
 
--- a/io/emul/tally.go
+++ b/io/emul/tally.go
@@ -25,14 +25,14 @@
 	// Failed counts the searches that got no answer in time or an invalid one. FirstFail is
 	// the error of the first.
 	Failed    uint64
-	FirstFail string
+	FirstError string
 	Outcomes  map[wire.Outcome]uint64
 	Reasons   map[string]uint64
 	// Latency is the latency of all answers, in microseconds from the scheduled arrival.
 	Latency *hdrhistogram.Histogram
 	// Whole is the latency of complete answers only: refusals are fast, and many of them
 	// would hide the latency of the other answers.
-	Whole *hdrhistogram.Histogram
+	CompleteLatency *hdrhistogram.Histogram
 	// Coverage is the mean share over the complete and partial answers.
 	Coverage float64
 	Work     wire.Work
@@ -48,7 +48,7 @@
 }
 
 // Extra returns the number of hedges and retries as a fraction of the primaries.
-func (lr LoadReport) Extra() float64 {
+func (lr LoadReport) ExtraWorkShare() float64 {
 	if lr.Work.Primaries == 0 {
 		return 0
 	}
@@ -68,7 +68,7 @@
 		Outcomes: map[wire.Outcome]uint64{},
 		Reasons:  map[string]uint64{},
 		Latency:  hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
-		Whole:    hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
+		CompleteLatency:    hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
 	}}
 }
 
@@ -89,8 +89,8 @@
 	tl.mu.Lock()
 	defer tl.mu.Unlock()
 	tl.rep.Failed++
-	if tl.rep.FirstFail == "" {
-		tl.rep.FirstFail = err.Error()
+	if tl.rep.FirstError == "" {
+		tl.rep.FirstError = err.Error()
 	}
 }
 
@@ -111,7 +111,7 @@
 	us := min(max(latency.Microseconds(), latencyLowest), latencyHighest)
 	_ = tl.rep.Latency.RecordValue(us) // cannot fail within the range
 	if ans.Outcome == wire.OutcomeComplete {
-		_ = tl.rep.Whole.RecordValue(us)
+		_ = tl.rep.CompleteLatency.RecordValue(us)
 	}
 }
 
--- a/io/emul/upserve.go
+++ b/io/emul/upserve.go
@@ -151,8 +151,8 @@
 		up.hasReported = true
 	}
 	us := up.reported
-	if up.faults.Claim != "" {
-		us.State = up.faults.Claim
+	if up.faults.ClaimedState != "" {
+		us.State = up.faults.ClaimedState
 		us.InFlight = 0
 		us.Queued = 0
 	}
--- a/io/emul/upstream.go
+++ b/io/emul/upstream.go
@@ -34,7 +34,7 @@
 	// Connections is the limit of open connections; 0 means no limit.
 	Connections int
 	// Setup is the delay before a new connection is read.
-	Setup time.Duration
+	ConnSetupTime time.Duration
 	// Service draws service times; nil means that sub-requests take no time.
 	Service ServiceTime
 	// MaxSnapshots is how many snapshots are held; the oldest is retired beyond that.
@@ -70,7 +70,7 @@
 	StatusLag time.Duration
 	// Claim is a false state that those endpoints report, with no load; empty means the
 	// actual state. Replies to sub-requests always report the actual state.
-	Claim wire.UpstreamState
+	ClaimedState wire.UpstreamState
 }
 
 // Upstream emulates one server of a service.
@@ -164,7 +164,7 @@
 
 func (up *Upstream) configureListener(li *faultListener) {
 	li.limit = up.cfg.Connections
-	li.setup = up.cfg.Setup
+	li.setup = up.cfg.ConnSetupTime
 	li.silentAfter = up.faults.SilentAfter
 	li.mute.Store(up.faults.Mute)
 }
--- a/io/emul/upstream_test.go
+++ b/io/emul/upstream_test.go
@@ -338,7 +338,7 @@
 	}{
 		{UpstreamFaults{StatusLag: time.Second}, 0, wire.UpstreamServing, http.StatusOK},
 		{UpstreamFaults{StatusLag: time.Second}, time.Second, wire.UpstreamDraining, http.StatusServiceUnavailable},
-		{UpstreamFaults{Claim: wire.UpstreamServing}, 0, wire.UpstreamServing, http.StatusOK},
+		{UpstreamFaults{ClaimedState: wire.UpstreamServing}, 0, wire.UpstreamServing, http.StatusOK},
 	}
 	status()
 	up.SetState(wire.UpstreamDraining)
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -61,7 +61,7 @@
 // Config configures the listener. All fields are required.
 type Config struct {
 	Listener net.Listener
-	Names    Names
+	Names    HeaderNames
 	// DataCentre is the data centre of this VM.
 	DataCentre string
 	Clock      func() time.Duration
@@ -88,7 +88,7 @@
 
 // Entry is the clients' listener and the handler of their requests.
 type Entry struct {
-	*guard.Door
+	*guard.Server
 	cfg      Config
 	latency  latencies
 	budgets  *budgets
@@ -125,13 +125,13 @@
 		MaxBody:    maxBodyBytes,
 		MaxHeader:  maxHeaderBytes,
 		Times:      en.timeouts,
-		OwnFraming: true,
+		HandlersCheckFraming: true,
 		Refused:    func(reason string) { cfg.Meter.Count(meter.Refusal, reason) },
 		Panicked: func(value any, stack []byte) {
 			cfg.Log.Error().Any("value", value).Bytes("stack", stack).Msg("panic in the request handler")
 		},
 	}
-	en.Door = guard.Open("entry", cfg.Listener, gc,
+	en.Server = guard.NewServer("entry", cfg.Listener, gc,
 		server.WithDisableHeaderNamesNormalizing(true),
 		server.WithDisableDefaultDate(true),
 		server.WithDisableDefaultContentType(true),
@@ -159,7 +159,7 @@
 }
 
 // SetExtra sets the limits on attempts beyond the first.
-func (en *Entry) SetExtra(ex Extra) { en.budgets.set(ex) }
+func (en *Entry) SetExtra(ex ExtraAttempts) { en.budgets.set(ex) }
 
 // InFlight returns the number of requests that are being handled.
 func (en *Entry) InFlight() int { return int(en.inFlight.Load()) }
@@ -209,7 +209,7 @@
 }
 
 func (en *Entry) serve(ctx context.Context, rc *app.RequestContext) {
-	defer accept.Begin(ctx)()
+	defer accept.BeginRequest(ctx)()
 	en.inFlight.Add(1)
 	defer en.inFlight.Add(-1)
 	rq, rf := en.read(rc, en.cfg.Clock())
--- a/io/entry/flight_test.go
+++ b/io/entry/flight_test.go
@@ -16,7 +16,7 @@
 // reach the client after its target.
 func TestForwardedRequestsHaveAnEarlierDeadline(t *testing.T) {
 	is := is.New(t)
-	en := &Entry{cfg: Config{Names: Names{RequestID: "Id"}}, budgets: newBudgets(), lead: lead.New(lead.Config{})}
+	en := &Entry{cfg: Config{Names: HeaderNames{RequestID: "Id"}}, budgets: newBudgets(), lead: lead.New(lead.Config{})}
 	rt := &route.Route{Name: "all", Timeout: time.Second, Target: 80 * time.Millisecond, Gather: &route.Gather{Shards: []string{"s"}}}
 	vw := plan.New(plan.Config{})
 	local := en.newFlight(&request{id: "a"}, rt, vw)
--- a/io/entry/latency.go
+++ b/io/entry/latency.go
@@ -85,7 +85,7 @@
 func (rl *routeLatency) usualLatency() time.Duration { return time.Duration(rl.usual.Load()) }
 
 // Extra limits the attempts beyond the first, for all VMs together.
-type Extra struct {
+type ExtraAttempts struct {
 	// Share is the ratio of extra attempts to a service's requests. Burst is a number of extra
 	// attempts in addition, within each Window.
 	Share  float64
@@ -111,7 +111,7 @@
 // budgets holds one retry budget for each service.
 type budgets struct {
 	mu        sync.RWMutex
-	extra     Extra
+	extra     ExtraAttempts
 	byService map[string]*serviceBudget
 }
 
@@ -124,7 +124,7 @@
 func newBudgets() *budgets { return &budgets{byService: make(map[string]*serviceBudget)} }
 
 // set applies new limits. Budgets are replaced, each with no more tokens than it had.
-func (bs *budgets) set(ex Extra) {
+func (bs *budgets) set(ex ExtraAttempts) {
 	bs.mu.Lock()
 	defer bs.mu.Unlock()
 	if bs.extra == ex {
--- a/io/entry/names.go
+++ b/io/entry/names.go
@@ -1,7 +1,7 @@
 package entry
 
 // Names are the names of the headers that clients and servers use.
-type Names struct {
+type HeaderNames struct {
 	// RequestID identifies one attempt of a client.
 	RequestID string
 	// Deadline is how many milliseconds the sender will wait.
--- a/io/entry/request.go
+++ b/io/entry/request.go
@@ -93,8 +93,8 @@
 	}
 	var fr guard.Framing
 	var listed []string
-	ok := guard.Fields(rc.Request.Header.RawHeaders(), func(name, value string) {
-		fr.Note(name, value)
+	ok := guard.EachField(rc.Request.Header.RawHeaders(), func(name, value string) {
+		fr.AddField(name, value)
 		switch {
 		case strings.EqualFold(name, "Connection"):
 			listed = append(listed, strings.Split(value, ",")...)
@@ -114,7 +114,7 @@
 		return rq, refuse(consts.StatusBadRequest, guard.ReasonBadRequest, text)
 	}
 	rq.fields = removeListed(rq.fields, listed)
-	rq.host, rq.framed = fr.Host, fr.Framed()
+	rq.host, rq.framed = fr.Host, fr.HasBody()
 	rq.body = append([]byte(nil), rc.Request.Body()...)
 	rq.path, _, _ = strings.Cut(rq.uri, "?")
 	return rq, en.checkRequest(rc, rq)
--- a/io/follow/boot.go
+++ b/io/follow/boot.go
@@ -107,7 +107,7 @@
 			return
 		}
 		if _, err := fo.updateFromPeer(ctx, fo.firstSource); err != nil {
-			fo.cfg.Switched(feed.Step{From: feed.FromPeer, Addr: fo.firstSource}, fo.Age(), err)
+			fo.cfg.OnSourceChange(feed.Step{From: feed.FromPeer, Addr: fo.firstSource}, fo.Age(), err)
 			return
 		}
 	}
--- a/io/follow/boot_test.go
+++ b/io/follow/boot_test.go
@@ -56,7 +56,7 @@
 	changes := make(chan follow.Change, 1)
 	cfg := config("10.0.0.3:7000", &silentStore{})
 	cfg.Seeds = []string{seedAddr}
-	cfg.Changed = func(ch follow.Change) { changes <- ch }
+	cfg.OnChange = func(ch follow.Change) { changes <- ch }
 	_, stop := start(t, cfg)
 	defer stop()
 	select {
@@ -92,7 +92,7 @@
 			{VM: rank.VM{Addr: firstAddr, DataCentre: cfg.Self.DataCentre}, Capacity: 0.8},
 		}, nil
 	}
-	cfg.Changed = func(ch follow.Change) { changes <- ch }
+	cfg.OnChange = func(ch follow.Change) { changes <- ch }
 	_, stop := start(t, cfg)
 	defer stop()
 	is.Equal(len((<-changes).Events), 1)
@@ -109,7 +109,7 @@
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	cfg.Changed = func(ch follow.Change) { changes <- ch }
+	cfg.OnChange = func(ch follow.Change) { changes <- ch }
 	_, stop := start(t, cfg)
 	defer stop()
 	is.Equal(len((<-changes).Events), 1)
--- a/io/follow/cut.go
+++ b/io/follow/cut.go
@@ -37,7 +37,7 @@
 
 // TellCut reports this VM's finding to the VM of this data centre that it follows, and waits for
 // the answer. It does nothing on the first VM of a data centre, which follows none there.
-func (fo *Follower) TellCut(ctx context.Context) {
+func (fo *Follower) ReportCut(ctx context.Context) {
 	fo.mu.Lock()
 	leader, after := fo.leader, fo.replica.AsOf()
 	fo.mu.Unlock()
@@ -54,7 +54,7 @@
 }
 
 // ToldCut reports whether another VM of this data centre reported a cut recently.
-func (fo *Follower) ToldCut() bool {
+func (fo *Follower) CutReported() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.cutReported(fo.cfg.Clock())
--- a/io/follow/cut_test.go
+++ b/io/follow/cut_test.go
@@ -62,10 +62,10 @@
 	is := is.New(t)
 	fo, end := startWithCopy(t, 1)
 	defer end()
-	is.True(!fo.ToldCut())
+	is.True(!fo.CutReported())
 	_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, AgeMs: 1, CutOff: true, CutKnown: true})
 	is.NoErr(err)
-	is.True(fo.ToldCut())
+	is.True(fo.CutReported())
 }
 
 // The VM from which this VM has its updates asks it for updates. It must be told at once that
--- a/io/follow/enlist.go
+++ b/io/follow/enlist.go
@@ -29,11 +29,11 @@
 
 // AskEnlist asks another VM to write this VM's entry, and returns the entry's lease. An error
 // with the code Unavailable means that the store did not serve that VM.
-func (fo *Follower) AskEnlist(ctx context.Context, addr string, en enlist.Entry) (uint64, error) {
+func (fo *Follower) RequestEnlist(ctx context.Context, addr string, en enlist.Entry) (uint64, error) {
 	bounded, cancel := context.WithTimeout(ctx, enlistTimeout)
 	defer cancel()
 	fo.cfg.Count("enlist")
-	rp, err := fo.peers.At(addr).Enlist(bounded, &inner.EnlistRequest{
+	rp, err := fo.peers.Client(addr).Enlist(bounded, &inner.EnlistRequest{
 		Version: inner.Version, Key: en.Key, Value: en.Value, DataCentre: en.DataCentre,
 	})
 	if err != nil {
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -81,10 +81,10 @@
 	Clock      func() time.Duration
 	Rand       *rand.Rand
 	// Changed is called for each change, on Run's goroutine.
-	Changed func(Change)
+	OnChange func(Change)
 	// Switched is called when the source of updates changes, with the error that caused it, if
 	// one did.
-	Switched func(to feed.Step, age time.Duration, err error)
+	OnSourceChange func(to feed.Step, age time.Duration, err error)
 	// Count, if not nil, is called with the name of each step.
 	Count func(event string)
 	// LinkMbps is the rate of this VM's link, in Mbit/s; 0 if it is not known. If it is set,
@@ -93,7 +93,7 @@
 	List     func(ctx context.Context) ([]feed.Member, error)
 	// Hinted is called for each hint from another VM and must not block. If it is nil, hints are
 	// dropped.
-	Hinted func(word string)
+	OnHint func(word string)
 	// Enlist writes another VM's entry and returns its lease. If it is nil, such calls are
 	// refused.
 	Enlist func(ctx context.Context, en enlist.Entry) (lease uint64, err error)
@@ -154,8 +154,8 @@
 	if cfg.Count == nil {
 		cfg.Count = func(string) {}
 	}
-	if cfg.Hinted == nil {
-		cfg.Hinted = func(string) {}
+	if cfg.OnHint == nil {
+		cfg.OnHint = func(string) {}
 	}
 	return &Follower{
 		cfg:           cfg,
@@ -178,7 +178,7 @@
 }
 
 // Leave reports to callers from now on that this VM is about to exit.
-func (fo *Follower) Leave() {
+func (fo *Follower) AnnounceExit() {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	fo.leaving = true
@@ -195,14 +195,14 @@
 
 // Silence returns the time since this VM last got anything from outside its data centre: an
 // update that originates from the store, by whatever path, or an answer of a VM there.
-func (fo *Follower) Silence() time.Duration {
+func (fo *Follower) RemoteSilence() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.cfg.Clock() - max(fo.remoteAnswerAt, fo.absence.LastContact())
 }
 
 // Touch records that a VM of another data centre answered just now.
-func (fo *Follower) Touch() {
+func (fo *Follower) RecordRemoteAnswer() {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -236,14 +236,14 @@
 		}
 		st := fo.guide.Next(fo.cfg.Clock(), fo.Age())
 		if st.From != feed.FromNone && (st.From != last.From || st.Addr != last.Addr) {
-			fo.cfg.Switched(st, fo.Age(), nil)
+			fo.cfg.OnSourceChange(st, fo.Age(), nil)
 			last = st
 		}
 		fo.setFollows(st)
 		rp, err := fo.step(ctx, st)
 		fo.guide.Done(fo.cfg.Clock(), st, rp)
 		if err != nil && ctx.Err() == nil {
-			fo.cfg.Switched(st, fo.Age(), err)
+			fo.cfg.OnSourceChange(st, fo.Age(), err)
 			last = feed.Step{}
 		}
 	}
@@ -336,7 +336,7 @@
 		fo.cfg.Store.Reset()
 		return err
 	}
-	fo.Touch()
+	fo.RecordRemoteAnswer()
 	fo.apply(up, source{from: feed.FromStore, origin: fo.cfg.Self.Addr, currentAt: fo.cfg.Clock()})
 	return nil
 }
@@ -375,7 +375,7 @@
 	defer cancel()
 	an, err := fo.callPeer(bounded, addr, after, wait)
 	if err == nil && fo.isRemote(addr) {
-		fo.Touch()
+		fo.RecordRemoteAnswer()
 	}
 	if err == nil && an.update.AsOf == 0 {
 		fo.cfg.Count("peerEmpty")
@@ -383,7 +383,7 @@
 	}
 	if err != nil {
 		fo.cfg.Count("peerFailed")
-		fo.peers.Drop(addr)
+		fo.peers.Remove(addr)
 		return feed.Outcome{Failed: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Age: unknownAge}, errors.Wrap(err, addr)
 	}
 	now := fo.cfg.Clock()
@@ -437,7 +437,7 @@
 	// leases to expire may have been due while the store was unavailable.
 	returned := ch.Age > feed.StaleAfter && ch.Age < unknownAge && fo.Age() < ch.Age
 	if len(ch.Events) > 0 || returned {
-		fo.cfg.Changed(ch)
+		fo.cfg.OnChange(ch)
 	}
 }
 
--- a/io/follow/follow_test.go
+++ b/io/follow/follow_test.go
@@ -67,7 +67,7 @@
 			is := is.New(t)
 			changes := make(chan follow.Change, 8)
 			cfg := config("self", &store{fails: tc.fails})
-			cfg.Changed = func(ch follow.Change) { changes <- ch }
+			cfg.OnChange = func(ch follow.Change) { changes <- ch }
 			_, end := start(t, cfg)
 			defer end()
 			is.True((<-changes).Whole)
--- a/io/follow/heard.go
+++ b/io/follow/heard.go
@@ -16,14 +16,14 @@
 
 // Leads reports whether this VM gets its updates from the store or from another data centre, so
 // that the other VMs of its own data centre follow it.
-func (fo *Follower) Leads() bool {
+func (fo *Follower) IsLeader() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.replica.Loaded() && fo.leader == ""
 }
 
 // Note records a sign of life of another VM.
-func (fo *Follower) Note(addr string) {
+func (fo *Follower) RecordAlive(addr string) {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -32,7 +32,7 @@
 
 // Heard returns when another VM last called this one or gave another sign of life; 0 if it never
 // did.
-func (fo *Follower) Heard(addr string) time.Duration {
+func (fo *Follower) LastSeen(addr string) time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.lastSeen[addr]
--- a/io/follow/help_test.go
+++ b/io/follow/help_test.go
@@ -19,8 +19,8 @@
 		Store:    st,
 		Clock:    clock(),
 		Rand:     rand.New(rand.NewPCG(1, 2)),
-		Changed:  func(follow.Change) {},
-		Switched: func(feed.Step, time.Duration, error) {},
+		OnChange:  func(follow.Change) {},
+		OnSourceChange: func(feed.Step, time.Duration, error) {},
 	}
 }
 
--- a/io/follow/hint.go
+++ b/io/follow/hint.go
@@ -12,7 +12,7 @@
 
 // TellHint sends a hint to the other VMs at once: to those that follow this VM, to the VM that
 // it follows, and from these on to theirs.
-func (fo *Follower) TellHint(ctx context.Context, hint string) {
+func (fo *Follower) SendHint(ctx context.Context, hint string) {
 	if fresh := fo.storeHints([]string{hint}); len(fresh) > 0 {
 		fo.sendHintsUp(ctx, fresh)
 	}
@@ -41,7 +41,7 @@
 func (fo *Follower) acceptHints(hints []string) (fresh []string) {
 	fresh = fo.storeHints(hints)
 	for _, hint := range fresh {
-		fo.cfg.Hinted(hint)
+		fo.cfg.OnHint(hint)
 	}
 	return fresh
 }
--- a/io/follow/hint_test.go
+++ b/io/follow/hint_test.go
@@ -64,7 +64,7 @@
 	var mu sync.Mutex
 	var hints []string
 	cfg := config("10.0.0.1:7000", &fullStore{update: feed.Update{Full: true, AsOf: 1, Events: entries(1)}})
-	cfg.Hinted = func(hint string) {
+	cfg.OnHint = func(hint string) {
 		mu.Lock()
 		defer mu.Unlock()
 		hints = append(hints, hint)
@@ -75,7 +75,7 @@
 		_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, AgeMs: 1, Hints: [][]byte{[]byte("a"), []byte("b")}})
 		is.NoErr(err)
 	}
-	fo.TellHint(t.Context(), "b")
+	fo.SendHint(t.Context(), "b")
 	mu.Lock()
 	defer mu.Unlock()
 	is.Equal(hints, []string{"a", "b"})
--- a/io/follow/peers.go
+++ b/io/follow/peers.go
@@ -40,9 +40,9 @@
 // newStubs returns the pool of clients for other VMs.
 func newStubs() *stubs.Pool[inner.Feed] {
 	return stubs.New(stubs.Config[inner.Feed]{
-		Make:     func(base string, hc *http.Client) inner.Feed { return inner.NewFeedProtobufClient(base, hc) },
-		DialTime: peerDialTimeout,
-		Idle:     1,
+		NewClient:     func(base string, hc *http.Client) inner.Feed { return inner.NewFeedProtobufClient(base, hc) },
+		DialTimeout: peerDialTimeout,
+		MaxIdle:     1,
 	})
 }
 
@@ -65,7 +65,7 @@
 	rq.CutOff = fo.cut.proven
 	rq.CutKnown = fo.cut.proven || fo.cutReported(fo.cfg.Clock())
 	fo.mu.Unlock()
-	rp, err := fo.peers.At(addr).Follow(ctx, rq)
+	rp, err := fo.peers.Client(addr).Follow(ctx, rq)
 	if err != nil {
 		return answer{}, err
 	}
--- a/io/follow/serve.go
+++ b/io/follow/serve.go
@@ -64,7 +64,7 @@
 // noteCaller records a caller whose copy is newer than this VM's: the store may refuse this VM
 // and serve the caller.
 func (fo *Follower) noteCaller(rq *inner.FollowRequest) {
-	fo.Note(rq.GetFrom())
+	fo.RecordAlive(rq.GetFrom())
 	if rq.GetAgeMs() == 0 {
 		return
 	}
--- a/io/front/front.go
+++ b/io/front/front.go
@@ -64,14 +64,14 @@
 
 // Front is the HTTP server for callers.
 type Front struct {
-	*guard.Door
+	*guard.Server
 	cfg Config
 }
 
 // New returns a Front that is not serving; Serve starts it.
 func New(cfg Config) *Front {
 	gc := guard.Config{MaxBody: cfg.MaxBody, RequestTime: cfg.ReadTimeout, Refused: cfg.Refused, Panicked: cfg.Panicked}
-	fr := &Front{Door: guard.Open("front", cfg.Listener, gc), cfg: cfg}
+	fr := &Front{Server: guard.NewServer("front", cfg.Listener, gc), cfg: cfg}
 	fr.Routes.Use(markActive)
 	fr.Routes.POST(wire.RouteSearch, fr.handleSearch)
 	fr.Routes.POST(wire.RouteTickets, fr.handleTickets)
@@ -82,7 +82,7 @@
 // markActive is middleware that marks a connection as active while its request runs, so that a
 // shutdown does not close it as idle.
 func markActive(ctx context.Context, rc *app.RequestContext) {
-	defer accept.Begin(ctx)()
+	defer accept.BeginRequest(ctx)()
 	rc.Next(ctx)
 }
 
--- a/io/front/front_test.go
+++ b/io/front/front_test.go
@@ -52,9 +52,9 @@
 	case "shed":
 		an.Outcome, an.Reason, an.RetryAfterMs = wire.OutcomeNotRun, "shed", 1001
 	case "empty":
-		an.Outcome, an.Reason = wire.OutcomeNotRun, drive.ReasonNoRegister
+		an.Outcome, an.Reason = wire.OutcomeNotRun, drive.ReasonNoUpstreams
 	case "strange":
-		an.Outcome, an.Reason = wire.OutcomeNotRun, drive.ReasonNoSearch
+		an.Outcome, an.Reason = wire.OutcomeNotRun, drive.ReasonUnknownSearch
 	case "lost":
 		an.Outcome, an.Reason = wire.OutcomeUnknown, "deadline"
 	case "panic":
@@ -224,9 +224,9 @@
 			{Send: validSearch},
 		}},
 		{"expect, oversized", oneStep("POST /v1/search HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 1025\r\n\r\n")},
-		{"ends within the body", []contr.Step{{Send: post(wire.RouteSearch, "", validSearch)[:120], Hang: true}}},
-		{"ends within the headers", []contr.Step{{Send: "POST /v1/search HTTP/1.1\r\nHost:", Hang: true}}},
-		{"nothing sent", []contr.Step{{Hang: true}}},
+		{"ends within the body", []contr.Step{{Send: post(wire.RouteSearch, "", validSearch)[:120], CloseWrite: true}}},
+		{"ends within the headers", []contr.Step{{Send: "POST /v1/search HTTP/1.1\r\nHost:", CloseWrite: true}}},
+		{"nothing sent", []contr.Step{{CloseWrite: true}}},
 		{"ticket", oneStep(post(wire.RouteTickets, "", `{"team":"wash"}`))},
 		{"tickets", oneStep(post(wire.RouteTickets, "", `{"team":"wash","count":3}`))},
 		{"no tickets", oneStep(post(wire.RouteTickets, "", `{"team":"wash","count":0}`))},
--- a/io/front/status.go
+++ b/io/front/status.go
@@ -16,8 +16,8 @@
 		return consts.StatusGatewayTimeout
 	}
 	switch an.Reason {
-	case drive.ReasonBadRequest, drive.ReasonNoSearch, drive.ReasonTicket,
-		drive.ReasonTicketForged, drive.ReasonTicketTeam, drive.ReasonTicketBody:
+	case drive.ReasonBadRequest, drive.ReasonUnknownSearch, drive.ReasonTicketNeeded,
+		drive.ReasonTicketForged, drive.ReasonTicketOfOtherTeam, drive.ReasonTicketOfOtherRequest:
 		return consts.StatusBadRequest
 	}
 	if an.RetryAfterMs > 0 {
--- a/io/guard/door.go
+++ b/io/guard/door.go
@@ -18,7 +18,7 @@
 
 // Door is a guarded HTTP server that can shut down without aborting requests. Its handlers must
 // call accept.Begin.
-type Door struct {
+type Server struct {
 	// Routes is where handlers are registered, before Serve.
 	Routes *server.Hertz
 	ln     *accept.Listener
@@ -26,30 +26,30 @@
 }
 
 // Open returns a Door on a listener; the name appears in its errors.
-func Open(name string, ln net.Listener, cfg Config, extra ...config.Option) *Door {
-	do := &Door{ln: accept.New(Listen(ln, cfg)), name: name}
+func NewServer(name string, ln net.Listener, cfg Config, extra ...config.Option) *Server {
+	do := &Server{ln: accept.New(Listen(ln, cfg)), name: name}
 	opts := []config.Option{server.WithOnAccept(accept.Context), server.WithExitWaitTime(exitWaitTime)}
 	do.Routes = New(do.ln, cfg, append(opts, extra...)...)
 	return do
 }
 
 // Serve serves until Shutdown.
-func (do *Door) Serve() error {
+func (do *Server) Serve() error {
 	return fault.Wrap(do.Routes.Run(), do.name+".Serve")
 }
 
 // Shutdown closes idle connections, stops listening and waits for the requests in progress, at
 // most until ctx ends.
-func (do *Door) Shutdown(ctx context.Context) error {
+func (do *Server) Shutdown(ctx context.Context) error {
 	return fault.Wrap(do.ln.Shutdown(ctx, do.Routes), do.name+".Shutdown")
 }
 
 // Accepted reports whether any client has ever connected.
-func (do *Door) Accepted() bool {
+func (do *Server) Accepted() bool {
 	return do.ln.Accepted()
 }
 
 // Abort closes the listener and all connections at once, as a crash of the VM does.
-func (do *Door) Abort() {
+func (do *Server) Abort() {
 	do.ln.Abort()
 }
--- a/io/guard/framing.go
+++ b/io/guard/framing.go
@@ -31,7 +31,7 @@
 
 // Fields calls visit for each line of a raw header. It returns false at the first line that is not
 // a valid field.
-func Fields(raw []byte, visit func(name, value string)) bool {
+func EachField(raw []byte, visit func(name, value string)) bool {
 	for _, line := range bytes.Split(raw, []byte("\n")) {
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		if len(line) == 0 {
@@ -47,7 +47,7 @@
 }
 
 // Note records one header field; fields that do not concern framing are ignored.
-func (fr *Framing) Note(name, value string) {
+func (fr *Framing) AddField(name, value string) {
 	switch {
 	case strings.EqualFold(name, consts.HeaderHost):
 		fr.hosts++
@@ -63,7 +63,7 @@
 }
 
 // Framed reports whether the request declares a body, which may be empty.
-func (fr *Framing) Framed() bool { return fr.lengths > 0 || fr.transferCodings > 0 }
+func (fr *Framing) HasBody() bool { return fr.lengths > 0 || fr.transferCodings > 0 }
 
 // Check returns what is wrong with the framing, or "" if it is unambiguous.
 func (fr *Framing) Check(http11 bool) string {
@@ -84,7 +84,7 @@
 func checkFraming(ctx context.Context, rc *app.RequestContext) {
 	var fr Framing
 	text := TextBadField
-	if Fields(rc.Request.Header.RawHeaders(), fr.Note) {
+	if EachField(rc.Request.Header.RawHeaders(), fr.AddField) {
 		text = fr.Check(rc.Request.Header.IsHTTP11())
 	}
 	if text != "" {
--- a/io/guard/framing_test.go
+++ b/io/guard/framing_test.go
@@ -43,9 +43,9 @@
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	do := guard.Open("door", ln, guard.Config{MaxBody: 1 << 10})
+	do := guard.NewServer("door", ln, guard.Config{MaxBody: 1 << 10})
 	do.Routes.NoRoute(func(ctx context.Context, rc *app.RequestContext) {
-		defer accept.Begin(ctx)()
+		defer accept.BeginRequest(ctx)()
 		rc.SetStatusCode(http.StatusOK)
 		if string(rc.Path()) == "/smuggled" {
 			rc.SetStatusCode(http.StatusTeapot)
@@ -101,7 +101,7 @@
 		if strings.Contains(header, "\n\n") || strings.Contains(header, "\n\r\n") {
 			return // the header ends there
 		}
-		if !guard.Fields([]byte(header), fr.Note) || fr.Check(true) != "" {
+		if !guard.EachField([]byte(header), fr.AddField) || fr.Check(true) != "" {
 			return
 		}
 		text := "POST / HTTP/1.1\r\n" + header + "\r\n\r\n"
@@ -111,7 +111,7 @@
 		}
 		is := is.New(t)
 		chunked := len(rq.TransferEncoding) > 0
-		is.Equal(fr.Framed(), chunked || len(rq.Header["Content-Length"]) > 0)
+		is.Equal(fr.HasBody(), chunked || len(rq.Header["Content-Length"]) > 0)
 		is.True(!chunked || len(rq.Header["Content-Length"]) == 0)
 		is.True(len(rq.Header["Content-Length"]) < 2)
 	})
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -39,7 +39,7 @@
 	// WriteTime limits each write of an answer.
 	WriteTime time.Duration
 	// OwnFraming is set if the handlers read all headers and check Framing themselves.
-	OwnFraming bool
+	HandlersCheckFraming bool
 	// Refused is called for each refusal, with its reason; it may be nil.
 	Refused func(reason string)
 	// Panicked is called for each panic of a handler; it may be nil.
@@ -84,7 +84,7 @@
 	}
 	hz := server.New(append(opts, extra...)...)
 	hz.Use(countRefusals(cfg.Refused), recoverPanics(cfg.Panicked), checkHost)
-	if !cfg.OwnFraming {
+	if !cfg.HandlersCheckFraming {
 		hz.Use(checkFraming)
 	}
 	hz.NoRoute(noRoute)
--- a/io/inner/inner_test.go
+++ b/io/inner/inner_test.go
@@ -90,7 +90,7 @@
 			sb.WriteString(line + "\n")
 		}
 	}
-	for line := range strings.Lines(golden.Want(t, "fields", sb.String())) {
+	for line := range strings.Lines(golden.Content(t, "fields", sb.String())) {
 		if line = strings.TrimSpace(line); !now[line] {
 			t.Errorf("field changed or removed; older VMs encode it as %s", line)
 		}
--- a/io/lines/queue.go
+++ b/io/lines/queue.go
@@ -24,7 +24,7 @@
 	// CloseTime limits how long Close waits for the output.
 	CloseTime time.Duration
 	// Lost, if not nil, is called with the number of lines that were dropped.
-	Lost func(n int64)
+	OnDrop func(n int64)
 }
 
 // Queue is a log.Writer that never blocks.
@@ -51,8 +51,8 @@
 	if cfg.CloseTime <= 0 {
 		cfg.CloseTime = DefaultCloseTime
 	}
-	if cfg.Lost == nil {
-		cfg.Lost = func(int64) {}
+	if cfg.OnDrop == nil {
+		cfg.OnDrop = func(int64) {}
 	}
 	qu := &Queue{cfg: cfg, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go qu.write()
@@ -67,7 +67,7 @@
 	kept := qu.enqueue(en.Level, line)
 	qu.mu.Unlock()
 	if !kept {
-		qu.cfg.Lost(1)
+		qu.cfg.OnDrop(1)
 	}
 	qu.signal()
 	return len(line), nil
--- a/io/lines/queue_test.go
+++ b/io/lines/queue_test.go
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	bw := newBlockedWriter()
 	var lost atomic.Int64
-	qu := lines.New(lines.Config{Writer: bw, Lines: 3, Errors: 2, CloseTime: time.Minute, Lost: func(n int64) { lost.Add(n) }})
+	qu := lines.New(lines.Config{Writer: bw, Lines: 3, Errors: 2, CloseTime: time.Minute, OnDrop: func(n int64) { lost.Add(n) }})
 	lo := &log.Logger{Level: log.InfoLevel, Writer: qu}
 	lo.Info().Msg("stuck")
 	<-bw.called
--- a/io/node/config_test.go
+++ b/io/node/config_test.go
@@ -164,7 +164,7 @@
 		{"no fault", emul.KVFaults{}, wire.ChangeAccepted},
 		{"slow", emul.KVFaults{Slow: 300 * time.Millisecond}, wire.ChangeAccepted},
 		{"replies lost", emul.KVFaults{LoseSwaps: true}, wire.ChangeAccepted},
-		{"stale reads", emul.KVFaults{Past: true}, wire.ChangeAccepted},
+		{"stale reads", emul.KVFaults{StaleReads: true}, wire.ChangeAccepted},
 		{"watches silent", emul.KVFaults{SilentWatches: true}, wire.ChangeAccepted},
 	}
 	st := startWash(t, 2)
@@ -178,7 +178,7 @@
 			is.Equal(reply.Result, tc.want)
 			waitForRevision(t, st.Nodes(), reply.Revision)
 			st.KV().SetFaults(emul.KVFaults{})
-			st.KV().Remember()
+			st.KV().SaveState()
 			is.Equal(storedEnvelope(t, st).Revision(), reply.Revision)
 		})
 	}
@@ -203,13 +203,13 @@
 	// older configuration. Both must get the newest configuration from the other VMs first.
 	is := is.New(t)
 	st := startWash(t, 3)
-	st.KV().Remember()
+	st.KV().SaveState()
 	reply := propose(t, st.Nodes()[0], documentWith(t, st, 9), 1)
 	is.Equal(reply.Result, wire.ChangeAccepted)
 	waitForRevision(t, st.Nodes(), 2)
-	for _, kf := range []emul.KVFaults{{Refuse: true}, {Past: true}} {
+	for _, kf := range []emul.KVFaults{{Refuse: true}, {StaleReads: true}} {
 		st.KV().SetFaults(kf)
-		nd, err := st.Boot("west")
+		nd, err := st.StartVM("west")
 		is.NoErr(err)
 		first := uint64(0)
 		eventually(t, "a configuration after boot", func() bool { first = revision(nd); return first > 0 })
@@ -228,7 +228,7 @@
 	for _, nd := range slices.Clone(st.Nodes()) {
 		st.Kill(nd)
 	}
-	nd, err := st.Boot("east")
+	nd, err := st.StartVM("east")
 	is.NoErr(err)
 	cl, err := client.NewCaller(client.Config{URL: "http://" + nd.Addrs().Caller, Timeout: testTimeout})
 	is.NoErr(err)
@@ -241,7 +241,7 @@
 	eventually(t, "the configuration is back", func() bool { return revision(nd) == 1 })
 }
 
-func TestBackup(t *testing.T) {
+func TestServiceRestoredFromBackup(t *testing.T) {
 	// An old value is written over the team's key, as by restoring a backup. No VM may return to
 	// the old revision, an alarm must be raised, and the VMs must write the newer change back to
 	// the service.
@@ -278,7 +278,7 @@
 	is.True(rp.Swapped)
 }
 
-func TestQuietChange(t *testing.T) {
+func TestChangeOfKilledVM(t *testing.T) {
 	// A VM dies right after its swap took effect, so that it pushes the change to no other VM,
 	// and the service has compacted its events. The VMs that watch the service must read all
 	// values again and push the change, and its status must be found by its id.
--- a/io/node/fleet_test.go
+++ b/io/node/fleet_test.go
@@ -99,7 +99,7 @@
 // A VM is killed, and its address stays on the VM list. The other VMs of its data centre must
 // detect it by missing heartbeats, and those of other data centres must learn of it through their
 // relays.
-func TestVMsKnowEachOther(t *testing.T) {
+func TestKilledVMIsDetected(t *testing.T) {
 	st := startSite(t, 9, 0)
 	waitForStates(t, st, map[string]int{"live": 9})
 	st.Kill(st.Nodes()[4])
@@ -112,7 +112,7 @@
 	st := startSite(t, 9, 0)
 	waitForStates(t, st, map[string]int{"live": 9})
 	first := st.Nodes()[0]
-	first.Replied(0, wire.UpstreamLoad{State: wire.UpstreamDraining, Incarnation: 1 << 60}, "")
+	first.ObserveReply(0, wire.UpstreamLoad{State: wire.UpstreamDraining, Incarnation: 1 << 60}, "")
 	var heard []float64
 	t.Cleanup(func() {
 		if t.Failed() {
--- a/io/node/kv_test.go
+++ b/io/node/kv_test.go
@@ -30,7 +30,7 @@
 		{"status 500", emul.KVFaults{Fail: true}, true, true, false},
 		{"reply lost", emul.KVFaults{LoseSwaps: true}, true, true, true},
 		{"slower than the timeout", emul.KVFaults{Slow: time.Second}, true, true, true},
-		{"stale reads", emul.KVFaults{Past: true}, false, false, true},
+		{"stale reads", emul.KVFaults{StaleReads: true}, false, false, true},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/io/node/members_riders.go
+++ b/io/node/members_riders.go
@@ -14,7 +14,7 @@
 // riderBytes bounds the data piggybacked on one heartbeat or reply, besides the membership.
 // A VM sends about eight of these messages a second, so this is 1.5 kB/s of the 8 kB/s that a VM
 // may spend on control traffic.
-const riderBytes = 192
+const piggybackBytes = 192
 
 // piggyback is the data piggybacked on a heartbeat or its reply.
 type piggyback struct {
@@ -57,7 +57,7 @@
 func (ms *members) collect(addr, dataCentre string) piggyback {
 	var pb piggyback
 	to := recipient{addr: addr, dataCentre: dataCentre, vms: len(ms.holders())}
-	room := riderBytes
+	room := piggybackBytes
 	for _, pg := range ms.piggybackers {
 		room -= pg.outgoing(to, room, &pb)
 	}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -100,7 +100,7 @@
 
 // Start starts a VM, which serves as soon as Start returns.
 func Start(cfg Config) (*Node, error) {
-	if err := wire.Warm(); err != nil {
+	if err := wire.CompileDecoder(); err != nil {
 		return nil, errors.Wrap(err, "node.Start")
 	}
 	lns, err := listen(cfg.Settings)
--- a/io/node/rolling_test.go
+++ b/io/node/rolling_test.go
@@ -288,7 +288,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for _, dataCentre := range []string{"east", "north", "west"} {
-		_, err := st.Boot(dataCentre)
+		_, err := st.StartVM(dataCentre)
 		is.NoErr(err)
 	}
 	is.NoErr(st.WaitReady(ctx))
@@ -301,7 +301,7 @@
 		is.NoErr(<-errs)
 	}
 	for _, nd := range old {
-		st.Forget(nd)
+		st.RemoveFromList(nd)
 	}
 	ba.set(st.Nodes())
 }
--- a/io/node/searchlog.go
+++ b/io/node/searchlog.go
@@ -22,7 +22,7 @@
 func (nd *Node) initLog(lo *log.Logger) {
 	nd.lines = lines.New(lines.Config{
 		Writer: lo.Writer,
-		Lost:   func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
+		OnDrop:   func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
 	})
 	nd.log = &log.Logger{
 		Level:      lo.Level,
--- a/io/node/shares_test.go
+++ b/io/node/shares_test.go
@@ -22,7 +22,7 @@
 		}
 	}
 	eventually(t, "a third each", even(3))
-	if _, err := st.Boot("east"); err != nil {
+	if _, err := st.StartVM("east"); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "a quarter each", even(4))
--- a/io/node/stop_test.go
+++ b/io/node/stop_test.go
@@ -85,13 +85,13 @@
 	st := startSite(t, 3, 0)
 	cfg := st.Config()
 	cfg.BalancerLag = 10 * testTimeout
-	nd, err := st.BootWith(cfg, "east")
+	nd, err := st.StartVMWith(cfg, "east")
 	is.NoErr(err)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	is.NoErr(nd.Stop(ctx))
 	is.NoErr(ctx.Err())
-	st.Forget(nd)
+	st.RemoveFromList(nd)
 }
 
 // VMs are killed while callers search and renew. Callers whose connection breaks get an error. A
--- a/io/node/upstreams.go
+++ b/io/node/upstreams.go
@@ -16,7 +16,7 @@
 const (
 	// hintBytes is the budget for polling servers' load endpoints, in bytes a second: a quarter
 	// of the 8 kB/s that a VM may spend on control traffic at the intended size.
-	hintBytes      = 2 << 10
+	hintBytesPerSecond      = 2 << 10
 	hintBurstBytes = 256 << 10
 	hintInterval   = 2 * time.Second
 
@@ -61,7 +61,7 @@
 	us.rnd = rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr)))
 	us.maps = server.NewMaps(func(id view.ServerID) bool { return !ct.view.ServerRef(id).State.Leaving() })
 	us.states = server.New(server.Config{Rand: us.rnd, IsLastReplica: us.maps.IsLastReplica})
-	us.polls = server.NewPolls(server.PollsConfig{Rand: us.rnd, BytesPerSecond: hintBytes, Burst: hintBurstBytes, Every: hintInterval})
+	us.polls = server.NewPolls(server.PollsConfig{Rand: us.rnd, BytesPerSecond: hintBytesPerSecond, Burst: hintBurstBytes, Every: hintInterval})
 	us.plan = newConnPlan(us, conns.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre})
 	return us
 }
--- a/io/node/upstreams_reply.go
+++ b/io/node/upstreams_reply.go
@@ -114,7 +114,7 @@
 }
 
 // Replied processes a server's reply. Refusal is empty for a reply with a result.
-func (nd *Node) Replied(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal) {
+func (nd *Node) ObserveReply(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal) {
 	up := nd.upstream(id)
 	leaving := load.State == wire.UpstreamDraining || refusal == wire.RefusalDraining
 	if load.Incarnation != up.incarnation.Load() {
@@ -173,7 +173,7 @@
 }
 
 // Failed processes a failed exchange with a server. Kind is the upst.Kind of the error.
-func (nd *Node) Failed(id view.ServerID, kind string) {
+func (nd *Node) ObserveFailure(id view.ServerID, kind string) {
 	up := nd.upstream(id)
 	if upst.Kind(kind) == upst.KindRefused {
 		if up.refusalPending.CompareAndSwap(false, true) {
--- a/io/oper/oper.go
+++ b/io/oper/oper.go
@@ -87,14 +87,14 @@
 
 // Oper is the operators' listener.
 type Oper struct {
-	*guard.Door
+	*guard.Server
 	cfg Config
 }
 
 // New returns the listener, which Serve starts.
 func New(cfg Config) *Oper {
 	gc := guard.Config{MaxBody: cfg.MaxBody, RequestTime: cfg.ReadTimeout, Refused: cfg.Refused, Panicked: cfg.Panicked}
-	op := &Oper{Door: guard.Open("oper", cfg.Listener, gc), cfg: cfg}
+	op := &Oper{Server: guard.NewServer("oper", cfg.Listener, gc), cfg: cfg}
 	op.Routes.Use(op.trackRequest)
 	op.Routes.GET(wire.RouteHealth, op.health)
 	op.Routes.Use(op.authorize)
@@ -111,7 +111,7 @@
 // trackRequest marks a connection as in use while its request runs. If the VM is leaving, it closes
 // the connection after the answer.
 func (op *Oper) trackRequest(ctx context.Context, rc *app.RequestContext) {
-	defer accept.Begin(ctx)()
+	defer accept.BeginRequest(ctx)()
 	rc.Next(ctx)
 	if op.cfg.Operator.Leaving() {
 		rc.SetConnectionClose()
--- a/io/plat/client_test.go
+++ b/io/plat/client_test.go
@@ -94,7 +94,7 @@
 // An operator's change is written by a swap whose reply may get lost. The VM's answer to the
 // operator depends on whether the write may have taken effect. A wrong no would give the operator a
 // false result, and a wrong yes would leave the result unknown in every outage.
-func TestDoubt(t *testing.T) {
+func TestMayHaveApplied(t *testing.T) {
 	kv := startKV(t)
 	cases := []struct {
 		name           string
--- a/io/site/overload_test.go
+++ b/io/site/overload_test.go
@@ -79,7 +79,7 @@
 		whole += rp.Outcomes[wire.OutcomeComplete]
 		extra += rp.Work.Hedges + rp.Work.Retries
 		primaries += rp.Work.Primaries
-		p99 := float64(rp.Whole.ValueAtQuantile(99)) / 1000
+		p99 := float64(rp.CompleteLatency.ValueAtQuantile(99)) / 1000
 		b.ReportMetric(p99, overClasses[i].name+"P99ms")
 		b.ReportMetric(float64(rp.MaxLag.Microseconds())/1000, overClasses[i].name+"Lagms")
 	}
@@ -149,7 +149,7 @@
 	var wg sync.WaitGroup
 	for i, oc := range overClasses {
 		lo, err := emul.NewLoad(emul.LoadConfig{
-			Targets: targets, Rate: load * oc.share * overCapacity, Count: 100_000, For: d,
+			Targets: targets, Rate: load * oc.share * overCapacity, Count: 100_000, Duration: d,
 			Seed: uint64(i + 1), Timeout: 5 * time.Second, MaxInFlight: 2048,
 			Request: func(rd *rand.Rand, _ int) wire.SearchRequest {
 				query := json.RawMessage(fmt.Sprintf(`{"plate":"A%d"}`, rd.IntN(40)))
--- a/io/site/site.go
+++ b/io/site/site.go
@@ -103,7 +103,7 @@
 		Slots:       st.cfg.Slots,
 		Queue:       st.cfg.Queue,
 		Connections: st.cfg.Connections,
-		Setup:       st.cfg.ConnectTime,
+		ConnSetupTime:       st.cfg.ConnectTime,
 		Service:     st.cfg.ServiceTime,
 	})
 	if err != nil {
@@ -114,7 +114,7 @@
 		return err
 	}
 	for i := range st.cfg.VMs {
-		if _, err := st.Boot(st.cfg.DataCentres[i%len(st.cfg.DataCentres)]); err != nil {
+		if _, err := st.StartVM(st.cfg.DataCentres[i%len(st.cfg.DataCentres)]); err != nil {
 			return err
 		}
 	}
@@ -163,12 +163,12 @@
 func (st *Site) Config() Config { return st.cfg }
 
 // Boot starts another VM in a data centre and adds it to the VM list.
-func (st *Site) Boot(dataCentre string) (*node.Node, error) {
-	return st.BootWith(st.cfg, dataCentre)
+func (st *Site) StartVM(dataCentre string) (*node.Node, error) {
+	return st.StartVMWith(st.cfg, dataCentre)
 }
 
 // BootWith is Boot with a configuration other than the site's; only its settings of VMs are used.
-func (st *Site) BootWith(cfg Config, dataCentre string) (*node.Node, error) {
+func (st *Site) StartVMWith(cfg Config, dataCentre string) (*node.Node, error) {
 	set := setup.Defaults()
 	set.CallerAddr = "127.0.0.1:0"
 	if st.bootCount == 0 && cfg.CallerAddr != "" {
@@ -206,7 +206,7 @@
 }
 
 // Forget removes a stopped VM from the VM list, as the platform does.
-func (st *Site) Forget(nd *node.Node) {
+func (st *Site) RemoveFromList(nd *node.Node) {
 	st.vms.Remove(nd.Addrs().Inner)
 	st.removeNode(nd)
 }
--- a/io/site/upstreams_test.go
+++ b/io/site/upstreams_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	is := is.New(t)
 	lo, err := emul.NewLoad(emul.LoadConfig{
-		Targets: targets, Rate: rate, Count: 100_000, For: 2 * time.Minute, Seed: 1, Timeout: 10 * time.Second,
+		Targets: targets, Rate: rate, Count: 100_000, Duration: 2 * time.Minute, Seed: 1, Timeout: 10 * time.Second,
 		Request: func(*rand.Rand, int) wire.SearchRequest {
 			return wire.SearchRequest{Team: "wash", Search: "lookup", Query: json.RawMessage(`{"plate":"A1"}`)}
 		},
@@ -172,7 +172,7 @@
 	stop := startLoad(t, st, 300)
 	sv := st.Fleet().Servers()[0]
 	eventually(t, "sub-requests on the server", func() bool { return sv.Upstream.Runs() > 50 })
-	sv.Upstream.SetFaults(emul.UpstreamFaults{Claim: wire.UpstreamServing})
+	sv.Upstream.SetFaults(emul.UpstreamFaults{ClaimedState: wire.UpstreamServing})
 	start := time.Now()
 	sv.Upstream.SetState(wire.UpstreamDraining)
 	awaitDrained(t, st, sv.Addr, start)
@@ -208,7 +208,7 @@
 	})
 	st.VMs().SetLag(time.Minute) // the list of a minute ago has none of the VMs
 	sv := st.Fleet().Servers()[1]
-	sv.Upstream.SetFaults(emul.UpstreamFaults{Claim: wire.UpstreamServing})
+	sv.Upstream.SetFaults(emul.UpstreamFaults{ClaimedState: wire.UpstreamServing})
 	sv.Upstream.SetState(wire.UpstreamDraining)
 	stop := startLoadAt(t, 200, st.Nodes()[0].Addrs().Caller)
 	eventually(t, "the first refusal", func() bool { return sv.Upstream.Refused(wire.RefusalDraining) > 0 })
@@ -383,7 +383,7 @@
 		st.Kill(nd)
 	}
 	for i := range 6 {
-		_, err := st.Boot([]string{"east", "west"}[i%2])
+		_, err := st.StartVM([]string{"east", "west"}[i%2])
 		is.NoErr(err)
 	}
 	var targets []string
--- a/io/story/story.go
+++ b/io/story/story.go
@@ -19,7 +19,7 @@
 	maxLineBytes = 64 << 10
 	// DefaultLines is the default limit on the lines kept: a request over some hundred shards
 	// writes a few dozen.
-	DefaultLines = 1000
+	DefaultMaxLines = 1000
 )
 
 // Kind classifies an Error.
@@ -61,32 +61,32 @@
 	// ID is the id of the request.
 	ID string
 	// Lines limits the lines kept; 0 means DefaultLines.
-	Lines int
+	MaxLines int
 }
 
 // Story collects the lines of one request. It is not safe for concurrent use.
-type Story struct {
+type Collector struct {
 	cfg   Config
 	lines []Line
 	// Bad counts the lines that could not be parsed, LeftOut those beyond the limit.
-	Bad, LeftOut int
+	BadLines, LeftOut int
 }
 
 // New returns a story without lines.
-func New(cfg Config) *Story {
-	if cfg.Lines <= 0 {
-		cfg.Lines = DefaultLines
+func New(cfg Config) *Collector {
+	if cfg.MaxLines <= 0 {
+		cfg.MaxLines = DefaultMaxLines
 	}
-	return &Story{cfg: cfg}
+	return &Collector{cfg: cfg}
 }
 
 // Read reads one log. Its name stands for the VM if a line does not name one.
-func (st *Story) Read(name string, rd io.Reader) error {
+func (st *Collector) Read(name string, rd io.Reader) error {
 	br := bufio.NewReaderSize(rd, maxLineBytes)
 	for {
 		line, err := br.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			st.Bad++
+			st.BadLines++
 			err = skipLine(br)
 			line = nil
 		}
@@ -111,13 +111,13 @@
 }
 
 // addLine keeps a line if it is about the request.
-func (st *Story) addLine(name string, line []byte) {
+func (st *Collector) addLine(name string, line []byte) {
 	if len(line) == 0 {
 		return
 	}
 	at := bytes.IndexByte(line, '{')
 	if at < 0 {
-		st.Bad++
+		st.BadLines++
 		return
 	}
 	// Most lines are about other requests; parsing all of them would take ten times as long.
@@ -126,7 +126,7 @@
 	}
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(line[at:], &fields) != nil {
-		st.Bad++
+		st.BadLines++
 		return
 	}
 	if textField(fields, "id") != st.cfg.ID {
@@ -134,10 +134,10 @@
 	}
 	when, err := time.Parse(time.RFC3339Nano, textField(fields, "time"))
 	if err != nil {
-		st.Bad++
+		st.BadLines++
 		return
 	}
-	if len(st.lines) >= st.cfg.Lines {
+	if len(st.lines) >= st.cfg.MaxLines {
 		st.LeftOut++
 		return
 	}
@@ -165,7 +165,7 @@
 
 // Lines returns the request's lines sorted by time. The VMs' clocks differ by some milliseconds,
 // so the order may differ from the true one by as much.
-func (st *Story) Lines() []Line {
+func (st *Collector) Lines() []Line {
 	sort.SliceStable(st.lines, func(i, j int) bool { return st.lines[i].Time.Before(st.lines[j].Time) })
 	return st.lines
 }
--- a/io/story/story_test.go
+++ b/io/story/story_test.go
@@ -45,14 +45,14 @@
 		"small.log: forwarded",
 	})
 	is.Equal(string(st.Lines()[2].Fields["ms"]), "61.2")
-	is.Equal(st.Bad, 3)
+	is.Equal(st.BadLines, 3)
 	is.Equal(st.LeftOut, 0)
 }
 
 // A client uses one id for hours: the number of lines kept is limited.
 func TestBounded(t *testing.T) {
 	is := is.New(t)
-	st := story.New(story.Config{ID: id, Lines: 10})
+	st := story.New(story.Config{ID: id, MaxLines: 10})
 	is.NoErr(st.Read("a", strings.NewReader(strings.Repeat(line("05.1", "answered", ""), 25))))
 	is.Equal(len(st.Lines()), 10)
 	is.Equal(st.LeftOut, 15)
@@ -73,7 +73,7 @@
 	f.Add(line("05.1", "answered", ""))
 	f.Add("x {" + id)
 	f.Fuzz(func(t *testing.T, text string) {
-		st := story.New(story.Config{ID: id, Lines: 3})
+		st := story.New(story.Config{ID: id, MaxLines: 3})
 		if err := st.Read("a", strings.NewReader(text)); err != nil {
 			t.Fatal(err)
 		}
--- a/io/stubs/stubs.go
+++ b/io/stubs/stubs.go
@@ -23,11 +23,11 @@
 // Config configures a pool of clients of type T.
 type Config[T any] struct {
 	// Make returns a client of the VM with a base URL such as "http://127.0.0.1:9000".
-	Make func(base string, hc *http.Client) T
+	NewClient func(base string, hc *http.Client) T
 	// DialTime limits the opening of a connection; 0 is no limit.
-	DialTime time.Duration
+	DialTimeout time.Duration
 	// Idle is the maximum number of idle connections kept to each VM.
-	Idle int
+	MaxIdle int
 }
 
 // Pool holds a client for each VM that was called, until Drop or Close.
@@ -48,20 +48,20 @@
 }
 
 // At returns the client of the VM with an inner address, and creates it if needed.
-func (po *Pool[T]) At(addr string) T {
+func (po *Pool[T]) Client(addr string) T {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	st, ok := po.byAddr[addr]
 	if !ok {
 		tr := &http.Transport{
-			DialContext:         (&net.Dialer{Timeout: po.cfg.DialTime}).DialContext,
-			MaxIdleConnsPerHost: po.cfg.Idle,
+			DialContext:         (&net.Dialer{Timeout: po.cfg.DialTimeout}).DialContext,
+			MaxIdleConnsPerHost: po.cfg.MaxIdle,
 			IdleConnTimeout:     idleTimeout,
 			// Messages are small or already compressed; an Accept-Encoding header
 			// would only make them longer.
 			DisableCompression: true,
 		}
-		st = vmClient[T]{client: po.cfg.Make("http://"+addr, &http.Client{Transport: tr}), transport: tr}
+		st = vmClient[T]{client: po.cfg.NewClient("http://"+addr, &http.Client{Transport: tr}), transport: tr}
 		po.byAddr[addr] = st
 	}
 	return st.client
@@ -69,7 +69,7 @@
 
 // Drop removes a VM's client and closes its idle connections. After a call without an answer its
 // connection may be dead, while a new one may work.
-func (po *Pool[T]) Drop(addr string) {
+func (po *Pool[T]) Remove(addr string) {
 	po.mu.Lock()
 	defer po.mu.Unlock()
 	if st, ok := po.byAddr[addr]; ok {
--- a/io/upst/chaos_test.go
+++ b/io/upst/chaos_test.go
@@ -39,7 +39,7 @@
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			fx := newFixture(t, emul.UpstreamConfig{Seed: seed, Slots: 8, Queue: 8, Connections: chaosLimit + 1, Service: fixedServiceTime(time.Millisecond)},
-				upst.Config{MaxConns: chaosLimit, Floor: 2, DialTimeout: 100 * time.Millisecond, PingTimeout: 20 * time.Millisecond, Seed: seed})
+				upst.Config{MaxConns: chaosLimit, MinConns: 2, DialTimeout: 100 * time.Millisecond, PingTimeout: 20 * time.Millisecond, Seed: seed})
 			stop := make(chan struct{})
 			var faults sync.WaitGroup
 			faults.Add(1)
@@ -118,7 +118,7 @@
 		case <-time.After(time.Duration(rnd.IntN(8)) * time.Millisecond):
 		}
 		fx.fc.advance(time.Duration(rnd.IntN(700)) * time.Millisecond)
-		fx.sv.Tick(true)
+		fx.sv.MaintainOnce(true)
 		switch rnd.IntN(9) {
 		case 0:
 			fx.up.Crash()
@@ -165,12 +165,12 @@
 	fx.sv.SetLimit(chaosLimit)
 	fx.until("a search is answered", func() bool {
 		fx.fc.advance(300 * time.Millisecond)
-		fx.sv.Tick(true)
+		fx.sv.MaintainOnce(true)
 		return fx.search("after", time.Second) == nil
 	})
 	fx.until("no connection is left over", func() bool {
 		fx.fc.advance(300 * time.Millisecond)
-		fx.sv.Tick(false)
+		fx.sv.MaintainOnce(false)
 		open, _ := fx.up.Connections()
 		return fx.sv.Open() <= chaosLimit && open <= chaosLimit
 	})
--- a/io/upst/keep.go
+++ b/io/upst/keep.go
@@ -21,7 +21,7 @@
 )
 
 // KeepConfig configures the maintenance of all servers' connections.
-type KeepConfig struct {
+type MaintainConfig struct {
 	// Servers returns the present servers; it is called at each tick.
 	Servers func() []*Server
 	// Count receives the number of events since the last tick, by reason.
@@ -29,7 +29,7 @@
 }
 
 // Keep maintains the connections of all servers until the context ends.
-func Keep(ctx context.Context, cfg KeepConfig) {
+func Maintain(ctx context.Context, cfg MaintainConfig) {
 	ma := &maintainer{cfg: cfg}
 	tk := time.NewTicker(tickInterval)
 	defer tk.Stop()
@@ -45,7 +45,7 @@
 
 // maintainer maintains the connections of all servers.
 type maintainer struct {
-	cfg KeepConfig
+	cfg MaintainConfig
 	// cooldownTicks is the number of ticks until pingAll may act again.
 	cooldownTicks int
 }
@@ -61,7 +61,7 @@
 	first := rand.IntN(len(servers))
 	for i := range servers {
 		sv := servers[(first+i)%len(servers)]
-		if sv.Tick(fills > 0) {
+		if sv.MaintainOnce(fills > 0) {
 			fills--
 		}
 		silentFound = sv.pool.silentFound.Swap(false) || silentFound
@@ -89,7 +89,7 @@
 
 // Tick maintains the connections once: it closes silent ones, pings or closes idle ones, and
 // with fill opens one if too few are open. It reports whether it opened one for that reason.
-func (sv *Server) Tick(fill bool) bool {
+func (sv *Server) MaintainOnce(fill bool) bool {
 	return sv.pool.tick(fill)
 }
 
--- a/io/upst/pool.go
+++ b/io/upst/pool.go
@@ -45,7 +45,7 @@
 		cfg: cfg,
 		gate: warm.New(warm.Config{
 			Limit: cfg.MaxConns,
-			Floor: cfg.Floor,
+			Floor: cfg.MinConns,
 			Rand:  rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Addr)))),
 		}),
 		tracker:          stall.New[*conn](stall.Config{}),
--- a/io/upst/pool_test.go
+++ b/io/upst/pool_test.go
@@ -38,10 +38,10 @@
 // Cancel is sent at once over an idle connection, so that a hedged sub-request that is no longer
 // needed ends long before its deadline.
 func TestCancelOverIdle(t *testing.T) {
-	fx := newFixture(t, emul.UpstreamConfig{Service: fixedServiceTime(time.Minute)}, upst.Config{MaxConns: 2, Floor: 2})
+	fx := newFixture(t, emul.UpstreamConfig{Service: fixedServiceTime(time.Minute)}, upst.Config{MaxConns: 2, MinConns: 2})
 	fx.until("two are open", func() bool {
 		fx.fc.advance(time.Second)
-		fx.sv.Tick(true)
+		fx.sv.MaintainOnce(true)
 		return fx.sv.Open() == 2
 	})
 	done := fx.searchAsync("loser", waitTimeout)
@@ -103,10 +103,10 @@
 
 // When the limit falls, idle connections over it are closed at once, and the rest stay usable.
 func TestSetLimit(t *testing.T) {
-	fx := newFixture(t, emul.UpstreamConfig{Slots: 8}, upst.Config{MaxConns: 4, Floor: 4})
+	fx := newFixture(t, emul.UpstreamConfig{Slots: 8}, upst.Config{MaxConns: 4, MinConns: 4})
 	fx.until("four are open", func() bool {
 		fx.fc.advance(time.Second)
-		fx.sv.Tick(true)
+		fx.sv.MaintainOnce(true)
 		return fx.sv.Open() == 4
 	})
 	fx.sv.SetLimit(1)
@@ -116,7 +116,7 @@
 	fx.sv.SetLimit(2)
 	fx.until("two are open", func() bool {
 		fx.fc.advance(time.Second)
-		fx.sv.Tick(true)
+		fx.sv.MaintainOnce(true)
 		return fx.sv.Open() == 2
 	})
 }
@@ -125,12 +125,12 @@
 // another before the next search needs one.
 func TestRefillAfterRestart(t *testing.T) {
 	fx := newFixture(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2})
-	fx.is.True(fx.sv.Tick(true))
+	fx.is.True(fx.sv.MaintainOnce(true))
 	fx.until("one is open", func() bool { return fx.sv.Open() == 1 })
 	fx.up.Crash()
 	fx.is.NoErr(fx.up.Restart(wire.UpstreamServing))
 	fx.fc.advance(time.Second)
-	fx.is.True(fx.sv.Tick(true))
+	fx.is.True(fx.sv.MaintainOnce(true))
 	fx.until("one is open again", func() bool { return fx.sv.Open() == 1 })
-	fx.is.True(!fx.sv.Tick(true)) // no more are needed
+	fx.is.True(!fx.sv.MaintainOnce(true)) // no more are needed
 }
--- a/io/upst/server.go
+++ b/io/upst/server.go
@@ -39,7 +39,7 @@
 	// it.
 	MaxConns int
 	// Floor is the number of connections kept open without demand.
-	Floor int
+	MinConns int
 	// DialTimeout limits the opening of a connection, including its first ping.
 	DialTimeout time.Duration
 	// PingAfterOnce is the time since a connection's last answer after which SearchOnce pings
--- a/io/upst/silent_test.go
+++ b/io/upst/silent_test.go
@@ -26,7 +26,7 @@
 	for i := range 3 {
 		fx.is.NoErr(fx.search(fmt.Sprint(i), waitTimeout))
 	}
-	fx.sv.Tick(false)
+	fx.sv.MaintainOnce(false)
 	checkError(fx.is, <-lost, upst.KindSilent, true)
 	fx.is.Equal(fx.sv.Open(), 1)
 }
@@ -45,7 +45,7 @@
 			fx.fc.advance(6 * time.Second)
 			var err error
 			fx.until("the silent connection is found", func() bool {
-				fx.sv.Tick(false)
+				fx.sv.MaintainOnce(false)
 				select {
 				case err = <-lost:
 					return true
@@ -71,7 +71,7 @@
 	checkError(fx.is, fx.search("mute", 50*time.Millisecond), upst.KindTimeout, true)
 	fx.is.Equal(fx.sv.Open(), 1) // the reply may still come
 	fx.fc.advance(2 * time.Second)
-	fx.sv.Tick(false)
+	fx.sv.MaintainOnce(false)
 	fx.until("the connection is closed", func() bool { return fx.sv.Open() == 0 })
 	fx.up.SetFaults(emul.UpstreamFaults{})
 	fx.is.NoErr(fx.search("again", waitTimeout))
@@ -121,13 +121,13 @@
 // so that no search uses a silent one.
 func TestSilentIdleReplaced(t *testing.T) {
 	fx := newFixture(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2, DialTimeout: 200 * time.Millisecond})
-	fx.is.True(fx.sv.Tick(true))
+	fx.is.True(fx.sv.MaintainOnce(true))
 	fx.until("one is open", func() bool { return fx.sv.Open() == 1 })
 	fx.up.Silence()
 	fx.fc.advance(16 * time.Second)
-	fx.sv.Tick(false)
+	fx.sv.MaintainOnce(false)
 	fx.until("the silent one is closed", func() bool { return fx.sv.Open() == 0 })
 	fx.fc.advance(time.Second)
-	fx.is.True(fx.sv.Tick(true))
+	fx.is.True(fx.sv.MaintainOnce(true))
 	fx.until("another is open", func() bool { return fx.sv.Open() == 1 })
 }
--- a/io/wire/decode.go
+++ b/io/wire/decode.go
@@ -22,7 +22,7 @@
 
 // Warm compiles the decoder of the most frequent message, which takes about 10 ms, so that the
 // first search of a new VM does not wait for it.
-func Warm() error {
+func CompileDecoder() error {
 	var rp ShardReply
 	return Decode([]byte("{}"), &rp)
 }
