--- a/cmd/laburnumvane/gateway.go
+++ b/cmd/laburnumvane/gateway.go
@@ -14,7 +14,7 @@
 
 	"laburnumvane/core/toggle"
 	"laburnumvane/io/edge"
-	"laburnumvane/io/lines"
+	"laburnumvane/io/logbuf"
 	"laburnumvane/platform"
 )
 
@@ -118,7 +118,7 @@
 // logging never blocks, and a function that closes the queue.
 func queuedLogger(level string) (*log.Logger, func()) {
 	lo := newLogger(os.Stdout, level)
-	qu := lines.New(lines.Config{Writer: lo.Writer})
+	qu := logbuf.New(logbuf.Config{Writer: lo.Writer})
 	lo.Writer = qu
 	return lo, qu.Close
 }
--- a/cmd/laburnumvane/load.go
+++ b/cmd/laburnumvane/load.go
@@ -80,7 +80,7 @@
 		Targets:     cmd.Args().Slice(),
 		Rate:        cmd.Float("rate"),
 		Count:       cmd.Int("count"),
-		Duration:         cmd.Duration("for"),
+		Duration:    cmd.Duration("for"),
 		Request:     requests,
 		Timeout:     cmd.Duration("timeout"),
 		MaxInFlight: cmd.Int("max-in-flight"),
--- a/cmd/laburnumvane/procs_help_test.go
+++ b/cmd/laburnumvane/procs_help_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/fault"
+	"laburnumvane/core/errs"
 )
 
 const (
@@ -53,7 +53,7 @@
 	}
 	bu.dir, bu.path = dir, filepath.Join(dir, "laburnumvane")
 	out, err := exec.Command("go", "build", "-buildvcs=false", "-o", bu.path, ".").CombinedOutput()
-	return fault.Wrap(err, "go build: "+string(out))
+	return errs.Wrap(err, "go build: "+string(out))
 }
 
 // needProgram returns the path of the built program. Process tests call it first: with -short it
--- a/cmd/laburnumvane/soak_client_test.go
+++ b/cmd/laburnumvane/soak_client_test.go
@@ -14,7 +14,7 @@
 
 	"laburnumvane/core/record"
 	"laburnumvane/platform"
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 // mentionsStore reports whether an event concerns the store or a link to it.
@@ -30,7 +30,7 @@
 func (sc *soakClient) run() {
 	defer sc.http.CloseIdleConnections()
 	for !sc.so.done.Load() {
-		paths := []string{stand.PathSearch, stand.PathSearch, stand.PathLedger, stand.PathOnce}
+		paths := []string{fakes.PathSearch, fakes.PathSearch, fakes.PathLedger, fakes.PathOnce}
 		sc.send(sc.so.vms[sc.rnd.IntN(len(sc.so.vms))], paths[sc.rnd.IntN(len(paths))])
 		time.Sleep(time.Duration(5+sc.rnd.IntN(20)) * time.Millisecond)
 	}
@@ -40,7 +40,7 @@
 	id := nextSoakID()
 	method := http.MethodGet
 	var body io.Reader = http.NoBody
-	if path == stand.PathOnce {
+	if path == fakes.PathOnce {
 		method, body = http.MethodPost, strings.NewReader("some body")
 	}
 	rq, err := http.NewRequest(method, "http://"+vm.place.ClientAddr+path+id, body)
@@ -48,7 +48,7 @@
 		sc.so.fail("%v", err)
 		return
 	}
-	rq.Host = stand.Host
+	rq.Host = fakes.Host
 	rq.Header.Set(platform.HeaderRequestID, id)
 	rq.Header.Set(platform.HeaderDeadline, "1500")
 	sc.so.sent.Add(1)
@@ -79,7 +79,7 @@
 	if planned && sc.runCount(id) > 0 {
 		sc.so.fail("%s %s: cut off by the planned stop of %s: %v", path, id, vm.name, err)
 	}
-	if path == stand.PathOnce && sc.runCount(id) > 1 {
+	if path == fakes.PathOnce && sc.runCount(id) > 1 {
 		sc.so.fail("%s ran %d times", id, sc.runCount(id))
 	}
 }
@@ -91,19 +91,19 @@
 		sc.so.fail("%s %s was refused as a request that crashes servers", path, id)
 	}
 	switch {
-	case path == stand.PathOnce && ran > 1:
+	case path == fakes.PathOnce && ran > 1:
 		sc.so.fail("%s ran %d times", id, ran)
-	case path == stand.PathOnce && promisesNotRun(rs.StatusCode) && ran > 0:
+	case path == fakes.PathOnce && promisesNotRun(rs.StatusCode) && ran > 0:
 		sc.so.fail("%s was answered %d and ran", id, rs.StatusCode)
 	case rs.StatusCode != http.StatusOK:
-	case path == stand.PathSearch:
+	case path == fakes.PathSearch:
 		sc.so.served.Add(1)
 		if why := sc.checkGathered(id, rs, body); why != "" {
 			sc.so.fail("search %s: %s", id, why)
 		}
 	default:
 		sc.so.served.Add(1)
-		if !bytes.Equal(body, stand.Records("ledger")) || !sc.issuedReceipt(id, "ledger", rs.Header.Get(platform.HeaderReceipt)) {
+		if !bytes.Equal(body, fakes.Records("ledger")) || !sc.issuedReceipt(id, "ledger", rs.Header.Get(platform.HeaderReceipt)) {
 			sc.so.fail("%s %s: not the answer of a server to it: %.80q", path, id, body)
 		}
 	}
@@ -148,7 +148,7 @@
 			return "a receipt that no server issued: " + receipt
 		}
 		seen[service] = true
-		bodies = append(bodies, stand.Records(service))
+		bodies = append(bodies, fakes.Records(service))
 	}
 	if rs.Header.Get(platform.HeaderMissing) != fmt.Sprint(soakShards-len(bodies)) {
 		return "the number of missing shards is wrong"
--- a/cmd/laburnumvane/soak_crash_test.go
+++ b/cmd/laburnumvane/soak_crash_test.go
@@ -7,14 +7,14 @@
 	"time"
 
 	"laburnumvane/platform"
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 const (
 	// soakCrasher is the User-Agent of the requests that crash servers. A server crashes
 	// soakCrashDelay after such a request arrives and is back after soakCrashRestart.
 	soakCrasher      = "crasher/1"
-	soakCrashPath    = stand.PathSearch + "crash"
+	soakCrashPath    = fakes.PathSearch + "crash"
 	soakCrashDelay   = 20 * time.Millisecond
 	soakCrashRestart = time.Second
 	// soakCrashKnown is the time after recovery within which every VM must know of such a
@@ -49,7 +49,7 @@
 		so.fail("%v", err)
 		return
 	}
-	rq.Host = stand.Host
+	rq.Host = fakes.Host
 	rq.Header.Set("User-Agent", soakCrasher)
 	rq.Header.Set(platform.HeaderRequestID, nextSoakID())
 	rq.Header.Set(platform.HeaderDeadline, "1500")
--- a/cmd/laburnumvane/soak_faults_test.go
+++ b/cmd/laburnumvane/soak_faults_test.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 // injectFault injects one random fault and registers how to undo it.
@@ -27,15 +27,15 @@
 		so.record("%s gets SIGHUP", vm.name)
 		vm.signal(syscall.SIGHUP)
 	case 5:
-		modes := []stand.Mode{stand.Busy, stand.Silent, stand.Disconnect, stand.LoseAnswers}
+		modes := []fakes.Mode{fakes.Busy, fakes.Silent, fakes.Disconnect, fakes.LoseAnswers}
 		mode := modes[so.rnd.IntN(len(modes))]
 		so.record("the store serves %s in mode %d for %v", vm.name, mode, span)
 		vm.place.Endpoint.Set(mode)
-		so.undoAfter(span, func() { vm.place.Endpoint.Set(stand.Serving) })
+		so.undoAfter(span, func() { vm.place.Endpoint.Set(fakes.Serving) })
 	case 6:
 		so.record("the store does not answer for %v", span)
-		so.site.Store.SetAll(stand.Silent)
-		so.undoAfter(span, func() { so.site.Store.SetAll(stand.Serving) })
+		so.site.Store.SetAll(fakes.Silent)
+		so.undoAfter(span, func() { so.site.Store.SetAll(fakes.Serving) })
 	case 7:
 		so.record("the store loses its history and all leases")
 		so.site.Store.Compact()
@@ -49,7 +49,7 @@
 	case 13:
 		so.routes++
 		so.record("new configuration with route %d", so.routes)
-		so.site.Configure([]stand.Route{{"name": "added", "host": stand.Host, "path_prefix": fmt.Sprintf("/added-%d/", so.routes),
+		so.site.Configure([]fakes.Route{{"name": "added", "host": fakes.Host, "path_prefix": fmt.Sprintf("/added-%d/", so.routes),
 			"route_type": "safe", "timeout_ms": 2000, "target_latency_ms": 400, "priority": 2, "service": "ledger", "max_attempts": 2}})
 	default:
 		so.injectWideFault(kind, span)
@@ -136,9 +136,9 @@
 		li.set(linkPass)
 	}
 	for _, sv := range so.site.Servers() {
-		sv.Set(stand.Behaviour{})
+		sv.Set(fakes.Behaviour{})
 	}
-	so.site.Store.SetAll(stand.Serving)
+	so.site.Store.SetAll(fakes.Serving)
 	for _, vm := range so.vms {
 		vm.signal(syscall.SIGCONT)
 		if vm.hasExited() {
@@ -181,11 +181,11 @@
 func (so *soak) spoilAnswers(span time.Duration) {
 	servers := so.site.Servers()
 	sv := servers[so.rnd.IntN(len(servers))]
-	be := stand.Behaviour{Fault: stand.Fault(1 + so.rnd.IntN(int(stand.CloseOnReuse))), Every: 1 + so.rnd.IntN(4),
+	be := fakes.Behaviour{Fault: fakes.Fault(1 + so.rnd.IntN(int(fakes.CloseOnReuse))), Every: 1 + so.rnd.IntN(4),
 		Delay: time.Duration(so.rnd.IntN(30)) * time.Millisecond}
 	so.record("%s has fault %d in one of %d answers for %v", sv.ID, be.Fault, be.Every, span)
 	sv.Set(be)
-	so.undoAfter(span, func() { sv.Set(stand.Behaviour{}) })
+	so.undoAfter(span, func() { sv.Set(fakes.Behaviour{}) })
 }
 
 // replaceServer adds a server and then drains the one that it replaces.
@@ -211,7 +211,7 @@
 
 // checkDrained checks that a drained server gets no new requests after soakDrainLimit. It records no
 // violation if a VM or the store had a fault meanwhile.
-func (so *soak) checkDrained(sv *stand.Server, left time.Time) {
+func (so *soak) checkDrained(sv *fakes.Server, left time.Time) {
 	time.Sleep(soakDrainLimit)
 	before := len(sv.Ran())
 	time.Sleep(time.Second)
--- a/cmd/laburnumvane/soak_places_test.go
+++ b/cmd/laburnumvane/soak_places_test.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 const (
@@ -26,14 +26,14 @@
 		} else {
 			so.record("the servers of %s restart", dataCentre)
 			so.site.Restart(so.serversOf(dataCentre)...)
-			time.Sleep(stand.WarmUp)
+			time.Sleep(fakes.WarmUp)
 		}
 		time.Sleep(time.Duration(200+rnd.IntN(1500)) * time.Millisecond)
 	}
 }
 
-func (so *soak) serversOf(dataCentre string) []*stand.Server {
-	var servers []*stand.Server
+func (so *soak) serversOf(dataCentre string) []*fakes.Server {
+	var servers []*fakes.Server
 	for _, sv := range so.site.Servers() {
 		if sv.DataCentre == dataCentre {
 			servers = append(servers, sv)
@@ -59,7 +59,7 @@
 	so.site.StartWarmUp(servers...)
 	so.site.EndEvacuation(dataCentre)
 	so.record("%s is taken back", dataCentre)
-	time.Sleep(stand.WarmUp)
+	time.Sleep(fakes.WarmUp)
 }
 
 // checkWarmUpLimit checks that no server ever got more requests than it can take while it warmed up,
--- a/cmd/laburnumvane/soak_test.go
+++ b/cmd/laburnumvane/soak_test.go
@@ -17,7 +17,7 @@
 	"github.com/matryer/is"
 
 	"laburnumvane/platform"
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 // A randomised soak test of the program: gateway VMs run as processes, clients use keep-alive
@@ -84,11 +84,11 @@
 type soak struct {
 	t     *testing.T
 	rnd   *rand.Rand
-	site  *stand.Site
+	site  *fakes.Site
 	vms   []*soakVM
 	links []*link
 	// serverLinks are the links in front of servers.
-	serverLinks map[*stand.Server]*link
+	serverLinks map[*fakes.Server]*link
 	undos       []func()
 	start       time.Time
 	// faultsEnded is set when no more faults are injected, done when the clients are to stop.
@@ -98,7 +98,7 @@
 	served      atomic.Int64
 	routes      int
 	// crash is not nil if servers crash on a request; places is set if data centres are evacuated.
-	crash  *stand.CrashRule
+	crash  *fakes.CrashRule
 	places bool
 
 	mu       sync.Mutex
@@ -110,7 +110,7 @@
 type soakVM struct {
 	so       *soak
 	name     string
-	place    stand.VM
+	place    fakes.VM
 	settings string
 	store    *link
 	mu       sync.Mutex
@@ -125,21 +125,21 @@
 func newSoak(t *testing.T, tc soakCase) *soak {
 	is := is.New(t)
 	dataCentres := []string{"east", "west", "south"}
-	cfg := stand.Config{DataCentres: dataCentres, Shards: soakShards, Colocated: true}
+	cfg := fakes.Config{DataCentres: dataCentres, Shards: soakShards, Colocated: true}
 	if tc.places {
 		cfg.WarmUpPerSecond = soakWarmUp
 	}
-	site, err := stand.New(cfg)
+	site, err := fakes.New(cfg)
 	is.NoErr(err)
 	t.Cleanup(site.Close)
-	so := &soak{t: t, rnd: rand.New(rand.NewPCG(tc.seed, tc.seed)), site: site, serverLinks: map[*stand.Server]*link{}, start: time.Now()}
+	so := &soak{t: t, rnd: rand.New(rand.NewPCG(tc.seed, tc.seed)), site: site, serverLinks: map[*fakes.Server]*link{}, start: time.Now()}
 	for _, sv := range site.Servers() {
 		li := newLink(t, sv.Addr())
 		so.serverLinks[sv] = li
 		so.links = append(so.links, li)
 		site.PutEntryAt(sv, li.addr(), "ready", 2)
 	}
-	var seeds []stand.VM
+	var seeds []fakes.VM
 	for i, dataCentre := range dataCentres {
 		place, err := site.VM(fmt.Sprintf("vm-%d", i+1), dataCentre, seeds...)
 		is.NoErr(err)
@@ -297,14 +297,14 @@
 	if err != nil {
 		return 0
 	}
-	rq.Host = stand.Host
+	rq.Host = fakes.Host
 	rq.Header.Set(platform.HeaderRequestID, nextSoakID())
 	rs, err := client.Do(rq)
 	if err != nil {
 		return 0
 	}
 	defer rs.Body.Close()
-	if path == stand.PathSearch && rs.Header.Get(platform.HeaderMissing) != "0" {
+	if path == fakes.PathSearch && rs.Header.Get(platform.HeaderMissing) != "0" {
 		return 0
 	}
 	return rs.StatusCode
@@ -317,8 +317,8 @@
 // serves reports whether the VM is ready and serves all routes, the newest one included.
 func (vm *soakVM) serves() bool {
 	newest := fmt.Sprintf("/added-%d/", vm.so.routes)
-	return vm.ready() && vm.get(vm.place.ClientAddr, stand.PathSearch) == http.StatusOK &&
-		vm.get(vm.place.ClientAddr, stand.PathLedger) == http.StatusOK &&
+	return vm.ready() && vm.get(vm.place.ClientAddr, fakes.PathSearch) == http.StatusOK &&
+		vm.get(vm.place.ClientAddr, fakes.PathLedger) == http.StatusOK &&
 		(vm.so.routes == 0 || vm.get(vm.place.ClientAddr, newest) == http.StatusOK)
 }
 
--- a/cmd/laburnumvane/story.go
+++ b/cmd/laburnumvane/story.go
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"laburnumvane/io/story"
+	"laburnumvane/io/reqlog"
 )
 
 // storyTimeLayout has microseconds: two lines of a request are often less than a millisecond apart.
@@ -18,10 +18,10 @@
 
 // storyReply is what story prints with --json.
 type storyReply struct {
-	ID       string       `json:"id"`
-	Lines    []story.Line `json:"lines"`
-	BadLines int          `json:"badLines"`
-	LeftOut  int          `json:"leftOut"`
+	ID       string        `json:"id"`
+	Lines    []reqlog.Line `json:"lines"`
+	BadLines int           `json:"badLines"`
+	LeftOut  int           `json:"leftOut"`
 }
 
 func storyCommand() *cli.Command {
@@ -55,7 +55,7 @@
 	if len(args) < 2 || args[0] == "" {
 		return usageError(cmd.FullName(), "an ID and at least one FILE are needed")
 	}
-	st := story.New(story.Config{ID: args[0]})
+	st := reqlog.New(reqlog.Config{ID: args[0]})
 	for _, name := range args[1:] {
 		if err := readStory(cmd, st, name); err != nil {
 			return failure(cmd.FullName(), err)
@@ -73,7 +73,7 @@
 }
 
 // readStory streams one file, as a log may be larger than memory.
-func readStory(cmd *cli.Command, st *story.Collector, name string) error {
+func readStory(cmd *cli.Command, st *reqlog.Collector, name string) error {
 	if name == "-" {
 		return st.Read("stdin", cmd.Root().Reader)
 	}
@@ -98,7 +98,7 @@
 }
 
 // details formats a line's fields, sorted by name.
-func details(ln story.Line) string {
+func details(ln reqlog.Line) string {
 	parts := make([]string, 0, len(ln.Fields))
 	for name, value := range ln.Fields {
 		parts = append(parts, name+"="+string(value))
--- a/cmd/laburnumvane/try.go
+++ b/cmd/laburnumvane/try.go
@@ -13,7 +13,7 @@
 
 	"laburnumvane/io/edge"
 	"laburnumvane/platform"
-	"laburnumvane/platform/stand"
+	"laburnumvane/platform/fakes"
 )
 
 const (
@@ -53,8 +53,8 @@
 // tryRun is one run of the command.
 type tryRun struct {
 	out   io.Writer
-	site  *stand.Site
-	vms   []stand.VM
+	site  *fakes.Site
+	vms   []fakes.VM
 	edges []*edge.Edge
 	sent  int
 }
@@ -72,15 +72,15 @@
 	if err := tr.start(); err != nil {
 		return err
 	}
-	tr.sendAndPrint("a search over all shards", stand.PathSearch+"2f")
-	tr.sendAndPrint("a request to one server", stand.PathLedger+"2f")
-	leaving := tr.site.Server(stand.Shard(0), "east")
+	tr.sendAndPrint("a search over all shards", fakes.PathSearch+"2f")
+	tr.sendAndPrint("a request to one server", fakes.PathLedger+"2f")
+	leaving := tr.site.Server(fakes.Shard(0), "east")
 	tr.site.PutEntry(leaving, "draining", 2)
-	tr.sendAndPrint("a search while a server leaves", stand.PathSearch+"2f")
-	tr.site.Store.SetAll(stand.Silent)
-	tr.sendAndPrint("a search while the store is away", stand.PathSearch+"2f")
-	tr.site.Store.SetAll(stand.Serving)
-	tr.site.Configure([]stand.Route{{"name": "new", "host": stand.Host, "path_prefix": "/new/", "route_type": "safe",
+	tr.sendAndPrint("a search while a server leaves", fakes.PathSearch+"2f")
+	tr.site.Store.SetAll(fakes.Silent)
+	tr.sendAndPrint("a search while the store is away", fakes.PathSearch+"2f")
+	tr.site.Store.SetAll(fakes.Serving)
+	tr.site.Configure([]fakes.Route{{"name": "new", "host": fakes.Host, "path_prefix": "/new/", "route_type": "safe",
 		"timeout_ms": 2000, "target_latency_ms": 400, "priority": 2, "service": "ledger", "max_attempts": 2}})
 	start := time.Now()
 	tr.waitUntil(func() bool { return tr.send("/new/2f").status == http.StatusOK })
@@ -92,7 +92,7 @@
 // start starts the stand-ins and the VMs, and waits until each VM reaches all shards.
 func (tr *tryRun) start() error {
 	dataCentres := []string{"east", "west", "south"}
-	site, err := stand.New(stand.Config{DataCentres: dataCentres, Shards: tryShards})
+	site, err := fakes.New(fakes.Config{DataCentres: dataCentres, Shards: tryShards})
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 		fmt.Fprintf(tr.out, "vm-%d in %s, clients at %s\n", i+1, dataCentre, vm.ClientAddr)
 	}
 	for range tr.vms {
-		tr.waitUntil(func() bool { return tr.send(stand.PathSearch).missing == "0" })
+		tr.waitUntil(func() bool { return tr.send(fakes.PathSearch).missing == "0" })
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 		an.err = err
 		return an
 	}
-	rq.Host = stand.Host
+	rq.Host = fakes.Host
 	rq.Header.Set(platform.HeaderRequestID, fmt.Sprintf("try-%d", tr.sent))
 	start := time.Now()
 	rs, err := http.DefaultClient.Do(rq)
--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -57,8 +57,8 @@
 	RetryAfter time.Duration
 	// Handle and Until are set if Kind is Queued. Until is the time by which the
 	// search must start.
-	Handle Handle
-	StartBy  time.Duration
+	Handle  Handle
+	StartBy time.Duration
 }
 
 // Grant ends the wait of a search: if Start is set it may start, otherwise it is
--- a/core/change/decode.go
+++ b/core/change/decode.go
@@ -7,7 +7,7 @@
 
 	"github.com/go-faster/errors"
 
-	"laburnumvane/core/press"
+	"laburnumvane/core/codec"
 )
 
 // Decode parses a value. It rejects unknown fields: a proposer writes the whole value back, so a
@@ -70,7 +70,7 @@
 	if len(past) == 0 {
 		return nil, nil
 	}
-	raw, err := press.Inflate(past, maxPast)
+	raw, err := codec.Inflate(past, maxPast)
 	if err != nil {
 		return nil, err
 	}
--- a/core/change/encode.go
+++ b/core/change/encode.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"encoding/json"
 
-	"laburnumvane/core/press"
+	"laburnumvane/core/codec"
 )
 
 const format = 1
@@ -56,5 +56,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return press.Deflate(raw, press.Small), nil
+	return codec.Deflate(raw, codec.Small), nil
 }
--- a/core/change/event.go
+++ b/core/change/event.go
@@ -28,7 +28,7 @@
 // service did not receive the swap.
 type SwapFailed struct {
 	MayHaveApplied bool
-	Err      error
+	Err            error
 }
 
 func (Begin) isEvent()      {}
--- a/core/press/press.go
+++ b/core/codec/press.go
@@ -5,7 +5,7 @@
 //
 //	packed := press.Deflate(raw, press.Fast)
 //	raw, err := press.Inflate(packed, maxBytes)
-package press
+package codec
 
 import (
 	"bytes"
--- a/core/enlist/silent.go
+++ b/core/enlist/silent.go
@@ -10,7 +10,7 @@
 	// Leads is set while the others follow this VM. Since is when that began; before, no VM
 	// asked this one.
 	Followed bool
-	Since time.Duration
+	Since    time.Duration
 	// Fresh is set if the store was contacted recently: during an outage of the store, no
 	// entry can be removed.
 	StoreFresh bool
--- a/core/fault/fault.go
+++ b/core/errs/fault.go
@@ -3,7 +3,7 @@
 // # Usage
 //
 //	return fault.Wrap(server.Run(), "front.Serve")
-package fault
+package errs
 
 import "github.com/go-faster/errors"
 
--- a/core/fanout/machine.go
+++ b/core/fanout/machine.go
@@ -424,16 +424,16 @@
 		}
 	}
 	mc.actions = append(mc.actions, Action{Kind: ActAnswer, Answer: Answer{
-		Outcome:  oc,
-		Reason:   reason,
-		Winners:  mc.winners,
-		Missing:  mc.cfg.Shards - mc.served,
-		ShownFailure:    mc.shown,
-		NoCapacity:     mc.full,
-		Attempts: len(mc.attempts),
-		Hedges:   mc.hedges,
-		Retries:  mc.retries,
-		At:       now,
+		Outcome:      oc,
+		Reason:       reason,
+		Winners:      mc.winners,
+		Missing:      mc.cfg.Shards - mc.served,
+		ShownFailure: mc.shown,
+		NoCapacity:   mc.full,
+		Attempts:     len(mc.attempts),
+		Hedges:       mc.hedges,
+		Retries:      mc.retries,
+		At:           now,
 	}})
 }
 
--- a/core/limit/budget_test.go
+++ b/core/limit/budget_test.go
@@ -44,10 +44,10 @@
 		sn.Replicas[i] = []view.ServerID{0, 1, 2, 3}
 	}
 	mc := search.New(search.Config{
-		ID:        number,
+		ID:            number,
 		Snapshot:      sn,
-		SoftDeadline:          time.Second,
-		HardDeadline:          time.Second,
+		SoftDeadline:  time.Second,
+		HardDeadline:  time.Second,
 		MinCoverage:   1,
 		HitLimit:      1,
 		Chooser:       nextReplica{},
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -104,9 +104,9 @@
 	Incarnation uint64
 }
 
-func (Send) action()    {}
-func (Ask) action()     {}
-func (Reply) action()   {}
-func (HelpReply) action()  {}
-func (Changed) action() {}
-func (Resumed) action()    {}
+func (Send) action()      {}
+func (Ask) action()       {}
+func (Reply) action()     {}
+func (HelpReply) action() {}
+func (Changed) action()   {}
+func (Resumed) action()   {}
--- a/core/feed/absence_test.go
+++ b/core/mirror/absence_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package mirror_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 )
 
 // Guards against an undetected outage. The store refuses all VMs for six seconds, and the
@@ -49,7 +49,7 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var ab feed.Outage
+			var ab mirror.Outage
 			for _, ev := range tc.events {
 				if ev.failed {
 					ab.RecordFailure(ev.at)
--- a/core/feed/boot_test.go
+++ b/core/mirror/boot_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package mirror_test
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/rank"
 )
 
@@ -35,11 +35,11 @@
 			is := is.New(t)
 			bo := newBoot(tc.seeds, tc.first)
 			now := time.Duration(0)
-			for st := bo.Next(now); st.From != feed.FromStore; st = bo.Next(now) {
+			for st := bo.Next(now); st.From != mirror.FromStore; st = bo.Next(now) {
 				// A call to a seed without power takes the whole time-out.
 				is.True(st.Wait > 0)
 				now += st.Wait
-				bo.Failed(now, st, feed.Outcome{Failed: true})
+				bo.Failed(now, st, mirror.Outcome{Failed: true})
 			}
 			is.True(now <= tc.most)
 		})
@@ -52,21 +52,21 @@
 func TestBootRefusedByStore(t *testing.T) {
 	is := is.New(t)
 	bo := newBoot([]string{"b", "c"}, false)
-	asked := map[feed.From]int{}
+	asked := map[mirror.From]int{}
 	const minute = time.Minute
 	for now := time.Duration(0); now < minute; {
 		st := bo.Next(now)
 		asked[st.From]++
 		// Refusals come within a round trip.
 		now += max(st.Wait, 2*time.Millisecond)
-		bo.Failed(now, st, feed.Outcome{Failed: true})
+		bo.Failed(now, st, mirror.Outcome{Failed: true})
 	}
-	is.True(asked[feed.FromStore] <= 45)
-	is.True(asked[feed.FromPeer] >= 60)
+	is.True(asked[mirror.FromStore] <= 45)
+	is.True(asked[mirror.FromPeer] >= 60)
 }
 
-func newBoot(seeds []string, first bool) *feed.Boot {
-	return feed.NewBoot(feed.BootConfig{
+func newBoot(seeds []string, first bool) *mirror.Boot {
+	return mirror.NewBoot(mirror.BootConfig{
 		Self: "self", Seeds: seeds, FirstStart: first, Rand: rand.New(rand.NewPCG(1, 2)),
 	})
 }
@@ -87,8 +87,8 @@
 	addr    string
 	startAt time.Duration
 	large   bool
-	boot    *feed.Boot
-	giver   feed.CopyLimiter
+	boot    *mirror.Boot
+	giver   mirror.CopyLimiter
 	// announced is set unless the VM still has to announce its copy to the seeds.
 	announced bool
 	// next is when the VM acts again, copyAt when it has its copy, linkFree when its link is
@@ -136,7 +136,7 @@
 		link = largeLink
 	}
 	vm.next = vm.startAt
-	vm.boot = feed.NewBoot(feed.BootConfig{
+	vm.boot = mirror.NewBoot(mirror.BootConfig{
 		Self: vm.addr, Seeds: seeds, LinkMbps: link, Rand: rand.New(rand.NewPCG(seed, uint64(i))), Now: vm.startAt,
 	})
 }
@@ -146,15 +146,15 @@
 	bf.calls++
 	bf.storeFree = max(bf.storeFree, now) + storeList
 	vm.next = max(bf.storeFree, now+smallList) + networkDelay
-	var members []feed.Member
+	var members []mirror.Member
 	for _, other := range bf.vms {
 		capacity := 0.2
 		if other.large {
 			capacity = 0.8
 		}
-		members = append(members, feed.Member{VM: other.rankVM(), Capacity: capacity})
+		members = append(members, mirror.Member{VM: other.rankVM(), Capacity: capacity})
 	}
-	readers, own := feed.Readers(vm.rankVM(), members)
+	readers, own := mirror.Readers(vm.rankVM(), members)
 	vm.boot.SetReaders(vm.next, readers, own)
 }
 
@@ -186,7 +186,7 @@
 func (bf *bootFleet) step(now time.Duration, vm *bootVM) {
 	st := vm.boot.Next(now)
 	switch st.From {
-	case feed.FromStore:
+	case mirror.FromStore:
 		bf.calls++
 		bf.storeFree = max(bf.storeFree, now) + storeCopy
 		link := smallCopy
@@ -196,11 +196,11 @@
 		vm.copyAt = max(bf.storeFree, now+link) + networkDelay
 		vm.next = vm.copyAt
 		vm.announced = !vm.boot.Announces(st)
-	case feed.FromPeer:
+	case mirror.FromPeer:
 		bf.ask(now, vm, st)
-	case feed.FromList:
+	case mirror.FromList:
 		bf.list(now, vm)
-	case feed.FromNone:
+	case mirror.FromNone:
 		vm.next = now + max(st.Wait, time.Millisecond)
 	}
 }
@@ -216,31 +216,31 @@
 	}
 }
 
-func (bf *bootFleet) ask(now time.Duration, vm *bootVM, st feed.Step) {
+func (bf *bootFleet) ask(now time.Duration, vm *bootVM, st mirror.Step) {
 	peer := bf.byAddr[st.Addr]
 	vm.next = now + networkDelay
 	if peer.startAt > now && bf.unpowered {
 		vm.next = now + st.Wait
-		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Failed: true})
 		return
 	}
 	if peer.startAt > now {
-		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true, Refused: true})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Failed: true, Refused: true})
 		return
 	}
 	if peer.copyAt > now {
-		vm.boot.Failed(vm.next, st, feed.Outcome{Empty: true, Holders: peer.giver.Holders(now, vm.addr)})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Empty: true, Holders: peer.giver.Holders(now, vm.addr)})
 		return
 	}
 	give, others := peer.giver.Allow(now, vm.addr)
 	if !give {
-		vm.boot.Failed(vm.next, st, feed.Outcome{Empty: true, Holders: others})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Empty: true, Holders: others})
 		return
 	}
 	peer.linkFree = max(peer.linkFree, now) + peerCopy
 	if peer.linkFree > now+st.Wait {
 		vm.next = now + st.Wait
-		vm.boot.Failed(vm.next, st, feed.Outcome{Failed: true})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Failed: true})
 		return
 	}
 	vm.copyAt = peer.linkFree + networkDelay
@@ -308,25 +308,25 @@
 
 func TestReaders(t *testing.T) {
 	self := rank.VM{Addr: "self", DataCentre: "east"}
-	member := func(addr, dc string, capacity float64) feed.Member {
-		return feed.Member{VM: rank.VM{Addr: addr, DataCentre: dc}, Capacity: capacity}
+	member := func(addr, dc string, capacity float64) mirror.Member {
+		return mirror.Member{VM: rank.VM{Addr: addr, DataCentre: dc}, Capacity: capacity}
 	}
 	cases := []struct {
 		name    string
-		members []feed.Member
+		members []mirror.Member
 		readers int
 		own     bool
 	}{
 		{"empty list", nil, 0, false},
-		{"this VM alone", []feed.Member{{VM: self, Capacity: 1}}, 0, true},
-		{"a larger VM", []feed.Member{{VM: self, Capacity: 1}, member("large", "east", 2)}, 1, false},
-		{"a larger VM in another data centre", []feed.Member{{VM: self, Capacity: 1}, member("large", "west", 2)}, 0, true},
-		{"this VM is not listed", []feed.Member{member("other", "east", 1)}, 1, false},
+		{"this VM alone", []mirror.Member{{VM: self, Capacity: 1}}, 0, true},
+		{"a larger VM", []mirror.Member{{VM: self, Capacity: 1}, member("large", "east", 2)}, 1, false},
+		{"a larger VM in another data centre", []mirror.Member{{VM: self, Capacity: 1}, member("large", "west", 2)}, 0, true},
+		{"this VM is not listed", []mirror.Member{member("other", "east", 1)}, 1, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			readers, own := feed.Readers(self, tc.members)
+			readers, own := mirror.Readers(self, tc.members)
 			is.Equal(len(readers), tc.readers)
 			is.Equal(own, tc.own)
 		})
--- a/core/feed/doc.go
+++ b/core/mirror/doc.go
@@ -30,4 +30,4 @@
 // data centre is asked, because the store may refuse some VMs and serve others. The lower a
 // VM ranks, the longer it waits before it asks the store itself: during an outage of the
 // store, a whole fleet that asked at once would use up its rate limits for nothing.
-package feed
+package mirror
--- a/core/feed/guide_test.go
+++ b/core/mirror/guide_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package mirror_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/rank"
 )
 
@@ -32,7 +32,7 @@
 
 type member struct {
 	vm     rank.VM
-	guide  *feed.Selector
+	guide  *mirror.Selector
 	dataAt time.Duration
 	next   time.Duration
 	// origin is the VM whose call to the store yielded the data that this one has.
@@ -66,7 +66,7 @@
 		}
 	}
 	for i, vm := range vms {
-		gu := feed.NewSelector(feed.SelectorConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
+		gu := mirror.NewSelector(mirror.SelectorConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
 		gu.SetPeers(vms)
 		fl.vms = append(fl.vms, &member{vm: vm, guide: gu, dataAt: fl.now, next: fl.now})
 	}
@@ -102,10 +102,10 @@
 
 func (fl *fleet) step(mb *member) {
 	st := mb.guide.Next(fl.now, fl.now-mb.dataAt)
-	rp := feed.Outcome{}
+	rp := mirror.Outcome{}
 	took := shortTime
 	switch st.From {
-	case feed.FromStore:
+	case mirror.FromStore:
 		fl.storeCalls++
 		mb.source = ""
 		if fl.refused[mb.vm.Addr] {
@@ -114,7 +114,7 @@
 			mb.dataAt, mb.origin = fl.now, mb.vm.Addr
 			took = watchTime
 		}
-	case feed.FromPeer:
+	case mirror.FromPeer:
 		fl.peerCalls++
 		peer := fl.find(st.Addr)
 		if peer.vm.DataCentre != mb.vm.DataCentre {
@@ -140,7 +140,7 @@
 		rp.Age = fl.now - peer.dataAt
 		rp.OwnData, rp.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
 		mb.source = st.Addr
-		if rp.Age <= feed.StaleAfter && !rp.OwnData && !rp.Follows {
+		if rp.Age <= mirror.StaleAfter && !rp.OwnData && !rp.Follows {
 			// The peer answers when it contacts the store again, or after its wait.
 			took = peerWait
 			if peer.next < fl.now+peerWait {
@@ -150,7 +150,7 @@
 		if peer.dataAt > mb.dataAt {
 			mb.dataAt, mb.origin = peer.dataAt, peer.origin
 		}
-	case feed.FromNone:
+	case mirror.FromNone:
 		took = st.Wait
 	}
 	mb.guide.Done(fl.now, st, rp)
@@ -180,7 +180,7 @@
 // leader is the VM that asks the store in normal operation.
 func (fl *fleet) leader() string {
 	for _, mb := range fl.vms {
-		if mb.guide.Next(fl.now, fl.now-mb.dataAt).From == feed.FromStore {
+		if mb.guide.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
 			return mb.vm.Addr
 		}
 	}
@@ -265,7 +265,7 @@
 	fl := newFleet(6)
 	fl.run(5 * time.Second)
 	for i, mb := range fl.vms {
-		if i%3 == 0 || mb.guide.Next(fl.now, fl.now-mb.dataAt).From == feed.FromStore {
+		if i%3 == 0 || mb.guide.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
 			fl.refused[mb.vm.Addr] = true
 		}
 	}
--- a/core/feed/hints_test.go
+++ b/core/mirror/hints_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package mirror_test
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 )
 
 // Guards against hints that circulate forever between VMs that follow each other: each VM
 // passes a hint on once.
 func TestHintIsPassedOnOnce(t *testing.T) {
 	is := is.New(t)
-	var hi feed.Hints
+	var hi mirror.Hints
 	is.True(hi.Add(0, "a"))
 	is.True(!hi.Add(time.Second, "a"))
 	texts, upto := hi.Since(time.Second, 0)
@@ -34,7 +34,7 @@
 
 func TestHintsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var hi feed.Hints
+	var hi mirror.Hints
 	accepted := 0
 	for n := range 1000 {
 		if hi.Add(0, fmt.Sprint(n)) {
--- a/core/feed/readers.go
+++ b/core/mirror/readers.go
@@ -1,4 +1,4 @@
-package feed
+package mirror
 
 import (
 	"cmp"
--- a/core/feed/replica.go
+++ b/core/mirror/replica.go
@@ -1,4 +1,4 @@
-package feed
+package mirror
 
 // DefaultHistory is how many events a replica keeps for others; a VM that is
 // further behind gets a full copy.
@@ -23,7 +23,7 @@
 type Update struct {
 	// Whole is set if Events is a full copy: entries that are not among them no longer
 	// exist.
-	Full  bool
+	Full   bool
 	Events []Event
 	// AsOf is the store's revision up to which the update reaches.
 	AsOf uint64
--- a/core/feed/replica_test.go
+++ b/core/mirror/replica_test.go
@@ -1,4 +1,4 @@
-package feed_test
+package mirror_test
 
 import (
 	"fmt"
@@ -8,26 +8,26 @@
 	"github.com/matryer/is"
 	"pgregory.net/rapid"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 )
 
-func put(key string, revision uint64) feed.Event {
-	return feed.Event{Item: feed.Item{Key: key, Value: fmt.Appendf(nil, "%s@%d", key, revision), Revision: revision}}
+func put(key string, revision uint64) mirror.Event {
+	return mirror.Event{Item: mirror.Item{Key: key, Value: fmt.Appendf(nil, "%s@%d", key, revision), Revision: revision}}
 }
 
-func removed(key string, revision uint64) feed.Event {
-	return feed.Event{Item: feed.Item{Key: key, Revision: revision}, Removed: true}
+func removed(key string, revision uint64) mirror.Event {
+	return mirror.Event{Item: mirror.Item{Key: key, Revision: revision}, Removed: true}
 }
 
-func whole(asOf uint64, evs ...feed.Event) feed.Update {
-	return feed.Update{Full: true, AsOf: asOf, Events: evs}
+func whole(asOf uint64, evs ...mirror.Event) mirror.Update {
+	return mirror.Update{Full: true, AsOf: asOf, Events: evs}
 }
 
-func since(asOf uint64, evs ...feed.Event) feed.Update {
-	return feed.Update{AsOf: asOf, Events: evs}
+func since(asOf uint64, evs ...mirror.Event) mirror.Update {
+	return mirror.Update{AsOf: asOf, Events: evs}
 }
 
-func keys(evs []feed.Event) map[string]bool {
+func keys(evs []mirror.Event) map[string]bool {
 	out := map[string]bool{}
 	for _, ev := range evs {
 		out[ev.Key] = !ev.Removed
@@ -37,7 +37,7 @@
 
 func TestTake(t *testing.T) {
 	is := is.New(t)
-	re := feed.NewReplica(feed.DefaultHistory)
+	re := mirror.NewReplica(mirror.DefaultHistory)
 	is.Equal(len(re.Apply(since(3, put("a", 2)))), 0) // nothing to apply it to
 	is.True(!re.Loaded())
 	is.Equal(len(re.Apply(whole(5, put("a", 2), put("b", 5)))), 2)
@@ -50,7 +50,7 @@
 // has left would be restored, and a configuration would be reverted.
 func TestOlderUpdateChangesNothing(t *testing.T) {
 	is := is.New(t)
-	re := feed.NewReplica(feed.DefaultHistory)
+	re := mirror.NewReplica(mirror.DefaultHistory)
 	re.Apply(whole(5, put("a", 2)))
 	re.Apply(since(9, removed("a", 8)))
 	is.Equal(len(re.Apply(whole(6, put("a", 2)))), 0)
@@ -64,7 +64,7 @@
 // between two pages must stay.
 func TestFullCopyAfterLostHistory(t *testing.T) {
 	is := is.New(t)
-	re := feed.NewReplica(feed.DefaultHistory)
+	re := mirror.NewReplica(mirror.DefaultHistory)
 	re.Apply(whole(5, put("a", 2), put("b", 3), put("c", 4)))
 	changed := re.Apply(whole(10, put("a", 2), put("c", 12)))
 	is.Equal(keys(changed), map[string]bool{"b": false, "c": true})
@@ -74,7 +74,7 @@
 
 func TestSince(t *testing.T) {
 	is := is.New(t)
-	re := feed.NewReplica(2)
+	re := mirror.NewReplica(2)
 	_, ok := re.Since(0)
 	is.True(!ok)
 	re.Apply(whole(5, put("a", 2)))
@@ -100,11 +100,11 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		is := is.New(t)
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 1))
-		store := feed.NewReplica(1 << 20)
+		store := mirror.NewReplica(1 << 20)
 		store.Apply(whole(1))
-		chain := make([]*feed.Replica, 4)
+		chain := make([]*mirror.Replica, 4)
 		for i := range chain {
-			chain[i] = feed.NewReplica(3)
+			chain[i] = mirror.NewReplica(3)
 		}
 		replicate := func(i int) {
 			from := store
@@ -140,7 +140,7 @@
 	})
 }
 
-func contents(re *feed.Replica) map[string]string {
+func contents(re *mirror.Replica) map[string]string {
 	out := map[string]string{}
 	up, _ := re.Since(0)
 	for _, ev := range up.Events {
--- a/core/origin/upstream.go
+++ b/core/origin/upstream.go
@@ -9,7 +9,7 @@
 	ID string
 	// Born is its start time in milliseconds since 1970; 0 if unknown.
 	StartMs int64
-	Addr string
+	Addr    string
 }
 
 // Upstream is one process of a server. It is immutable.
@@ -17,7 +17,7 @@
 	// ID identifies the server.
 	ID string
 	// Born is the start time of the process in milliseconds since 1970; 0 if unknown.
-	StartMs    int64
+	StartMs int64
 	Service string
 	// Addr is host and port. Another server may have used it before.
 	Addr       string
--- a/core/plan/view.go
+++ b/core/plan/view.go
@@ -5,9 +5,9 @@
 
 	"laburnumvane/core/conns"
 	"laburnumvane/core/origin"
-	"laburnumvane/core/ramp"
 	"laburnumvane/core/rank"
 	"laburnumvane/core/route"
+	"laburnumvane/core/warmup"
 )
 
 const (
@@ -38,7 +38,7 @@
 	// Regions maps data centres to their regions.
 	Regions map[string]string
 	// WarmUp bounds the requests to a server while it warms up.
-	WarmUp ramp.Bounds
+	WarmUp warmup.Bounds
 }
 
 // Limits is this VM's share of the connections to a server.
--- a/core/plan/warming.go
+++ b/core/plan/warming.go
@@ -36,9 +36,9 @@
 	sv, _ := vw.cfg.Routes.Service(up.Service)
 	vm := vw.ownerOf(up)
 	return Warming{
-		MaxPerSecond:  vw.cfg.WarmUp.Max(sv.WarmUpRate),
-		Owner: &origin.Upstream{ID: vm.Addr, Addr: vm.Addr, DataCentre: vm.DataCentre},
-		Self:  vm.Addr == vw.cfg.Self.Addr,
+		MaxPerSecond: vw.cfg.WarmUp.Max(sv.WarmUpRate),
+		Owner:        &origin.Upstream{ID: vm.Addr, Addr: vm.Addr, DataCentre: vm.DataCentre},
+		Self:         vm.Addr == vw.cfg.Self.Addr,
 	}, true
 }
 
--- a/core/poison/record.go
+++ b/core/poison/record.go
@@ -36,7 +36,7 @@
 	Trials []string
 	// Ends counts the servers that crashed under the request, and Repeats those that crashed
 	// during a trial at least a second after the previous one that counted.
-	Crashes    int
+	Crashes       int
 	RepeatCrashes int
 }
 
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -55,8 +55,8 @@
 	// twenty requests a second over ten shards has that many answers overdue within it. Since
 	// faulty servers could be the cause of all of them, VMs in other data centres are probed
 	// too.
-	DefaultMinOwed = 5
-	DefaultShortSilence    = 150 * time.Millisecond
+	DefaultMinOwed      = 5
+	DefaultShortSilence = 150 * time.Millisecond
 	// DefaultFailedShare is the share of requests that must fail for clients to be better
 	// served by other VMs. DefaultMinRequests is the minimum number of requests for this
 	// decision, since a small VM gets one or two a second. DefaultInterval is the minimum
@@ -84,7 +84,7 @@
 	Silence time.Duration
 	// Owed is how many answers from other data centres are overdue or were lost since one was
 	// received. Mute is set if VMs there were probed during the silence and none answered.
-	Overdue int
+	Overdue      int
 	ProbesFailed bool
 	// Told is set if another VM of the data centre has recently reported proof that the data
 	// centre is cut off.
--- a/core/search/bench_test.go
+++ b/core/search/bench_test.go
@@ -60,10 +60,10 @@
 	b.ReportAllocs()
 	for num := uint64(0); b.Loop(); num++ {
 		mc := search.New(search.Config{
-			ID:        num,
+			ID:            num,
 			Snapshot:      sn,
-			SoftDeadline:          time.Second,
-			HardDeadline:          2 * time.Second,
+			SoftDeadline:  time.Second,
+			HardDeadline:  2 * time.Second,
 			MinCoverage:   1,
 			HitLimit:      100,
 			Chooser:       firstUntried{},
--- a/core/search/config.go
+++ b/core/search/config.go
@@ -36,13 +36,13 @@
 	Newer func(version uint64) (view.Snapshot, bool)
 	// Soft is the time at which an answer with at least MinCoverage is given.
 	// Hard is the time at which an answer is given whatever its coverage.
-	SoftDeadline        time.Duration
-	HardDeadline        time.Duration
-	MinCoverage float64
+	SoftDeadline time.Duration
+	HardDeadline time.Duration
+	MinCoverage  float64
 	// Once forbids any shard to run the search twice.
-	AtMostOnce     bool
-	HitLimit int
-	Chooser  Chooser
+	AtMostOnce bool
+	HitLimit   int
+	Chooser    Chooser
 	// HedgeDelay is how long an attempt may take before a hedge is sent; 0 turns
 	// hedging off.
 	HedgeDelay time.Duration
--- a/core/search/example_test.go
+++ b/core/search/example_test.go
@@ -18,13 +18,13 @@
 			{10, 11},
 			{20, 21},
 		}},
-		SoftDeadline:        100 * time.Millisecond,
-		HardDeadline:        time.Second,
-		MinCoverage: 0.5,
-		HitLimit:    10,
-		Chooser:     firstUntried{},
-		HedgeBudget: budget.New(budget.Config{}),
-		RetryBudget: budget.New(budget.Config{}),
+		SoftDeadline: 100 * time.Millisecond,
+		HardDeadline: time.Second,
+		MinCoverage:  0.5,
+		HitLimit:     10,
+		Chooser:      firstUntried{},
+		HedgeBudget:  budget.New(budget.Config{}),
+		RetryBudget:  budget.New(budget.Config{}),
 	})
 	show := func(actions []search.Action) {
 		for _, ac := range actions {
--- a/core/search/golden_test.go
+++ b/core/search/golden_test.go
@@ -101,13 +101,13 @@
 	fs, err := parseFields(words)
 	sc.tokens = &countingBudget{available: fs.number("tokens")}
 	sc.cfg = search.Config{
-		ID:        1,
+		ID:            1,
 		Snapshot:      snapshotOf(uint64(fs.number("version")), fs.number("shards")),
 		Newer:         sc.newerThan,
-		SoftDeadline:          fs.duration("soft"),
-		HardDeadline:          fs.duration("hard"),
+		SoftDeadline:  fs.duration("soft"),
+		HardDeadline:  fs.duration("hard"),
 		MinCoverage:   float64(fs.number("leastPercent")) / 100,
-		AtMostOnce:          fs.has("once"),
+		AtMostOnce:    fs.has("once"),
 		HitLimit:      fs.number("limit"),
 		Chooser:       firstUntried{},
 		HedgeDelay:    fs.duration("hedgeDelay"),
@@ -115,7 +115,7 @@
 		HedgeBudget:   sc.tokens,
 		RetryBudget:   sc.tokens,
 		RetryPerShard: fs.number("perShard"),
-		MinTimeLeft:     fs.duration("leastTime"),
+		MinTimeLeft:   fs.duration("leastTime"),
 	}
 	return err
 }
--- a/core/search/internal/qsim/sim.go
+++ b/core/search/internal/qsim/sim.go
@@ -152,11 +152,11 @@
 	}
 	sn, _ := sm.register.Pin(sm.live)
 	return search.Config{
-		ID:        uint64(sm.runs),
+		ID:            uint64(sm.runs),
 		Snapshot:      sn,
 		Newer:         func(version uint64) (view.Snapshot, bool) { return sm.register.NewerComplete(version, sm.live) },
-		SoftDeadline:          sm.Now() + sm.cfg.Soft,
-		HardDeadline:          sm.Now() + sm.cfg.Hard,
+		SoftDeadline:  sm.Now() + sm.cfg.Soft,
+		HardDeadline:  sm.Now() + sm.cfg.Hard,
 		MinCoverage:   sm.cfg.MinCoverage,
 		HitLimit:      hitLimit,
 		Chooser:       sm,
@@ -165,7 +165,7 @@
 		HedgeBudget:   sm.hedges,
 		RetryBudget:   sm.retries,
 		RetryPerShard: retriesPerShard,
-		MinTimeLeft:     leastTime,
+		MinTimeLeft:   leastTime,
 	}
 }
 
--- a/core/search/property_test.go
+++ b/core/search/property_test.go
@@ -50,13 +50,13 @@
 		}
 	}
 	md.cfg = search.Config{
-		ID:        5,
+		ID:            5,
 		Snapshot:      md.mapOf(firstVersion),
 		Newer:         md.newerThan,
-		SoftDeadline:          rapid.SampledFrom([]time.Duration{softDeadline, hardDeadline}).Draw(rt, "soft"),
-		HardDeadline:          hardDeadline,
+		SoftDeadline:  rapid.SampledFrom([]time.Duration{softDeadline, hardDeadline}).Draw(rt, "soft"),
+		HardDeadline:  hardDeadline,
 		MinCoverage:   rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(rt, "least"),
-		AtMostOnce:          rapid.IntRange(0, 2).Draw(rt, "once") == 0,
+		AtMostOnce:    rapid.IntRange(0, 2).Draw(rt, "once") == 0,
 		HitLimit:      100,
 		Chooser:       firstUntried{},
 		HedgeDelay:    rapid.SampledFrom([]time.Duration{0, 10 * time.Millisecond}).Draw(rt, "hedgeDelay"),
@@ -64,7 +64,7 @@
 		HedgeBudget:   md.tokens,
 		RetryBudget:   md.tokens,
 		RetryPerShard: rapid.IntRange(0, 3).Draw(rt, "perShard"),
-		MinTimeLeft:     rapid.SampledFrom([]time.Duration{time.Millisecond, 90 * time.Millisecond}).Draw(rt, "leastTime"),
+		MinTimeLeft:   rapid.SampledFrom([]time.Duration{time.Millisecond, 90 * time.Millisecond}).Draw(rt, "leastTime"),
 	}
 	md.mc = search.New(md.cfg)
 	return md
--- a/core/server/event.go
+++ b/core/server/event.go
@@ -39,7 +39,7 @@
 	Kind Kind
 	// Incarnation is the server's incarnation that the event refers to; 0 if unknown.
 	Incarnation uint64
-	Reported        ReportedState
+	Reported    ReportedState
 	// Good, Shed and Cold count the replies that were executed, that were refused because of
 	// load, and that were refused because the server was cold.
 	Good, Shed, Cold int
--- a/core/server/fault_test.go
+++ b/core/server/fault_test.go
@@ -89,7 +89,7 @@
 	return server.Event{
 		Kind:        server.Kind(rapid.IntRange(int(server.Reply), int(server.Wake)).Draw(rt, "kind")),
 		Incarnation: uint64(rapid.IntRange(0, 4).Draw(rt, "incarnation")),
-		Reported:        server.ReportedState(rapid.IntRange(0, 3).Draw(rt, "says")),
+		Reported:    server.ReportedState(rapid.IntRange(0, 3).Draw(rt, "says")),
 		Good:        rapid.IntRange(0, 5).Draw(rt, "good"),
 		Shed:        rapid.IntRange(0, 5).Draw(rt, "shed"),
 		Cold:        rapid.IntRange(0, 1).Draw(rt, "cold"),
@@ -198,7 +198,7 @@
 func TestLastReplicaIsNeverGone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		tb := server.New(server.Config{
-			Rand: rand.New(rand.NewPCG(1, 1)),
+			Rand:          rand.New(rand.NewPCG(1, 1)),
 			IsLastReplica: func(view.ServerID) bool { return true },
 		})
 		tb.Add(0, addr)
--- a/core/server/scenario_test.go
+++ b/core/server/scenario_test.go
@@ -61,7 +61,7 @@
 
 func newRunner(last bool) *runner {
 	tb := server.New(server.Config{
-		Rand: rand.New(rand.NewPCG(1, 1)),
+		Rand:          rand.New(rand.NewPCG(1, 1)),
 		IsLastReplica: func(view.ServerID) bool { return last },
 	})
 	tb.Add(0, addr)
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -48,8 +48,8 @@
 	// all others. Way is the part of it allowed for the delay of a message, by
 	// default a third; a VM counts as missed if no newer message from it arrived
 	// for the rest.
-	Window time.Duration
-	MaxDelay    time.Duration
+	Window   time.Duration
+	MaxDelay time.Duration
 	// Forget is how long a VM must be silent before its share is divided among
 	// the others.
 	ForgetAfter time.Duration
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -13,7 +13,7 @@
 	Rand *rand.Rand
 	// Readable returns an error if this build cannot read an update's document.
 	CheckReadable func(Update) error
-	Pace     Pace
+	Pace          Pace
 }
 
 // Pace holds the intervals, time-outs and rates of a Machine.
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -75,17 +75,17 @@
 // Accepted delivers a change that this VM has just written to the service.
 type Accepted struct{ Update Update }
 
-func (Tick) isEvent()     {}
-func (Members) isEvent()  {}
-func (Ranged) isEvent()   {}
-func (Watched) isEvent()  {}
-func (Failed) isEvent()   {}
-func (Pushed) isEvent()   {}
-func (Acked) isEvent()    {}
-func (PeerDigest) isEvent()     {}
-func (Compared) isEvent() {}
-func (Pulled) isEvent()   {}
-func (Accepted) isEvent() {}
+func (Tick) isEvent()       {}
+func (Members) isEvent()    {}
+func (Ranged) isEvent()     {}
+func (Watched) isEvent()    {}
+func (Failed) isEvent()     {}
+func (Pushed) isEvent()     {}
+func (Acked) isEvent()      {}
+func (PeerDigest) isEvent() {}
+func (Compared) isEvent()   {}
+func (Pulled) isEvent()     {}
+func (Accepted) isEvent()   {}
 
 // Action is an output of Machine.Step, for the caller to carry out.
 type Action interface{ isAction() }
--- a/core/spread/example_test.go
+++ b/core/spread/example_test.go
@@ -12,8 +12,8 @@
 // Example shows a VM that receives a change from a peer and then an older one.
 func Example() {
 	ma := spread.New(spread.Config{
-		Self:     rank.VM{Addr: "10.0.0.1:7703", DataCentre: "east"},
-		Rand:     rand.New(rand.NewPCG(1, 1)),
+		Self:          rank.VM{Addr: "10.0.0.1:7703", DataCentre: "east"},
+		Rand:          rand.New(rand.NewPCG(1, 1)),
 		CheckReadable: func(spread.Update) error { return nil },
 	})
 	peer := rank.VM{Addr: "10.0.0.2:7703", DataCentre: "east"}
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -220,7 +220,7 @@
 type Result struct {
 	Verdict fanout.Verdict
 	// Took is the latency of the attempt, Usual that of its kind on most servers.
-	Latency  time.Duration
+	Latency      time.Duration
 	UsualLatency time.Duration
 	// Most is the maximum number of connections, and thus of concurrent requests, from this VM to
 	// the server; 0 if unknown.
--- a/core/ramp/doc.go
+++ b/core/warmup/doc.go
@@ -31,4 +31,4 @@
 // was evacuated and that its servers are cold since. Its requests to these servers, and those of
 // VMs cut off together with it, cannot be bounded by what they know. They therefore send nothing
 // to servers that have a bound: see Gate.Blind.
-package ramp
+package warmup
--- a/core/ramp/fleet_test.go
+++ b/core/warmup/fleet_test.go
@@ -1,4 +1,4 @@
-package ramp_test
+package warmup_test
 
 import (
 	"flag"
@@ -11,9 +11,9 @@
 
 	"laburnumvane/core/origin"
 	"laburnumvane/core/plan"
-	"laburnumvane/core/ramp"
 	"laburnumvane/core/rank"
 	"laburnumvane/core/route"
+	"laburnumvane/core/warmup"
 )
 
 // seeds is the number of runs of each simulated fleet; a higher number can be set by hand.
@@ -44,7 +44,7 @@
 	index    int
 	vm       rank.VM
 	capacity float64
-	gate     *ramp.Limiter
+	gate     *warmup.Limiter
 	running  bool
 	// known are the VMs in its copy of the store, which is current as of asOf. forgetAt holds
 	// when VMs whose entries were removed stop counting.
@@ -73,7 +73,7 @@
 
 // start starts a VM, which gets its copy of the store up to half a second later.
 func (sim *simulation) start(sv *simVM) {
-	sv.running, sv.gate, sv.view = true, ramp.New(), nil
+	sv.running, sv.gate, sv.view = true, warmup.New(), nil
 	sv.known, sv.forgetAt = map[int]bool{}, map[int]time.Duration{}
 	sv.asOf, sv.nextUpdate = sim.now, sim.now+sim.randomUpTo(500*ms)
 }
@@ -126,7 +126,7 @@
 	up := (&origin.Upstream{ID: "cold", Service: "s", DataCentre: "1"}).WithCold(0, time.Hour)
 	return plan.New(plan.Config{
 		Routes: routes, Upstreams: origin.New([]*origin.Upstream{up}), Self: sv.vm, Fleet: fleet, Capacity: capacity,
-		WarmUp: ramp.Bounds{Overage: 1.5, Slack: 5},
+		WarmUp: warmup.Bounds{Overage: 1.5, Slack: 5},
 	})
 }
 
--- a/core/ramp/gate_test.go
+++ b/core/warmup/gate_test.go
@@ -1,4 +1,4 @@
-package ramp_test
+package warmup_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 
 	"laburnumvane/core/origin"
-	"laburnumvane/core/ramp"
+	"laburnumvane/core/warmup"
 )
 
 const (
@@ -17,7 +17,7 @@
 )
 
 func TestBoundsMost(t *testing.T) {
-	bounds := ramp.Bounds{Overage: 1.5, Slack: 5}
+	bounds := warmup.Bounds{Overage: 1.5, Slack: 5}
 	for _, tc := range []struct {
 		perSecond float64
 		want      int
@@ -29,9 +29,9 @@
 }
 
 // eligibleGate returns the gate of a VM that has been listed for long enough to act as owner.
-func eligibleGate(now time.Duration) *ramp.Limiter {
-	ga := ramp.New()
-	observe(ga, now-2*ramp.OwnerDelay, now, 0)
+func eligibleGate(now time.Duration) *warmup.Limiter {
+	ga := warmup.New()
+	observe(ga, now-2*warmup.OwnerDelay, now, 0)
 	return ga
 }
 
@@ -63,7 +63,7 @@
 }
 
 // observe calls Look a few times a second.
-func observe(ga *ramp.Limiter, from, to, age time.Duration) {
+func observe(ga *warmup.Limiter, from, to, age time.Duration) {
 	for at := from; at <= to; at += 250 * ms {
 		ga.ObserveStore(at, age, true)
 	}
@@ -75,40 +75,40 @@
 func TestMayActAsOwner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		look func(ga *ramp.Limiter)
+		look func(ga *warmup.Limiter)
 		want bool
 	}{
-		{"listed long enough", func(ga *ramp.Limiter) { observe(ga, 0, 10*second, 0) }, true},
-		{"no update for a second", func(ga *ramp.Limiter) {
+		{"listed long enough", func(ga *warmup.Limiter) { observe(ga, 0, 10*second, 0) }, true},
+		{"no update for a second", func(ga *warmup.Limiter) {
 			observe(ga, 0, 9*second, 0)
 			ga.ObserveStore(10*second, second, true)
 		}, true},
-		{"just started", func(ga *ramp.Limiter) { observe(ga, 8*second, 10*second, 0) }, false},
-		{"old copy", func(ga *ramp.Limiter) {
+		{"just started", func(ga *warmup.Limiter) { observe(ga, 8*second, 10*second, 0) }, false},
+		{"old copy", func(ga *warmup.Limiter) {
 			observe(ga, 0, 9*second, 0)
 			ga.ObserveStore(10*second, 1900*ms, true)
 		}, false},
-		{"no longer listed", func(ga *ramp.Limiter) {
+		{"no longer listed", func(ga *warmup.Limiter) {
 			observe(ga, 0, 9*second, 0)
 			ga.ObserveStore(10*second, 0, false)
 		}, false},
-		{"briefly not listed", func(ga *ramp.Limiter) {
+		{"briefly not listed", func(ga *warmup.Limiter) {
 			observe(ga, 0, 8*second, 0)
 			ga.ObserveStore(8*second, 0, false)
 			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"old copy until recently", func(ga *ramp.Limiter) {
+		{"old copy until recently", func(ga *warmup.Limiter) {
 			observe(ga, 0, 8*second, 2*second)
 			observe(ga, 8*second, 10*second, 0)
 		}, false},
-		{"frozen until now", func(ga *ramp.Limiter) {
+		{"frozen until now", func(ga *warmup.Limiter) {
 			observe(ga, 0, 6*second, 0)
 			ga.ObserveStore(10*second, 0, true)
 		}, false},
-		{"frozen after the last update", func(ga *ramp.Limiter) { observe(ga, 0, 8*second, 0) }, false},
+		{"frozen after the last update", func(ga *warmup.Limiter) { observe(ga, 0, 8*second, 0) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ga := ramp.New()
+			ga := warmup.New()
 			tc.look(ga)
 			is.New(t).Equal(ga.Allow(10*second, origin.Process{ID: "a"}, 1), tc.want)
 		})
@@ -119,7 +119,7 @@
 // For each denied request the servers of all other shards have done useless work.
 func TestBackoffAfterDenial(t *testing.T) {
 	is := is.New(t)
-	ga := ramp.New()
+	ga := warmup.New()
 	pr := origin.Process{ID: "a"}
 	asked := 0
 	for now := time.Duration(0); now < 10*second; now += 10 * ms {
@@ -158,7 +158,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			ga := ramp.New()
+			ga := warmup.New()
 			ga.ObserveStore(10*second, tc.age, true)
 			for i := range tc.asked {
 				ga.RecordProbe(10*second, i < tc.answered)
--- a/core/ramp/stale.go
+++ b/core/warmup/stale.go
@@ -1,4 +1,4 @@
-package ramp
+package warmup
 
 import "time"
 
--- a/io/costs/exchange_test.go
+++ b/io/costs/exchange_test.go
@@ -31,7 +31,7 @@
 type ignoreObserver struct{}
 
 func (ignoreObserver) ObserveReply(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (ignoreObserver) ObserveFailure(view.ServerID, string)                           {}
+func (ignoreObserver) ObserveFailure(view.ServerID, string)                        {}
 
 // noForwarder fails every forwarded search: there is no other VM.
 type noForwarder struct{}
--- a/io/drive/admit.go
+++ b/io/drive/admit.go
@@ -258,9 +258,9 @@
 	}
 	kinds := [...]limit.Kind{
 		pick.NoResult: limit.Neutral,
-		pick.Replied: limit.Replied,
-		pick.Refused: limit.Shed,
-		pick.Failed:  limit.Failed,
+		pick.Replied:  limit.Replied,
+		pick.Refused:  limit.Shed,
+		pick.Failed:   limit.Failed,
 	}
 	return limit.Sample{
 		Kind:    kinds[result],
--- a/io/drive/fixture_test.go
+++ b/io/drive/fixture_test.go
@@ -49,7 +49,7 @@
 type nopObserver struct{}
 
 func (nopObserver) ObserveReply(view.ServerID, wire.UpstreamLoad, wire.Refusal) {}
-func (nopObserver) ObserveFailure(view.ServerID, string)                           {}
+func (nopObserver) ObserveFailure(view.ServerID, string)                        {}
 
 // nopForwarder fails to forward any search.
 type nopForwarder struct{}
--- a/io/drive/search.go
+++ b/io/drive/search.go
@@ -14,11 +14,11 @@
 
 // Reasons for which this VM itself refuses a search.
 const (
-	ReasonBadRequest = "badRequest"
-	ReasonNoConfig   = "noConfig"
-	ReasonUnknownSearch   = "unknownSearch"
-	ReasonNoUpstreams = "noUpstreams"
-	ReasonTicketNeeded     = "ticketNeeded"
+	ReasonBadRequest    = "badRequest"
+	ReasonNoConfig      = "noConfig"
+	ReasonUnknownSearch = "unknownSearch"
+	ReasonNoUpstreams   = "noUpstreams"
+	ReasonTicketNeeded  = "ticketNeeded"
 )
 
 const (
@@ -135,13 +135,13 @@
 		delay = kd.tracker.Delay()
 	}
 	return search.Config{
-		ID:        number,
+		ID:            number,
 		Snapshot:      sn,
 		Newer:         dr.newerSnapshot(rq.Team, kd.conf.Register),
-		SoftDeadline:          now + min(hard, kd.conf.SoftDeadline()),
-		HardDeadline:          now + hard,
+		SoftDeadline:  now + min(hard, kd.conf.SoftDeadline()),
+		HardDeadline:  now + hard,
 		MinCoverage:   minCoverage,
-		AtMostOnce:          once,
+		AtMostOnce:    once,
 		HitLimit:      kd.conf.HitLimit,
 		Chooser:       dr.chooser(now, vw, number, once),
 		HedgeDelay:    delay,
@@ -149,7 +149,7 @@
 		HedgeBudget:   limit.HedgeBudget(kd.hedges, dr.admission.extra),
 		RetryBudget:   limit.RetryBudget(kd.retries, dr.admission.extra),
 		RetryPerShard: kd.conf.Retry.PerShard,
-		MinTimeLeft:     max(minSendTime, min(kd.tracker.LowQuantile(), hard/maxReplyTimeDivisor)),
+		MinTimeLeft:   max(minSendTime, min(kd.tracker.LowQuantile(), hard/maxReplyTimeDivisor)),
 	}
 }
 
--- a/io/drive/ticket.go
+++ b/io/drive/ticket.go
@@ -16,12 +16,12 @@
 
 // Reasons of answers to searches with tickets.
 const (
-	ReasonTicketForged    = "ticketForged"
-	ReasonTicketOfOtherTeam      = "ticketOfOtherTeam"
-	ReasonTicketOfOtherRequest      = "ticketOfOtherRequest"
-	ReasonTicketTableFull = "ticketTableFull"
-	ReasonTicketExpired   = "ticketExpired"
-	ReasonTicketVoid      = "ticketVoid"
+	ReasonTicketForged         = "ticketForged"
+	ReasonTicketOfOtherTeam    = "ticketOfOtherTeam"
+	ReasonTicketOfOtherRequest = "ticketOfOtherRequest"
+	ReasonTicketTableFull      = "ticketTableFull"
+	ReasonTicketExpired        = "ticketExpired"
+	ReasonTicketVoid           = "ticketVoid"
 	// ReasonTicketUnverified means that the ticket is not signed with the VMs' shared key.
 	ReasonTicketUnverified = "ticketUnverified"
 	ReasonTicketRunning    = "ticketRunning"
--- a/io/edge/config.go
+++ b/io/edge/config.go
@@ -9,14 +9,14 @@
 	"github.com/phuslu/log"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/origin"
 	"laburnumvane/core/poison"
-	"laburnumvane/core/ramp"
 	"laburnumvane/core/rank"
 	"laburnumvane/core/route"
 	"laburnumvane/core/steer"
 	"laburnumvane/core/toggle"
+	"laburnumvane/core/warmup"
 	"laburnumvane/io/entry"
 	"laburnumvane/io/follow"
 )
@@ -70,7 +70,7 @@
 	// Extra limits the attempts beyond the first; this package sets Part.
 	Extra entry.ExtraAttempts
 	// WarmUp limits the requests to servers that are warming up.
-	WarmUp ramp.Bounds
+	WarmUp warmup.Bounds
 	// StopGrace is the time from the stop signal to the end of the process.
 	StopGrace time.Duration
 	// Off lists the mechanisms that are switched off.
@@ -91,7 +91,7 @@
 	Put(ctx context.Context, entries []enlist.LeasedEntry) error
 	// Remove deletes entries in one transaction. None is deleted if an item has a revision and
 	// its entry was written since.
-	Remove(ctx context.Context, items []feed.Item) error
+	Remove(ctx context.Context, items []mirror.Item) error
 	// Missing reports whether an error means that the lease no longer exists.
 	IsLeaseMissing(err error) bool
 }
--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -35,7 +35,7 @@
 	tr := eg.entry.Stats()
 	si := reach.Observation{
 		Silence:  min(eg.follow.RemoteSilence(), now-tr.RemoteAnsweredAt),
-		Requests:    tr.Routed,
+		Requests: tr.Routed,
 		Unserved: tr.Unserved,
 	}
 	// Usually nothing is silent, and the checks of servers and routes can be skipped.
--- a/io/edge/edge.go
+++ b/io/edge/edge.go
@@ -11,21 +11,21 @@
 
 	"github.com/cloudwego/hertz/pkg/app/server"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/origin"
 	"laburnumvane/core/plan"
 	"laburnumvane/core/poison"
-	"laburnumvane/core/ramp"
 	"laburnumvane/core/reach"
 	"laburnumvane/core/route"
 	"laburnumvane/core/steer"
 	"laburnumvane/core/toggle"
-	"laburnumvane/io/carry"
+	"laburnumvane/core/warmup"
 	"laburnumvane/io/entry"
 	"laburnumvane/io/follow"
 	"laburnumvane/io/inner"
 	"laburnumvane/io/meter"
 	"laburnumvane/io/relay"
+	"laburnumvane/io/remote"
 )
 
 type routeTable = route.Table
@@ -65,9 +65,9 @@
 	// shows, by data centre.
 	registrar  *registrar
 	leases     atomic.Pointer[map[string]uint64]
-	homeClient *carry.Client
+	homeClient *remote.Client
 	// ramp limits the requests to servers that are warming up.
-	ramp *ramp.Limiter
+	ramp *warmup.Limiter
 	// poison holds the requests under which servers crashed; poisonWriter writes them to the
 	// store for other VMs.
 	poison       *poison.Table
@@ -112,7 +112,7 @@
 		steer:        steer.New(steer.Config{DataCentre: cfg.Settings.Self.DataCentre, Off: cfg.Settings.Off}),
 		cutDetector:  reach.New(reach.Config{}),
 		poison:       poison.New(),
-		ramp:         ramp.New(),
+		ramp:         warmup.New(),
 		changes:      make(chan follow.Change),
 		applied:      make(chan struct{}),
 		controlEnded: make(chan struct{}),
@@ -132,7 +132,7 @@
 	eg.registrar = newRegistrar(eg)
 	eg.poisonWriter = newPoisonWriter(eg)
 	eg.follow = eg.newFollower()
-	eg.homeClient = carry.New(carry.Config{Clock: eg.clock, DataCentre: eg.set.Self.DataCentre})
+	eg.homeClient = remote.New(remote.Config{Clock: eg.clock, DataCentre: eg.set.Self.DataCentre})
 	ctx, cancel := context.WithCancel(context.Background())
 	eg.cancel = cancel
 	regCtx, endRegistration := context.WithCancel(ctx)
@@ -155,19 +155,19 @@
 }
 
 // listVMs lists the VMs that have an entry in the store. Unreadable entries are left out.
-func (eg *Edge) listVMs(ctx context.Context) ([]feed.Member, error) {
+func (eg *Edge) listVMs(ctx context.Context) ([]mirror.Member, error) {
 	up, err := eg.cfg.Store.Range(ctx, eg.cfg.Decoder.VMPrefix())
 	if err != nil {
 		return nil, err
 	}
-	var members []feed.Member
+	var members []mirror.Member
 	for _, ev := range up.Events {
 		vm, capacity, ok, err := eg.cfg.Decoder.VM(ev.Key, ev.Value)
 		if !ok || err != nil {
 			eg.meter.Count(meter.Config, "unreadable")
 			continue
 		}
-		members = append(members, feed.Member{VM: vm, Capacity: capacity})
+		members = append(members, mirror.Member{VM: vm, Capacity: capacity})
 	}
 	return members, nil
 }
@@ -175,19 +175,19 @@
 // newFollower creates the follower of the store.
 func (eg *Edge) newFollower() *follow.Follower {
 	return follow.New(follow.Config{
-		Self:       eg.set.Self,
-		Store:      eg.cfg.Store,
-		Seeds:      eg.set.Seeds,
-		FirstStart: eg.set.FirstStart,
-		Clock:      eg.clock,
-		Rand:       rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
-		OnChange:    eg.applyChange,
-		OnSourceChange:   eg.logSource,
-		LinkMbps:   eg.set.LinkMbps,
-		List:       eg.listVMs,
-		Enlist:     eg.registrar.register,
-		OnHint:     eg.receiveHint,
-		Count:      func(event string) { eg.meter.Count(meter.Platform, event) },
+		Self:           eg.set.Self,
+		Store:          eg.cfg.Store,
+		Seeds:          eg.set.Seeds,
+		FirstStart:     eg.set.FirstStart,
+		Clock:          eg.clock,
+		Rand:           rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		OnChange:       eg.applyChange,
+		OnSourceChange: eg.logSource,
+		LinkMbps:       eg.set.LinkMbps,
+		List:           eg.listVMs,
+		Enlist:         eg.registrar.register,
+		OnHint:         eg.receiveHint,
+		Count:          func(event string) { eg.meter.Count(meter.Platform, event) },
 	})
 }
 
@@ -220,7 +220,7 @@
 }
 
 // logSource logs the source from which this VM receives changes.
-func (eg *Edge) logSource(to feed.Step, age time.Duration, err error) {
+func (eg *Edge) logSource(to mirror.Step, age time.Duration, err error) {
 	en := eg.cfg.Log.Info()
 	if err != nil {
 		en = eg.cfg.Log.Warn().Err(err)
--- a/io/edge/poisonwriter.go
+++ b/io/edge/poisonwriter.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/poison"
 	"laburnumvane/core/retry"
 	"laburnumvane/io/meter"
@@ -133,11 +133,11 @@
 	defer cancel()
 	pw.eg.meter.Count(meter.Platform, "share")
 	var puts []enlist.LeasedEntry
-	var deletes []feed.Item
+	var deletes []mirror.Item
 	for _, up := range ups {
 		key, value := pw.eg.cfg.Decoder.PoisonEntry(up.Record)
 		if up.Cleared {
-			deletes = append(deletes, feed.Item{Key: key})
+			deletes = append(deletes, mirror.Item{Key: key})
 			continue
 		}
 		puts = append(puts, enlist.LeasedEntry{Entry: enlist.Entry{Key: key, Value: value}})
--- a/io/edge/registration.go
+++ b/io/edge/registration.go
@@ -12,7 +12,7 @@
 	"github.com/twitchtv/twirp"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/retry"
 )
 
@@ -253,7 +253,7 @@
 	if !rn.mayExist {
 		return
 	}
-	if err := rn.eg.cfg.Store.Remove(ctx, []feed.Item{{Key: rn.entry().Key}}); err != nil {
+	if err := rn.eg.cfg.Store.Remove(ctx, []mirror.Item{{Key: rn.entry().Key}}); err != nil {
 		rn.eg.cfg.Log.Warn().Err(err).Msg("this VM's entry not removed")
 	}
 }
--- a/io/edge/silent.go
+++ b/io/edge/silent.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/meter"
 )
 
@@ -29,11 +29,11 @@
 	}
 	st.nextSilentCheck = now + silentCheckInterval
 	silent := enlist.Silent(enlist.Observation{
-		Now:       now,
-		LeaseTime: st.eg.set.LeaseTime,
-		Followed:     st.followed,
-		Since:     st.followedSince,
-		StoreFresh:     st.eg.follow.Age() < feed.StaleAfter,
+		Now:        now,
+		LeaseTime:  st.eg.set.LeaseTime,
+		Followed:   st.followed,
+		Since:      st.followedSince,
+		StoreFresh: st.eg.follow.Age() < mirror.StaleAfter,
 	}, st.localVMs())
 	if len(silent) > 0 {
 		st.eg.workers.submit(func() { st.eg.removeDead(ctx, silent) })
@@ -60,7 +60,7 @@
 func (eg *Edge) removeDead(ctx context.Context, silent []enlist.OtherVM) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	var dead []feed.Item
+	var dead []mirror.Item
 	for _, ot := range silent {
 		wg.Go(func() {
 			if eg.homeClient.Alive(ot.Addr, probeTimeout) {
@@ -69,7 +69,7 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			dead = append(dead, feed.Item{Key: ot.Key, Revision: ot.Revision})
+			dead = append(dead, mirror.Item{Key: ot.Key, Revision: ot.Revision})
 		})
 	}
 	wg.Wait()
--- a/io/edge/state.go
+++ b/io/edge/state.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/origin"
 	"laburnumvane/core/plan"
 	"laburnumvane/core/rank"
@@ -86,7 +86,7 @@
 }
 
 // putEntry applies a written entry and reports whether servers or VMs changed.
-func (st *state) putEntry(now time.Duration, ev feed.Event) (upstreams, fleet bool) {
+func (st *state) putEntry(now time.Duration, ev mirror.Event) (upstreams, fleet bool) {
 	dec := st.eg.cfg.Decoder
 	if up, ok, err := dec.Upstream(ev.Key, ev.Value); ok {
 		return st.putServer(now, ev, up, err), false
@@ -127,7 +127,7 @@
 
 // putServer applies a server's entry. If the entry cannot be decoded, the server that its key
 // held before is removed.
-func (st *state) putServer(now time.Duration, ev feed.Event, up *upstream, err error) (changed bool) {
+func (st *state) putServer(now time.Duration, ev mirror.Event, up *upstream, err error) (changed bool) {
 	if err != nil {
 		st.noteUnreadable(ev, err)
 		id, _ := st.eg.cfg.Decoder.UpstreamID(ev.Key)
@@ -144,7 +144,7 @@
 
 // evacuate stops all requests to the servers of a data centre, as the operator requested, and
 // reports whether this is a change.
-func (st *state) evacuate(ev feed.Event, dataCentre string) bool {
+func (st *state) evacuate(ev mirror.Event, dataCentre string) bool {
 	if !st.servers.Evacuate(dataCentre) {
 		return false
 	}
@@ -193,7 +193,7 @@
 
 // noteUnreadable counts an entry that cannot be decoded. It logs only the first one of each
 // key, because a faulty writer may repeat it for hours.
-func (st *state) noteUnreadable(ev feed.Event, err error) {
+func (st *state) noteUnreadable(ev mirror.Event, err error) {
 	st.eg.meter.Count(meter.Config, "unreadable")
 	if st.unreadableKeys[ev.Key] {
 		return
@@ -240,7 +240,7 @@
 	now := st.eg.clock()
 	st.observeStore(now)
 	changed := false
-	if st.servers.Tick(now, st.eg.follow.Age() > feed.StaleAfter) {
+	if st.servers.Tick(now, st.eg.follow.Age() > mirror.StaleAfter) {
 		st.view = st.view.WithUpstreams(st.servers.Directory())
 		changed = true
 	}
--- a/io/emul/fleet.go
+++ b/io/emul/fleet.go
@@ -14,19 +14,19 @@
 // FleetConfig configures a Fleet. Register, Services and DataCentres are required; fields
 // without a comment are those of UpstreamConfig.
 type FleetConfig struct {
-	Clock        Clock
-	Seed         uint64
-	Register     *Register
-	Services     int
-	Replicas     int
-	DataCentres  []string
-	Slots        int
-	Queue        int
-	Connections  int
-	ConnSetupTime        time.Duration
-	Service      ServiceTime
-	MaxSnapshots int
-	ReportsOnly  bool
+	Clock         Clock
+	Seed          uint64
+	Register      *Register
+	Services      int
+	Replicas      int
+	DataCentres   []string
+	Slots         int
+	Queue         int
+	Connections   int
+	ConnSetupTime time.Duration
+	Service       ServiceTime
+	MaxSnapshots  int
+	ReportsOnly   bool
 	// Prefix is the prefix of the service names; empty means the register's name.
 	Prefix string
 	// Port is the loopback port of the first server; the others use the next ports. 0
@@ -81,16 +81,16 @@
 func (fl *Fleet) startServer(service, replica int) error {
 	cfg := fl.cfg
 	up := NewUpstream(UpstreamConfig{
-		Clock:        cfg.Clock,
-		Seed:         cfg.Seed + uint64(service*cfg.Replicas+replica),
-		Slots:        cfg.Slots,
-		Queue:        cfg.Queue,
-		Connections:  cfg.Connections,
-		ConnSetupTime:        cfg.ConnSetupTime,
-		Service:      cfg.Service,
-		MaxSnapshots: cfg.MaxSnapshots,
-		ReportsOnly:  cfg.ReportsOnly,
-		Addr:         loopback(cfg.Port, service*cfg.Replicas+replica),
+		Clock:         cfg.Clock,
+		Seed:          cfg.Seed + uint64(service*cfg.Replicas+replica),
+		Slots:         cfg.Slots,
+		Queue:         cfg.Queue,
+		Connections:   cfg.Connections,
+		ConnSetupTime: cfg.ConnSetupTime,
+		Service:       cfg.Service,
+		MaxSnapshots:  cfg.MaxSnapshots,
+		ReportsOnly:   cfg.ReportsOnly,
+		Addr:          loopback(cfg.Port, service*cfg.Replicas+replica),
 	})
 	if err := up.Start(); err != nil {
 		return err
--- a/io/emul/load.go
+++ b/io/emul/load.go
@@ -44,8 +44,8 @@
 	Rate float64
 	// Count and For end the load: after Count arrivals or after the time For, whichever
 	// comes first.
-	Count int
-	Duration   time.Duration
+	Count    int
+	Duration time.Duration
 	// Request makes the searches.
 	Request RequestMaker
 	// Timeout is how long to wait for an answer; 0 means DefaultLoadTimeout.
--- a/io/emul/load_test.go
+++ b/io/emul/load_test.go
@@ -50,12 +50,12 @@
 		"none": {Outcome: wire.OutcomeNotRun, Reason: "shed"},
 	}, closedChan())
 	lo, err := NewLoad(LoadConfig{
-		Targets: []string{addr},
-		Rate:    5000,
-		Count:   40,
-		Duration:     waitTimeout,
-		Timeout: waitTimeout,
-		Request: roundRobin("all", "half", "none", "what"),
+		Targets:  []string{addr},
+		Rate:     5000,
+		Count:    40,
+		Duration: waitTimeout,
+		Timeout:  waitTimeout,
+		Request:  roundRobin("all", "half", "none", "what"),
 	})
 	is.NoErr(err)
 	rep, err := lo.Run(context.Background())
@@ -86,7 +86,7 @@
 		Targets:     []string{addr},
 		Rate:        1e6,
 		Count:       50,
-		Duration:         waitTimeout,
+		Duration:    waitTimeout,
 		Timeout:     waitTimeout,
 		MaxInFlight: 2,
 		Request:     roundRobin("all"),
@@ -106,10 +106,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	addr := startFakeVM(t, nil, closedChan())
 	lo, err := NewLoad(LoadConfig{
-		Targets: []string{addr},
-		Rate:    1e6,
-		Count:   MaxLoadCount,
-		Duration:     MaxLoadTime,
+		Targets:  []string{addr},
+		Rate:     1e6,
+		Count:    MaxLoadCount,
+		Duration: MaxLoadTime,
 		Request: func(_ *rand.Rand, n int) wire.SearchRequest {
 			if n == 10 {
 				cancel()
@@ -127,12 +127,12 @@
 	// The seed determines a load: its times, targets and searches.
 	is := is.New(t)
 	cfg := LoadConfig{
-		Targets: []string{"127.0.0.1:1", "127.0.0.1:2"},
-		Rate:    1000,
-		Count:   20_000,
-		Duration:     10 * time.Second,
-		Request: PlateLookups("wash", "kiosk", 100),
-		Seed:    7,
+		Targets:  []string{"127.0.0.1:1", "127.0.0.1:2"},
+		Rate:     1000,
+		Count:    20_000,
+		Duration: 10 * time.Second,
+		Request:  PlateLookups("wash", "kiosk", 100),
+		Seed:     7,
 	}
 	drawn := func(lc LoadConfig) []arrival {
 		var dues []arrival
@@ -153,11 +153,11 @@
 
 func TestLoadConfig(t *testing.T) {
 	good := LoadConfig{
-		Targets: []string{"127.0.0.1:1", "[::1]:1"},
-		Rate:    1,
-		Count:   1,
-		Duration:     time.Second,
-		Request: roundRobin("all"),
+		Targets:  []string{"127.0.0.1:1", "[::1]:1"},
+		Rate:     1,
+		Count:    1,
+		Duration: time.Second,
+		Request:  roundRobin("all"),
 	}
 	cases := []struct {
 		name   string
--- a/io/emul/stage.go
+++ b/io/emul/stage.go
@@ -170,7 +170,7 @@
 		Slow:          millis(rq.SlowMs),
 		LoseSwaps:     rq.LoseSwaps,
 		SilentWatches: rq.SilentWatches,
-		StaleReads:          rq.Past,
+		StaleReads:    rq.Past,
 	})
 	reply(rc, http.StatusOK, struct{}{})
 }
--- a/io/emul/stageup.go
+++ b/io/emul/stageup.go
@@ -43,13 +43,13 @@
 
 func faultsOf(rq UpstreamFaultRequest) UpstreamFaults {
 	return UpstreamFaults{
-		SlowShare:   rq.SlowShare,
-		SlowTimes:   rq.SlowTimes,
-		ErrorShare:  rq.ErrorShare,
-		Mute:        rq.Mute,
-		SilentAfter: rq.SilentAfter,
-		StatusLag:   millis(rq.StatusLagMs),
-		ClaimedState:       rq.Claim,
+		SlowShare:    rq.SlowShare,
+		SlowTimes:    rq.SlowTimes,
+		ErrorShare:   rq.ErrorShare,
+		Mute:         rq.Mute,
+		SilentAfter:  rq.SilentAfter,
+		StatusLag:    millis(rq.StatusLagMs),
+		ClaimedState: rq.Claim,
 	}
 }
 
--- a/io/emul/tally.go
+++ b/io/emul/tally.go
@@ -24,10 +24,10 @@
 	Dropped uint64
 	// Failed counts the searches that got no answer in time or an invalid one. FirstFail is
 	// the error of the first.
-	Failed    uint64
+	Failed     uint64
 	FirstError string
-	Outcomes  map[wire.Outcome]uint64
-	Reasons   map[string]uint64
+	Outcomes   map[wire.Outcome]uint64
+	Reasons    map[string]uint64
 	// Latency is the latency of all answers, in microseconds from the scheduled arrival.
 	Latency *hdrhistogram.Histogram
 	// Whole is the latency of complete answers only: refusals are fast, and many of them
@@ -65,10 +65,10 @@
 
 func newTally() *tally {
 	return &tally{rep: LoadReport{
-		Outcomes: map[wire.Outcome]uint64{},
-		Reasons:  map[string]uint64{},
-		Latency:  hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
-		CompleteLatency:    hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
+		Outcomes:        map[wire.Outcome]uint64{},
+		Reasons:         map[string]uint64{},
+		Latency:         hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
+		CompleteLatency: hdrhistogram.New(latencyLowest, latencyHighest, latencyDigits),
 	}}
 }
 
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -17,10 +17,10 @@
 	"laburnumvane/core/origin"
 	"laburnumvane/core/plan"
 	"laburnumvane/core/poison"
-	"laburnumvane/core/ramp"
 	"laburnumvane/core/route"
 	"laburnumvane/core/steer"
 	"laburnumvane/core/toggle"
+	"laburnumvane/core/warmup"
 	"laburnumvane/io/accept"
 	"laburnumvane/io/guard"
 	"laburnumvane/io/inner"
@@ -71,7 +71,7 @@
 	// Load parses a server's load report.
 	Load func(text string) (steer.Load, error)
 	// Ramp limits the requests of this VM to servers that are warming up.
-	Ramp *ramp.Limiter
+	Ramp *warmup.Limiter
 	// HomeClient forwards requests to other VMs.
 	HomeClient HomeClient
 	// Poison holds the requests under which servers crashed, and SharePoison distributes an
@@ -122,11 +122,11 @@
 	en := &Entry{cfg: cfg, budgets: newBudgets(), lead: lead.New(lead.Config{})}
 	en.ending, en.end = context.WithCancel(context.Background())
 	gc := guard.Config{
-		MaxBody:    maxBodyBytes,
-		MaxHeader:  maxHeaderBytes,
-		Times:      en.timeouts,
+		MaxBody:              maxBodyBytes,
+		MaxHeader:            maxHeaderBytes,
+		Times:                en.timeouts,
 		HandlersCheckFraming: true,
-		Refused:    func(reason string) { cfg.Meter.Count(meter.Refusal, reason) },
+		Refused:              func(reason string) { cfg.Meter.Count(meter.Refusal, reason) },
 		Panicked: func(value any, stack []byte) {
 			cfg.Log.Error().Any("value", value).Bytes("stack", stack).Msg("panic in the request handler")
 		},
--- a/io/entry/flight.go
+++ b/io/entry/flight.go
@@ -115,20 +115,20 @@
 	}
 	fl.mailbox = make(chan attemptResult, maxAttempts)
 	fl.machine = fanout.New(fanout.Config{
-		Shards:      len(fl.services),
-		MinParts:    minParts,
-		Idempotent:  rt.Idempotent,
-		MaxAttempts: rt.MaxAttempts,
-		Target:      rq.began + rt.Target - overhead,
-		HardDeadline:        fl.hardDeadline,
-		HedgeAfter:  hedgeAfter,
-		MinTimeLeft:   minAttemptTime,
-		Suspect:     rq.suspect,
-		TrialGap:    trialSettleTime,
-		Blocked:     fl.blocked,
-		Rand:        rand.Float64,
-		Chooser:     fl,
-		Budget:      fl,
+		Shards:       len(fl.services),
+		MinParts:     minParts,
+		Idempotent:   rt.Idempotent,
+		MaxAttempts:  rt.MaxAttempts,
+		Target:       rq.began + rt.Target - overhead,
+		HardDeadline: fl.hardDeadline,
+		HedgeAfter:   hedgeAfter,
+		MinTimeLeft:  minAttemptTime,
+		Suspect:      rq.suspect,
+		TrialGap:     trialSettleTime,
+		Blocked:      fl.blocked,
+		Rand:         rand.Float64,
+		Chooser:      fl,
+		Budget:       fl,
 	})
 	return fl
 }
@@ -319,10 +319,10 @@
 		en.cfg.Meter.Count(meter.Upstream, ar.verdict.String())
 	}
 	window := en.cfg.Steer.End(now, up.Process(), steer.Result{
-		Verdict: ar.verdict,
-		Latency:    ar.rs.Took,
+		Verdict:        ar.verdict,
+		Latency:        ar.rs.Took,
 		UsualLatency:   usual,
-		MaxConnections:    en.cfg.View().Limits(up).Max,
+		MaxConnections: en.cfg.View().Limits(up).Max,
 	})
 	if !en.cfg.Off.Off(toggle.Windows) {
 		en.cfg.Relay.SetWindow(up, window)
--- a/io/entry/forward.go
+++ b/io/entry/forward.go
@@ -11,9 +11,9 @@
 	"laburnumvane/core/plan"
 	"laburnumvane/core/poison"
 	"laburnumvane/core/route"
-	"laburnumvane/io/carry"
 	"laburnumvane/io/inner"
 	"laburnumvane/io/meter"
+	"laburnumvane/io/remote"
 )
 
 // Reasons for which a VM declines a request that another VM forwards.
@@ -45,7 +45,7 @@
 	began := en.cfg.Clock()
 	rp, addr, err := en.cfg.HomeClient.Carry(ctx, targets, la.usualLatency(), en.carryRequest(rq, rt, began))
 	now := en.cfg.Clock()
-	if err != nil && !carry.MayHaveRun(err) {
+	if err != nil && !remote.MayHaveRun(err) {
 		en.cfg.Meter.Count(meter.Sent, "homeNone")
 		return nil
 	}
@@ -144,14 +144,14 @@
 	case !ok:
 		return nil, declinedRoute
 	case cr.GetRoute() != 0 && cr.GetRoute() != rt.Digest():
-		return nil, carry.ReasonOtherRoute
+		return nil, remote.ReasonOtherRoute
 	}
 	return rt, ""
 }
 
 // noteDeclined counts and logs a request that was declined.
 func (en *Entry) noteDeclined(rq *request, reason string) {
-	if reason == carry.ReasonOtherRoute {
+	if reason == remote.ReasonOtherRoute {
 		en.cfg.Meter.Count(meter.Sent, reason)
 	}
 	en.cfg.Log.Info().Str("id", rq.id).Str("reason", reason).Uint64("version", configVersion(en.cfg.View())).
--- a/io/entry/forwarded.go
+++ b/io/entry/forwarded.go
@@ -7,7 +7,7 @@
 
 	"github.com/cloudwego/hertz/pkg/protocol/consts"
 
-	"laburnumvane/core/fault"
+	"laburnumvane/core/errs"
 	"laburnumvane/core/lead"
 	"laburnumvane/io/inner"
 )
@@ -52,7 +52,7 @@
 	}
 	body, err := json.Marshal(rs.refusal)
 	if err != nil {
-		return nil, fault.Wrap(err, "entry.Carry")
+		return nil, errs.Wrap(err, "entry.Carry")
 	}
 	rp.Body = body
 	rp.Fields = append(rp.Fields, &inner.Field{Name: consts.HeaderContentType, Value: consts.MIMEApplicationJSON})
--- a/io/entry/join.go
+++ b/io/entry/join.go
@@ -10,10 +10,10 @@
 	"laburnumvane/core/origin"
 	"laburnumvane/core/steer"
 	"laburnumvane/core/toggle"
-	"laburnumvane/io/carry"
 	"laburnumvane/io/inner"
 	"laburnumvane/io/meter"
 	"laburnumvane/io/relay"
+	"laburnumvane/io/remote"
 )
 
 // For a gather whose servers are in several data centres, a VM in another data centre can send
@@ -119,7 +119,7 @@
 	en := fl.en
 	rp, vm, err := en.cfg.HomeClient.Join(fl.ctx, targets, microseconds(rq.GetUsualUs()), rq)
 	switch {
-	case err != nil && !carry.MayHaveRun(err):
+	case err != nil && !remote.MayHaveRun(err):
 		for _, ac := range group {
 			en.cfg.Steer.Withdraw(en.cfg.Clock(), ac.Upstream.Process(), 0)
 		}
--- a/io/follow/boot.go
+++ b/io/follow/boot.go
@@ -5,14 +5,14 @@
 	"sync"
 	"time"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 )
 
 // boot asks seeds and the store until there is a copy. Reading from the store runs in parallel
 // with the calls to VMs: on a small link it takes a quarter of a second, while a VM that has its
 // copy by then sends it in twenty milliseconds.
 func (fo *Follower) boot(ctx context.Context) {
-	bo := feed.NewBoot(feed.BootConfig{
+	bo := mirror.NewBoot(mirror.BootConfig{
 		Self:       fo.cfg.Self.Addr,
 		Seeds:      fo.cfg.Seeds,
 		FirstStart: fo.cfg.FirstStart,
@@ -32,9 +32,9 @@
 			continue
 		}
 		switch st := bo.Next(fo.cfg.Clock()); st.From {
-		case feed.FromStore:
+		case mirror.FromStore:
 			rd.start(reads)
-		case feed.FromList:
+		case mirror.FromList:
 			fo.bootFromList(ctx, bo, st)
 		default:
 			waiting, stop := rd.waitContext(ctx)
@@ -45,8 +45,8 @@
 }
 
 // bootFromPeer calls a peer, or waits, as the step says.
-func (fo *Follower) bootFromPeer(ctx context.Context, bo *feed.Boot, st feed.Step) {
-	if st.From != feed.FromPeer {
+func (fo *Follower) bootFromPeer(ctx context.Context, bo *mirror.Boot, st mirror.Step) {
+	if st.From != mirror.FromPeer {
 		sleep(ctx, st.Wait)
 		return
 	}
@@ -56,10 +56,10 @@
 }
 
 // bootFromStore applies the result of reading the store.
-func (fo *Follower) bootFromStore(ctx context.Context, bo *feed.Boot, re storeResult) {
-	st := feed.Step{From: feed.FromStore}
+func (fo *Follower) bootFromStore(ctx context.Context, bo *mirror.Boot, re storeResult) {
+	st := mirror.Step{From: mirror.FromStore}
 	if err := fo.applyStore(re.update, re.err); err != nil {
-		bo.Failed(fo.cfg.Clock(), st, feed.Outcome{Failed: true})
+		bo.Failed(fo.cfg.Clock(), st, mirror.Outcome{Failed: true})
 		return
 	}
 	if bo.Announces(st) {
@@ -68,7 +68,7 @@
 }
 
 // bootFromList reads the list of the other VMs from the store.
-func (fo *Follower) bootFromList(ctx context.Context, bo *feed.Boot, st feed.Step) {
+func (fo *Follower) bootFromList(ctx context.Context, bo *mirror.Boot, st mirror.Step) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
 	fo.noteStoreCall()
@@ -78,11 +78,11 @@
 		fo.cfg.Count("storeFailed")
 		members = nil
 	}
-	readers, own := feed.Readers(fo.cfg.Self, members)
+	readers, own := mirror.Readers(fo.cfg.Self, members)
 	bo.SetReaders(fo.cfg.Clock(), readers, own)
 }
 
-func (fo *Follower) bootCallPeer(ctx context.Context, st feed.Step) (feed.Outcome, error) {
+func (fo *Follower) bootCallPeer(ctx context.Context, st mirror.Step) (mirror.Outcome, error) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
 	rp, err := fo.updateFromPeer(bounded, st.Addr)
@@ -107,7 +107,7 @@
 			return
 		}
 		if _, err := fo.updateFromPeer(ctx, fo.firstSource); err != nil {
-			fo.cfg.OnSourceChange(feed.Step{From: feed.FromPeer, Addr: fo.firstSource}, fo.Age(), err)
+			fo.cfg.OnSourceChange(mirror.Step{From: mirror.FromPeer, Addr: fo.firstSource}, fo.Age(), err)
 			return
 		}
 	}
@@ -127,7 +127,7 @@
 
 // storeResult is the result of a call to the store.
 type storeResult struct {
-	update feed.Update
+	update mirror.Update
 	err    error
 }
 
--- a/io/follow/boot_test.go
+++ b/io/follow/boot_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/rank"
 	"laburnumvane/io/follow"
 	"laburnumvane/io/inner"
@@ -18,9 +18,9 @@
 // silentStore accepts calls and answers none.
 type silentStore struct{ store }
 
-func (ss *silentStore) Range(ctx context.Context, _ string) (feed.Update, error) {
+func (ss *silentStore) Range(ctx context.Context, _ string) (mirror.Update, error) {
 	<-ctx.Done()
-	return feed.Update{}, ctx.Err()
+	return mirror.Update{}, ctx.Err()
 }
 
 // serveFeed serves a follower's updates on loopback.
@@ -86,8 +86,8 @@
 	cfg := config("10.0.0.3:7000", &silentStore{})
 	cfg.Seeds = []string{dark.Addr().String()}
 	cfg.LinkMbps = 20
-	cfg.List = func(context.Context) ([]feed.Member, error) {
-		return []feed.Member{
+	cfg.List = func(context.Context) ([]mirror.Member, error) {
+		return []mirror.Member{
 			{VM: cfg.Self, Capacity: 0.2},
 			{VM: rank.VM{Addr: firstAddr, DataCentre: cfg.Self.DataCentre}, Capacity: 0.8},
 		}, nil
@@ -103,9 +103,9 @@
 func TestListFails(t *testing.T) {
 	is := is.New(t)
 	changes := make(chan follow.Change, 1)
-	cfg := config("10.0.0.3:7000", &fullStore{update: feed.Update{Full: true, AsOf: 1, Events: entries(1)}})
+	cfg := config("10.0.0.3:7000", &fullStore{update: mirror.Update{Full: true, AsOf: 1, Events: entries(1)}})
 	cfg.LinkMbps = 20
-	cfg.List = func(ctx context.Context) ([]feed.Member, error) {
+	cfg.List = func(ctx context.Context) ([]mirror.Member, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
--- a/io/follow/cut_test.go
+++ b/io/follow/cut_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 )
 
@@ -52,7 +52,7 @@
 			}
 			reported := time.Now()
 			is.True((<-done).GetCutOff())
-			is.True(time.Since(reported) < feed.StaleAfter/2) // before its copy becomes stale
+			is.True(time.Since(reported) < mirror.StaleAfter/2) // before its copy becomes stale
 		})
 	}
 }
@@ -79,7 +79,7 @@
 	is.NoErr(err)
 	is.Equal(rp.GetOrigin(), "10.0.0.1:7000")
 	is.Equal(rp.GetFollows(), "")
-	is.True(time.Since(began) < feed.StaleAfter/2)
+	is.True(time.Since(began) < mirror.StaleAfter/2)
 }
 
 // A VM that follows this one has proof that their data centre is cut off, and reports it.
@@ -101,5 +101,5 @@
 	_, err := fo.Follow(t.Context(), &inner.FollowRequest{After: 1, AgeMs: 1, CutOff: true, CutKnown: true, From: "10.0.0.3:7000"})
 	is.NoErr(err)
 	is.True((<-done).GetCutOff())
-	is.True(time.Since(reported) < feed.StaleAfter/2)
+	is.True(time.Since(reported) < mirror.StaleAfter/2)
 }
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -10,7 +10,7 @@
 	"github.com/go-faster/errors"
 
 	"laburnumvane/core/enlist"
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/rank"
 	"laburnumvane/io/inner"
 	"laburnumvane/io/stubs"
@@ -43,9 +43,9 @@
 // Store is the part of the platform's store that a Follower uses.
 type Store interface {
 	// Range reads all entries under a prefix.
-	Range(ctx context.Context, prefix string) (feed.Update, error)
+	Range(ctx context.Context, prefix string) (mirror.Update, error)
 	// Watch waits until entries under a prefix change after a revision.
-	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (feed.Update, error)
+	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) (mirror.Update, error)
 	// Reset closes idle connections.
 	Reset()
 	// Compacted reports whether an error of Watch means that the store no longer has the
@@ -55,14 +55,14 @@
 
 // Change is a set of changes that became known together.
 type Change struct {
-	Events []feed.Event
+	Events []mirror.Event
 	// Whole is set if the events come from a complete copy.
 	Whole bool
 	// Age is the age of the copy before the change.
 	Age time.Duration
 	// Returned is when the store was available again after an outage; 0 if no outage is known.
 	Returned time.Duration
-	From     feed.From
+	From     mirror.From
 	// Peer is the address of the VM that sent the change, if it came from a VM.
 	Peer string
 	AsOf uint64
@@ -84,13 +84,13 @@
 	OnChange func(Change)
 	// Switched is called when the source of updates changes, with the error that caused it, if
 	// one did.
-	OnSourceChange func(to feed.Step, age time.Duration, err error)
+	OnSourceChange func(to mirror.Step, age time.Duration, err error)
 	// Count, if not nil, is called with the name of each step.
 	Count func(event string)
 	// LinkMbps is the rate of this VM's link, in Mbit/s; 0 if it is not known. If it is set,
 	// List must be set too and return the VMs that the store lists.
 	LinkMbps float64
-	List     func(ctx context.Context) ([]feed.Member, error)
+	List     func(ctx context.Context) ([]mirror.Member, error)
 	// Hinted is called for each hint from another VM and must not block. If it is nil, hints are
 	// dropped.
 	OnHint func(word string)
@@ -102,12 +102,12 @@
 // Follower keeps a copy of the store up to date.
 type Follower struct {
 	cfg         Config
-	guide       *feed.Selector
+	guide       *mirror.Selector
 	peers       *stubs.Pool[inner.Feed]
 	valuePacker packer
 	// copyPacker compresses copies for VMs that have none, and giver limits how many are sent.
 	copyPacker copyPacker
-	giver      feed.CopyLimiter
+	giver      mirror.CopyLimiter
 	// dataCentres maps the address of each VM to its data centre; only Run uses it.
 	dataCentres map[string]string
 	// calls tracks calls that run in the background.
@@ -118,8 +118,8 @@
 	firstSource string
 
 	mu      sync.Mutex
-	replica *feed.Replica
-	absence feed.Outage
+	replica *mirror.Replica
+	absence mirror.Outage
 	// remoteAnswerAt is when the store or a VM of another data centre last answered, with
 	// updates or without.
 	remoteAnswerAt time.Duration
@@ -137,7 +137,7 @@
 	cut    cutState
 	// hints are the hints that this VM passes on. hintsSeen has, for each other VM, the number
 	// of the last hint received from it.
-	hints     feed.Hints
+	hints     mirror.Hints
 	hintsSeen map[string]uint64
 	// lastSeen is when each VM last called this one or gave another sign of life.
 	lastSeen map[string]time.Duration
@@ -159,9 +159,9 @@
 	}
 	return &Follower{
 		cfg:           cfg,
-		guide:         feed.NewSelector(feed.SelectorConfig{Self: cfg.Self, Rand: cfg.Rand}),
+		guide:         mirror.NewSelector(mirror.SelectorConfig{Self: cfg.Self, Rand: cfg.Rand}),
 		peers:         newStubs(),
-		replica:       feed.NewReplica(feed.DefaultHistory),
+		replica:       mirror.NewReplica(mirror.DefaultHistory),
 		storeCalledAt: -storeInterval,
 		changed:       make(chan struct{}),
 		lastSeen:      make(map[string]time.Duration),
@@ -228,14 +228,14 @@
 	defer fo.calls.Wait()
 	fo.boot(ctx)
 	fo.followFirstSource(ctx)
-	last := feed.Step{}
+	last := mirror.Step{}
 	for ctx.Err() == nil {
 		fo.applyPeers()
 		if as := fo.takeFreshCaller(); as.addr != "" {
 			fo.guide.Suggest(as.addr, fo.cfg.Clock()-as.currentAt)
 		}
 		st := fo.guide.Next(fo.cfg.Clock(), fo.Age())
-		if st.From != feed.FromNone && (st.From != last.From || st.Addr != last.Addr) {
+		if st.From != mirror.FromNone && (st.From != last.From || st.Addr != last.Addr) {
 			fo.cfg.OnSourceChange(st, fo.Age(), nil)
 			last = st
 		}
@@ -244,7 +244,7 @@
 		fo.guide.Done(fo.cfg.Clock(), st, rp)
 		if err != nil && ctx.Err() == nil {
 			fo.cfg.OnSourceChange(st, fo.Age(), err)
-			last = feed.Step{}
+			last = mirror.Step{}
 		}
 	}
 }
@@ -278,8 +278,8 @@
 }
 
 // setFollows records which VM this VM follows.
-func (fo *Follower) setFollows(st feed.Step) {
-	if st.From == feed.FromNone {
+func (fo *Follower) setFollows(st mirror.Step) {
+	if st.From == mirror.FromNone {
 		return
 	}
 	fo.mu.Lock()
@@ -290,15 +290,15 @@
 	}
 }
 
-func (fo *Follower) step(ctx context.Context, st feed.Step) (feed.Outcome, error) {
+func (fo *Follower) step(ctx context.Context, st mirror.Step) (mirror.Outcome, error) {
 	switch st.From {
-	case feed.FromStore:
+	case mirror.FromStore:
 		return fo.updateFromStore(ctx)
-	case feed.FromPeer:
+	case mirror.FromPeer:
 		return fo.updateFromPeer(ctx, st.Addr)
 	}
 	sleep(ctx, st.Wait)
-	return feed.Outcome{}, nil
+	return mirror.Outcome{}, nil
 }
 
 func sleep(ctx context.Context, wait time.Duration) {
@@ -310,15 +310,15 @@
 	}
 }
 
-func (fo *Follower) updateFromStore(ctx context.Context) (feed.Outcome, error) {
+func (fo *Follower) updateFromStore(ctx context.Context) (mirror.Outcome, error) {
 	if wait := fo.storeCalledAt + storeInterval - fo.cfg.Clock(); wait > 0 {
 		sleep(ctx, wait)
 	}
 	fo.noteStoreCall()
 	if err := fo.applyStore(fo.callStore(ctx)); err != nil {
-		return feed.Outcome{Failed: true}, err
+		return mirror.Outcome{Failed: true}, err
 	}
-	return feed.Outcome{}, nil
+	return mirror.Outcome{}, nil
 }
 
 // noteStoreCall records a call to the store.
@@ -328,7 +328,7 @@
 }
 
 // applyStore applies the result of a call to the store.
-func (fo *Follower) applyStore(up feed.Update, err error) error {
+func (fo *Follower) applyStore(up mirror.Update, err error) error {
 	if err != nil {
 		fo.cfg.Count("storeFailed")
 		fo.noteFailed()
@@ -337,11 +337,11 @@
 		return err
 	}
 	fo.RecordRemoteAnswer()
-	fo.apply(up, source{from: feed.FromStore, origin: fo.cfg.Self.Addr, currentAt: fo.cfg.Clock()})
+	fo.apply(up, source{from: mirror.FromStore, origin: fo.cfg.Self.Addr, currentAt: fo.cfg.Clock()})
 	return nil
 }
 
-func (fo *Follower) callStore(ctx context.Context) (feed.Update, error) {
+func (fo *Follower) callStore(ctx context.Context) (mirror.Update, error) {
 	fo.mu.Lock()
 	known, after := fo.replica.Loaded(), fo.replica.AsOf()
 	fo.mu.Unlock()
@@ -362,7 +362,7 @@
 // errNoCopy means that a peer has no copy yet, or does not give one now.
 var errNoCopy = errors.New("VM gave no copy of the store")
 
-func (fo *Follower) updateFromPeer(ctx context.Context, addr string) (feed.Outcome, error) {
+func (fo *Follower) updateFromPeer(ctx context.Context, addr string) (mirror.Outcome, error) {
 	fo.cfg.Count("peer")
 	fo.mu.Lock()
 	after := fo.replica.AsOf()
@@ -379,20 +379,20 @@
 	}
 	if err == nil && an.update.AsOf == 0 {
 		fo.cfg.Count("peerEmpty")
-		return feed.Outcome{Empty: true, Age: unknownAge, Holders: an.others}, errors.Wrap(errNoCopy, addr)
+		return mirror.Outcome{Empty: true, Age: unknownAge, Holders: an.others}, errors.Wrap(errNoCopy, addr)
 	}
 	if err != nil {
 		fo.cfg.Count("peerFailed")
 		fo.peers.Remove(addr)
-		return feed.Outcome{Failed: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Age: unknownAge}, errors.Wrap(err, addr)
+		return mirror.Outcome{Failed: true, Refused: errors.Is(err, syscall.ECONNREFUSED), Age: unknownAge}, errors.Wrap(err, addr)
 	}
 	now := fo.cfg.Clock()
-	fo.apply(an.update, source{from: feed.FromPeer, peer: addr, origin: an.origin, currentAt: now - an.age, returned: an.returnedAt(now)})
+	fo.apply(an.update, source{from: mirror.FromPeer, peer: addr, origin: an.origin, currentAt: now - an.age, returned: an.returnedAt(now)})
 	if an.leaving {
-		return feed.Outcome{Age: unknownAge}, nil
+		return mirror.Outcome{Age: unknownAge}, nil
 	}
 	self := fo.cfg.Self.Addr
-	return feed.Outcome{Age: an.age, OwnData: an.origin == self, Follows: an.follows == self}, nil
+	return mirror.Outcome{Age: an.age, OwnData: an.origin == self, Follows: an.follows == self}, nil
 }
 
 func (fo *Follower) noteFailed() {
@@ -404,7 +404,7 @@
 
 // source describes where an update comes from.
 type source struct {
-	from feed.From
+	from mirror.From
 	peer string
 	// origin is the VM that got the update from the store.
 	origin string
@@ -416,7 +416,7 @@
 }
 
 // apply applies an update to the copy.
-func (fo *Follower) apply(up feed.Update, so source) {
+func (fo *Follower) apply(up mirror.Update, so source) {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	ch := Change{Whole: up.Full, Age: fo.age(now), From: so.from, Peer: so.peer, AsOf: up.AsOf}
@@ -435,7 +435,7 @@
 	fo.mu.Unlock()
 	// Changed is also called when an old copy becomes current again without changes: the next
 	// leases to expire may have been due while the store was unavailable.
-	returned := ch.Age > feed.StaleAfter && ch.Age < unknownAge && fo.Age() < ch.Age
+	returned := ch.Age > mirror.StaleAfter && ch.Age < unknownAge && fo.Age() < ch.Age
 	if len(ch.Events) > 0 || returned {
 		fo.cfg.OnChange(ch)
 	}
--- a/io/follow/follow_test.go
+++ b/io/follow/follow_test.go
@@ -8,12 +8,12 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/follow"
 )
 
 // lateUpdateAge is longer than the age at which another source of updates is chosen.
-const lateUpdateAge = feed.StaleAfter + 200*time.Millisecond
+const lateUpdateAge = mirror.StaleAfter + 200*time.Millisecond
 
 var errUnavailable = errors.New("unavailable")
 
@@ -25,25 +25,25 @@
 	began time.Time
 }
 
-func (st *store) Range(context.Context, string) (feed.Update, error) {
-	return feed.Update{Full: true, AsOf: 1, Events: []feed.Event{{Item: feed.Item{Key: "a", Revision: 1}}}}, nil
+func (st *store) Range(context.Context, string) (mirror.Update, error) {
+	return mirror.Update{Full: true, AsOf: 1, Events: []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 1}}}}, nil
 }
 
-func (st *store) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (feed.Update, error) {
+func (st *store) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (mirror.Update, error) {
 	if st.began.IsZero() {
 		st.began = time.Now()
 	}
 	if after > 1 {
 		<-ctx.Done()
-		return feed.Update{}, ctx.Err()
+		return mirror.Update{}, ctx.Err()
 	}
 	late := time.Until(st.began.Add(lateUpdateAge))
 	if st.fails && late > 0 {
 		time.Sleep(min(late, 100*time.Millisecond))
-		return feed.Update{}, errUnavailable
+		return mirror.Update{}, errUnavailable
 	}
 	time.Sleep(late)
-	return feed.Update{AsOf: 2, Events: []feed.Event{{Item: feed.Item{Key: "a", Revision: 2}, Removed: true}}}, nil
+	return mirror.Update{AsOf: 2, Events: []mirror.Event{{Item: mirror.Item{Key: "a", Revision: 2}, Removed: true}}}, nil
 }
 
 func (st *store) Reset()               {}
--- a/io/follow/help_test.go
+++ b/io/follow/help_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/core/rank"
 	"laburnumvane/io/follow"
 )
@@ -15,12 +15,12 @@
 // does not use.
 func config(addr string, st follow.Store) follow.Config {
 	return follow.Config{
-		Self:     rank.VM{Addr: addr, DataCentre: "a"},
-		Store:    st,
-		Clock:    clock(),
-		Rand:     rand.New(rand.NewPCG(1, 2)),
-		OnChange:  func(follow.Change) {},
-		OnSourceChange: func(feed.Step, time.Duration, error) {},
+		Self:           rank.VM{Addr: addr, DataCentre: "a"},
+		Store:          st,
+		Clock:          clock(),
+		Rand:           rand.New(rand.NewPCG(1, 2)),
+		OnChange:       func(follow.Change) {},
+		OnSourceChange: func(mirror.Step, time.Duration, error) {},
 	}
 }
 
@@ -49,7 +49,7 @@
 // and returns a function that ends it.
 func startWithCopy(t *testing.T, size int) (fo *follow.Follower, end func()) {
 	t.Helper()
-	st := &fullStore{update: feed.Update{Full: true, AsOf: uint64(size), Events: entries(size)}}
+	st := &fullStore{update: mirror.Update{Full: true, AsOf: uint64(size), Events: entries(size)}}
 	fo, end = start(t, config("10.0.0.1:7000", st))
 	for fo.Age() > time.Second {
 		time.Sleep(time.Millisecond)
--- a/io/follow/hint_test.go
+++ b/io/follow/hint_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/matryer/is"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 )
 
@@ -53,7 +53,7 @@
 			rp := <-done
 			is.Equal(rp.GetHints(), [][]byte{[]byte("a")})
 			is.Equal(rp.GetHintsUpto(), uint64(1))
-			is.True(time.Since(sent) < feed.StaleAfter/2)
+			is.True(time.Since(sent) < mirror.StaleAfter/2)
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	is := is.New(t)
 	var mu sync.Mutex
 	var hints []string
-	cfg := config("10.0.0.1:7000", &fullStore{update: feed.Update{Full: true, AsOf: 1, Events: entries(1)}})
+	cfg := config("10.0.0.1:7000", &fullStore{update: mirror.Update{Full: true, AsOf: 1, Events: entries(1)}})
 	cfg.OnHint = func(hint string) {
 		mu.Lock()
 		defer mu.Unlock()
--- a/io/follow/pack.go
+++ b/io/follow/pack.go
@@ -3,8 +3,8 @@
 import (
 	"google.golang.org/protobuf/proto"
 
-	"laburnumvane/core/feed"
-	"laburnumvane/core/press"
+	"laburnumvane/core/codec"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 )
 
@@ -26,13 +26,13 @@
 	packed   []byte
 }
 
-func (pa *packer) pack(ev feed.Event) *inner.FeedEvent {
+func (pa *packer) pack(ev mirror.Event) *inner.FeedEvent {
 	fe := &inner.FeedEvent{Key: ev.Key, Value: ev.Value, Revision: ev.Revision, Removed: ev.Removed, Lease: ev.Lease}
 	if len(ev.Value) < minPackBytes {
 		return fe
 	}
 	if pa.key != ev.Key || pa.revision != ev.Revision {
-		pa.key, pa.revision, pa.packed = ev.Key, ev.Revision, press.Deflate(ev.Value, press.Fast)
+		pa.key, pa.revision, pa.packed = ev.Key, ev.Revision, codec.Deflate(ev.Value, codec.Fast)
 	}
 	fe.Value, fe.Packed = pa.packed, true
 	return fe
@@ -53,7 +53,7 @@
 		if err != nil {
 			return nil, err
 		}
-		cp.asOf, cp.packed = asOf, press.Deflate(raw, press.Fast)
+		cp.asOf, cp.packed = asOf, codec.Deflate(raw, codec.Fast)
 	}
 	return cp.packed, nil
 }
@@ -63,7 +63,7 @@
 	if len(rp.GetPacked()) == 0 {
 		return rp.GetEvents(), nil
 	}
-	raw, err := press.Inflate(rp.GetPacked(), maxUnpackedBytes)
+	raw, err := codec.Inflate(rp.GetPacked(), maxUnpackedBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -74,15 +74,15 @@
 	return all.GetEvents(), nil
 }
 
-func unpack(fe *inner.FeedEvent) (feed.Event, error) {
-	ev := feed.Event{
-		Item:    feed.Item{Key: fe.GetKey(), Value: fe.GetValue(), Revision: fe.GetRevision(), Lease: fe.GetLease()},
+func unpack(fe *inner.FeedEvent) (mirror.Event, error) {
+	ev := mirror.Event{
+		Item:    mirror.Item{Key: fe.GetKey(), Value: fe.GetValue(), Revision: fe.GetRevision(), Lease: fe.GetLease()},
 		Removed: fe.GetRemoved(),
 	}
 	if !fe.GetPacked() {
 		return ev, nil
 	}
-	value, err := press.Inflate(ev.Value, maxUnpackedBytes)
+	value, err := codec.Inflate(ev.Value, maxUnpackedBytes)
 	ev.Value = value
 	return ev, err
 }
--- a/io/follow/peers.go
+++ b/io/follow/peers.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 	"laburnumvane/io/stubs"
 )
@@ -15,7 +15,7 @@
 
 // answer is another VM's answer to a Follow call.
 type answer struct {
-	update  feed.Update
+	update  mirror.Update
 	age     time.Duration
 	leaving bool
 	// sinceReturn is the time since the store was available again; 0 if it was never unavailable
@@ -40,7 +40,7 @@
 // newStubs returns the pool of clients for other VMs.
 func newStubs() *stubs.Pool[inner.Feed] {
 	return stubs.New(stubs.Config[inner.Feed]{
-		NewClient:     func(base string, hc *http.Client) inner.Feed { return inner.NewFeedProtobufClient(base, hc) },
+		NewClient:   func(base string, hc *http.Client) inner.Feed { return inner.NewFeedProtobufClient(base, hc) },
 		DialTimeout: peerDialTimeout,
 		MaxIdle:     1,
 	})
@@ -77,7 +77,7 @@
 	fo.mu.Unlock()
 	fo.acceptHints(toStrings(rp.GetHints()))
 	an := answer{
-		update:  feed.Update{Full: rp.GetWhole(), AsOf: rp.GetAsOf()},
+		update:  mirror.Update{Full: rp.GetWhole(), AsOf: rp.GetAsOf()},
 		age:     time.Duration(rp.GetAgeMs()) * time.Millisecond,
 		leaving: rp.GetLeaving(),
 		others:  rp.GetOthers(),
--- a/io/follow/serve.go
+++ b/io/follow/serve.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 )
 
@@ -75,7 +75,7 @@
 	if rq.GetCutOff() {
 		fo.noteCutProof(now)
 	}
-	if age <= feed.StaleAfter && rq.GetAfter() > 0 {
+	if age <= mirror.StaleAfter && rq.GetAfter() > 0 {
 		fo.giver.AddHolder(now, rq.GetFrom())
 	}
 	if age < fo.age(now) {
@@ -111,7 +111,7 @@
 	newCut := rp.GetCutOff() && !rq.GetCutKnown()
 	// A caller from which this VM has its updates must not wait here; it should ask the store.
 	own := rq.GetFrom() != "" && (fo.origin == rq.GetFrom() || fo.follows == rq.GetFrom())
-	return rp, fo.changed, fo.leaving || hinted || newCut || own || age > feed.StaleAfter
+	return rp, fo.changed, fo.leaving || hinted || newCut || own || age > mirror.StaleAfter
 }
 
 // newReply returns a reply with the state of this VM's copy and without events. The caller holds
--- a/io/follow/serve_test.go
+++ b/io/follow/serve_test.go
@@ -9,30 +9,30 @@
 	"github.com/matryer/is"
 	"google.golang.org/protobuf/proto"
 
-	"laburnumvane/core/feed"
+	"laburnumvane/core/mirror"
 	"laburnumvane/io/inner"
 )
 
 // fullStore is a store with the entries of a fleet.
 type fullStore struct {
 	store
-	update feed.Update
+	update mirror.Update
 }
 
-func (fs *fullStore) Range(context.Context, string) (feed.Update, error) { return fs.update, nil }
+func (fs *fullStore) Range(context.Context, string) (mirror.Update, error) { return fs.update, nil }
 
-func (fs *fullStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (feed.Update, error) {
+func (fs *fullStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (mirror.Update, error) {
 	<-ctx.Done()
-	return feed.Update{}, ctx.Err()
+	return mirror.Update{}, ctx.Err()
 }
 
 // entries returns the entries of n servers, as long as those that servers write.
-func entries(n int) []feed.Event {
-	evs := make([]feed.Event, n)
+func entries(n int) []mirror.Event {
+	evs := make([]mirror.Event, n)
 	for i := range evs {
 		value := fmt.Sprintf(`{"service":"shard-%d","addr":"10.5.%d.%d:8789","dataCentre":"hall-%d","software":"v1",`+
 			`"slots":3,"state":"ready","stillWarmingMs":0,"written":%d}`, i/3, i%7, i%251, i%7, i)
-		evs[i].Item = feed.Item{Key: fmt.Sprintf("servers/i-%08x", i*7919), Value: []byte(value), Revision: uint64(i + 1), Lease: 3}
+		evs[i].Item = mirror.Item{Key: fmt.Sprintf("servers/i-%08x", i*7919), Value: []byte(value), Revision: uint64(i + 1), Lease: 3}
 	}
 	return evs
 }
--- a/io/guard/door.go
+++ b/io/guard/door.go
@@ -8,7 +8,7 @@
 	"github.com/cloudwego/hertz/pkg/app/server"
 	"github.com/cloudwego/hertz/pkg/common/config"
 
-	"laburnumvane/core/fault"
+	"laburnumvane/core/errs"
 	"laburnumvane/io/accept"
 )
 
@@ -35,13 +35,13 @@
 
 // Serve serves until Shutdown.
 func (do *Server) Serve() error {
-	return fault.Wrap(do.Routes.Run(), do.name+".Serve")
+	return errs.Wrap(do.Routes.Run(), do.name+".Serve")
 }
 
 // Shutdown closes idle connections, stops listening and waits for the requests in progress, at
 // most until ctx ends.
 func (do *Server) Shutdown(ctx context.Context) error {
-	return fault.Wrap(do.ln.Shutdown(ctx, do.Routes), do.name+".Shutdown")
+	return errs.Wrap(do.ln.Shutdown(ctx, do.Routes), do.name+".Shutdown")
 }
 
 // Accepted reports whether any client has ever connected.
--- a/io/lines/doc.go
+++ b/io/logbuf/doc.go
@@ -11,4 +11,4 @@
 // have their own queue, which is written first, so that a flood of other lines, such as those of
 // searches during an overload, cannot displace them. Lines that find their queue full are
 // dropped and counted, and as soon as there is room a line says how many were lost.
-package lines
+package logbuf
--- a/io/lines/queue.go
+++ b/io/logbuf/queue.go
@@ -1,4 +1,4 @@
-package lines
+package logbuf
 
 import (
 	"sync"
--- a/io/lines/queue_test.go
+++ b/io/logbuf/queue_test.go
@@ -1,4 +1,4 @@
-package lines_test
+package logbuf_test
 
 import (
 	"encoding/json"
@@ -13,7 +13,7 @@
 	"github.com/phuslu/log"
 	"go.uber.org/goleak"
 
-	"laburnumvane/io/lines"
+	"laburnumvane/io/logbuf"
 )
 
 func TestMain(m *testing.M) {
@@ -68,7 +68,7 @@
 	is := is.New(t)
 	bw := newBlockedWriter()
 	var lost atomic.Int64
-	qu := lines.New(lines.Config{Writer: bw, Lines: 3, Errors: 2, CloseTime: time.Minute, OnDrop: func(n int64) { lost.Add(n) }})
+	qu := logbuf.New(logbuf.Config{Writer: bw, Lines: 3, Errors: 2, CloseTime: time.Minute, OnDrop: func(n int64) { lost.Add(n) }})
 	lo := &log.Logger{Level: log.InfoLevel, Writer: qu}
 	lo.Info().Msg("stuck")
 	<-bw.called
@@ -91,7 +91,7 @@
 	is := is.New(t)
 	bw := newBlockedWriter()
 	close(bw.released)
-	qu := lines.New(lines.Config{Writer: bw, Lines: 10_000, CloseTime: time.Minute})
+	qu := logbuf.New(logbuf.Config{Writer: bw, Lines: 10_000, CloseTime: time.Minute})
 	lo := &log.Logger{Writer: qu}
 	const goroutines, each = 8, 200
 	var wg sync.WaitGroup
@@ -117,7 +117,7 @@
 // The output stays blocked. A VM that stops must not wait for it.
 func TestCloseDoesNotWaitForOutput(*testing.T) {
 	bw := newBlockedWriter()
-	qu := lines.New(lines.Config{Writer: bw, CloseTime: time.Millisecond})
+	qu := logbuf.New(logbuf.Config{Writer: bw, CloseTime: time.Millisecond})
 	lo := &log.Logger{Writer: qu}
 	lo.Info().Msg("stuck")
 	<-bw.called
--- a/io/node/change.go
+++ b/io/node/change.go
@@ -90,7 +90,7 @@
 	cl := changeCalls{nd: nd, deadline: time.Since(nd.started) + changeTimeout}
 	pr := change.NewProposer(change.Config{
 		Proposal: pl,
-		InForce:     entryInForce(held),
+		InForce:  entryInForce(held),
 		Deadline: cl.deadline,
 		Rand:     rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	})
--- a/io/node/config.go
+++ b/io/node/config.go
@@ -49,10 +49,10 @@
 	return &configs{
 		ct: ct,
 		machine: spread.New(spread.Config{
-			Self:     rank.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre},
-			Rand:     rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr))),
+			Self:          rank.VM{Addr: ct.nd.addr, DataCentre: set.DataCentre},
+			Rand:          rand.New(rand.NewPCG(set.Incarnation, seedOf(ct.nd.addr))),
 			CheckReadable: checkReadable,
-			Pace:     spread.Pace{CompareEvery: compareInterval},
+			Pace:          spread.Pace{CompareEvery: compareInterval},
 		}),
 		timer:   time.NewTimer(0),
 		cancels: make(map[spread.CallID]context.CancelFunc),
--- a/io/node/config_message.go
+++ b/io/node/config_message.go
@@ -2,7 +2,7 @@
 
 import (
 	"laburnumvane/core/change"
-	"laburnumvane/core/press"
+	"laburnumvane/core/codec"
 	"laburnumvane/core/spread"
 	"laburnumvane/io/inner"
 )
@@ -11,7 +11,7 @@
 // smaller: documents are repetitive, and the bandwidth of control traffic is limited.
 func updateToWire(up spread.Update) *inner.TeamConfig {
 	tc := &inner.TeamConfig{Team: up.Team, Revision: up.Revision, ChangeId: up.ChangeID}
-	deflated := press.Deflate(up.Document, press.Fast)
+	deflated := codec.Deflate(up.Document, codec.Fast)
 	if len(deflated) >= len(up.Document) {
 		tc.Document = up.Document
 		return tc
@@ -27,7 +27,7 @@
 	for _, tc := range tcs {
 		up := spread.Update{Team: tc.GetTeam(), Revision: tc.GetRevision(), ChangeID: tc.GetChangeId(), Document: tc.GetDocument()}
 		if len(tc.GetDeflated()) > 0 {
-			raw, err := press.Inflate(tc.GetDeflated(), change.MaxDocument)
+			raw, err := codec.Inflate(tc.GetDeflated(), change.MaxDocument)
 			if err != nil {
 				nd.meter.Count(meterConfig, "messageUnreadable")
 				continue
--- a/io/node/config_message_test.go
+++ b/io/node/config_message_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 
 	"laburnumvane/core/change"
-	"laburnumvane/core/press"
+	"laburnumvane/core/codec"
 	"laburnumvane/core/spread"
 	"laburnumvane/core/team"
 	"laburnumvane/io/inner"
@@ -38,7 +38,7 @@
 	// A document in a message must be decoded byte for byte. Data that would inflate beyond the
 	// maximum size of a document, or that is not deflated, must be left out.
 	nd := &Node{meter: meter.New()}
-	bomb := press.Deflate(bytes.Repeat([]byte(" "), change.MaxDocument+1), press.Fast)
+	bomb := codec.Deflate(bytes.Repeat([]byte(" "), change.MaxDocument+1), codec.Fast)
 	for _, raw := range [][]byte{nil, []byte("{}"), sampleDocument(130)} {
 		is := is.New(t)
 		ups := nd.updatesFromWire([]*inner.TeamConfig{updateToWire(spread.Update{Team: wash, Revision: 3, ChangeID: "c", Document: raw})})
--- a/io/node/members_wire.go
+++ b/io/node/members_wire.go
@@ -83,7 +83,7 @@
 	return member.DataCentreView{
 		DataCentre: li.GetDataCentre(),
 		Digest:     li.GetDigest(),
-		SinceHeard:     time.Duration(li.GetSilentMs()-1) * time.Millisecond,
+		SinceHeard: time.Duration(li.GetSilentMs()-1) * time.Millisecond,
 	}
 }
 
@@ -132,12 +132,12 @@
 
 func messageFromWire(be beatFields) member.Message {
 	return member.Message{
-		From:    member.Member{VM: vmFromWire(be.GetFrom()), Count: uint32(be.GetCount()), Leaving: be.GetLeaving()},
-		Joining: be.GetJoining(),
-		Members: membersFromWire(be.GetMembers()),
-		WantPage:    placeFromWire(be.GetWant()),
-		NextPage:    placeFromWire(be.GetNext()),
-		Digest:  be.GetFleet(),
-		OtherDataCentre:   linkFromWire(be.GetOther()),
+		From:            member.Member{VM: vmFromWire(be.GetFrom()), Count: uint32(be.GetCount()), Leaving: be.GetLeaving()},
+		Joining:         be.GetJoining(),
+		Members:         membersFromWire(be.GetMembers()),
+		WantPage:        placeFromWire(be.GetWant()),
+		NextPage:        placeFromWire(be.GetNext()),
+		Digest:          be.GetFleet(),
+		OtherDataCentre: linkFromWire(be.GetOther()),
 	}
 }
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -19,7 +19,7 @@
 	"laburnumvane/io/drive"
 	"laburnumvane/io/front"
 	"laburnumvane/io/inner"
-	"laburnumvane/io/lines"
+	"laburnumvane/io/logbuf"
 	"laburnumvane/io/meter"
 	"laburnumvane/io/oper"
 	"laburnumvane/io/peer"
@@ -54,7 +54,7 @@
 	set       setup.Settings
 	addr      string
 	log       *log.Logger
-	lines     *lines.Queue
+	lines     *logbuf.Queue
 	meter     *meter.Meter
 	view      atomic.Pointer[view.View]
 	pools     atomic.Pointer[[]*upst.Server]
--- a/io/node/searchlog.go
+++ b/io/node/searchlog.go
@@ -5,7 +5,7 @@
 
 	"github.com/phuslu/log"
 
-	"laburnumvane/io/lines"
+	"laburnumvane/io/logbuf"
 	"laburnumvane/io/meter"
 	"laburnumvane/io/wire"
 )
@@ -20,9 +20,9 @@
 // initLog sets up this VM's own logger. Its lines are queued, and its level can be changed
 // without affecting other VMs in the process.
 func (nd *Node) initLog(lo *log.Logger) {
-	nd.lines = lines.New(lines.Config{
+	nd.lines = logbuf.New(logbuf.Config{
 		Writer: lo.Writer,
-		OnDrop:   func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
+		OnDrop: func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
 	})
 	nd.log = &log.Logger{
 		Level:      lo.Level,
--- a/io/node/upstreams.go
+++ b/io/node/upstreams.go
@@ -16,9 +16,9 @@
 const (
 	// hintBytes is the budget for polling servers' load endpoints, in bytes a second: a quarter
 	// of the 8 kB/s that a VM may spend on control traffic at the intended size.
-	hintBytesPerSecond      = 2 << 10
-	hintBurstBytes = 256 << 10
-	hintInterval   = 2 * time.Second
+	hintBytesPerSecond = 2 << 10
+	hintBurstBytes     = 256 << 10
+	hintInterval       = 2 * time.Second
 
 	// departureDelay is how long a VM that has disappeared still counts as a holder of
 	// connections: as long as the VM list may lag.
--- a/io/node/upstreams_hint.go
+++ b/io/node/upstreams_hint.go
@@ -51,7 +51,7 @@
 	us.step(ev.id, server.Event{
 		Kind:        server.Hint,
 		Incarnation: ev.status.Incarnation,
-		Reported:        reportedState(ev.status.State),
+		Reported:    reportedState(ev.status.State),
 		Probe:       ev.probe,
 	})
 	us.updateHoldings(ev.id, ev.status.Holdings)
--- a/io/peer/server.go
+++ b/io/peer/server.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"laburnumvane/core/fault"
+	"laburnumvane/core/errs"
 	"laburnumvane/io/accept"
 	"laburnumvane/io/inner"
 )
@@ -54,7 +54,7 @@
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
-	return fault.Wrap(err, "peer.Serve")
+	return errs.Wrap(err, "peer.Serve")
 }
 
 // Shutdown stops accepting requests and waits for those in flight. It closes idle connections
@@ -62,7 +62,7 @@
 // net/http's client leaves such connections behind.
 func (sr *Server) Shutdown(ctx context.Context) error {
 	sr.ln.Drain()
-	return fault.Wrap(sr.http.Shutdown(ctx), "peer.Shutdown")
+	return errs.Wrap(sr.http.Shutdown(ctx), "peer.Shutdown")
 }
 
 // Bytes returns the number of bytes read and written so far.
@@ -79,5 +79,5 @@
 
 // Close closes the listener and all connections.
 func (sr *Server) Close() error {
-	return fault.Wrap(sr.http.Close(), "peer.Close")
+	return errs.Wrap(sr.http.Close(), "peer.Close")
 }
--- a/io/carry/carry.go
+++ b/io/remote/carry.go
@@ -13,7 +13,7 @@
 // next VM is asked. If a VM received the request and does not respond, it may have run it. The
 // request is then not sent to another VM, because its shards could run it on more servers than
 // the route allows.
-package carry
+package remote
 
 import (
 	"context"
@@ -112,7 +112,7 @@
 		cfg:   cfg,
 		table: steer.New(steer.Config{DataCentre: cfg.DataCentre}),
 		stubs: stubs.New(stubs.Config[inner.Home]{
-			NewClient:     func(base string, hc *http.Client) inner.Home { return inner.NewHomeProtobufClient(base, hc) },
+			NewClient:   func(base string, hc *http.Client) inner.Home { return inner.NewHomeProtobufClient(base, hc) },
 			DialTimeout: dialTimeout,
 			MaxIdle:     idleConnsPerVM,
 		}),
--- a/io/carry/carry_test.go
+++ b/io/remote/carry_test.go
@@ -1,4 +1,4 @@
-package carry_test
+package remote_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"github.com/matryer/is"
 
 	"laburnumvane/core/origin"
-	"laburnumvane/io/carry"
 	"laburnumvane/io/inner"
+	"laburnumvane/io/remote"
 )
 
 const (
@@ -76,15 +76,15 @@
 	return &origin.Upstream{ID: addr, Addr: addr, DataCentre: "east"}
 }
 
-func newClient(t *testing.T) *carry.Client {
+func newClient(t *testing.T) *remote.Client {
 	t.Helper()
 	began := time.Now()
-	cl := carry.New(carry.Config{Clock: func() time.Duration { return time.Since(began) }, DataCentre: "east"})
+	cl := remote.New(remote.Config{Clock: func() time.Duration { return time.Since(began) }, DataCentre: "east"})
 	t.Cleanup(cl.Close)
 	return cl
 }
 
-func carryTo(t *testing.T, cl *carry.Client, vms ...*origin.Upstream) (*inner.CarryReply, error) {
+func carryTo(t *testing.T, cl *remote.Client, vms ...*origin.Upstream) (*inner.CarryReply, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -107,7 +107,7 @@
 	unreachable := &origin.Upstream{ID: "gone", Addr: "127.0.0.1:1", DataCentre: "east"}
 	_, err := carryTo(t, newClient(t), unreachable)
 	is.True(err != nil)
-	is.True(!carry.MayHaveRun(err))
+	is.True(!remote.MayHaveRun(err))
 }
 
 // A VM is cut off from most servers, so that each of its gathers takes long. It is alive:
@@ -131,7 +131,7 @@
 	second.DataCentre = "west"
 	began := time.Now()
 	_, err := carryTo(t, newClient(t), first, second)
-	is.True(carry.MayHaveRun(err))
+	is.True(remote.MayHaveRun(err))
 	is.Equal(other.requests.Load(), int64(0))
 	is.True(time.Since(began) < 5*time.Second)
 }
--- a/io/carry/join.go
+++ b/io/remote/join.go
@@ -1,4 +1,4 @@
-package carry
+package remote
 
 import (
 	"context"
--- a/io/story/doc.go
+++ b/io/reqlog/doc.go
@@ -16,4 +16,4 @@
 // Logs are read as streams and only the request's lines are kept, up to a limit, so that memory
 // use does not grow with the logs. Lines that are not JSON, or are longer than any line of a VM,
 // are counted and skipped, because log collectors truncate and mix lines.
-package story
+package reqlog
--- a/io/story/story.go
+++ b/io/reqlog/story.go
@@ -1,4 +1,4 @@
-package story
+package reqlog
 
 import (
 	"bufio"
--- a/io/story/story_test.go
+++ b/io/reqlog/story_test.go
@@ -1,4 +1,4 @@
-package story_test
+package reqlog_test
 
 import (
 	"strings"
@@ -7,7 +7,7 @@
 	"github.com/go-faster/errors"
 	"github.com/matryer/is"
 
-	"laburnumvane/io/story"
+	"laburnumvane/io/reqlog"
 )
 
 const id = "4f7c8f65fcdc5ff2"
@@ -30,7 +30,7 @@
 			`{"message":"names ` + id + ` and is another's"}` + "\n" +
 			strings.Repeat("x", 200<<10) + "\n" + line("05.3", "joined for another VM", "")},
 	}
-	st := story.New(story.Config{ID: id})
+	st := reqlog.New(reqlog.Config{ID: id})
 	for _, lg := range logs {
 		is.NoErr(st.Read(lg.name, strings.NewReader(lg.text)))
 	}
@@ -52,7 +52,7 @@
 // A client uses one id for hours: the number of lines kept is limited.
 func TestBounded(t *testing.T) {
 	is := is.New(t)
-	st := story.New(story.Config{ID: id, MaxLines: 10})
+	st := reqlog.New(reqlog.Config{ID: id, MaxLines: 10})
 	is.NoErr(st.Read("a", strings.NewReader(strings.Repeat(line("05.1", "answered", ""), 25))))
 	is.Equal(len(st.Lines()), 10)
 	is.Equal(st.LeftOut, 15)
@@ -64,16 +64,16 @@
 
 func TestUnreadable(t *testing.T) {
 	is := is.New(t)
-	var se *story.Error
-	is.True(errors.As(story.New(story.Config{ID: id}).Read("a", failingReader{}), &se))
-	is.Equal(se.Kind, story.KindRead)
+	var se *reqlog.Error
+	is.True(errors.As(reqlog.New(reqlog.Config{ID: id}).Read("a", failingReader{}), &se))
+	is.Equal(se.Kind, reqlog.KindRead)
 }
 
 func FuzzRead(f *testing.F) {
 	f.Add(line("05.1", "answered", ""))
 	f.Add("x {" + id)
 	f.Fuzz(func(t *testing.T, text string) {
-		st := story.New(story.Config{ID: id, MaxLines: 3})
+		st := reqlog.New(reqlog.Config{ID: id, MaxLines: 3})
 		if err := st.Read("a", strings.NewReader(text)); err != nil {
 			t.Fatal(err)
 		}
--- a/io/site/site.go
+++ b/io/site/site.go
@@ -96,15 +96,15 @@
 		return err
 	}
 	fleet, err := emul.NewFleet(emul.FleetConfig{
-		Seed:        1,
-		Register:    st.cfg.Register,
-		Services:    st.cfg.Services,
-		DataCentres: st.cfg.DataCentres,
-		Slots:       st.cfg.Slots,
-		Queue:       st.cfg.Queue,
-		Connections: st.cfg.Connections,
-		ConnSetupTime:       st.cfg.ConnectTime,
-		Service:     st.cfg.ServiceTime,
+		Seed:          1,
+		Register:      st.cfg.Register,
+		Services:      st.cfg.Services,
+		DataCentres:   st.cfg.DataCentres,
+		Slots:         st.cfg.Slots,
+		Queue:         st.cfg.Queue,
+		Connections:   st.cfg.Connections,
+		ConnSetupTime: st.cfg.ConnectTime,
+		Service:       st.cfg.ServiceTime,
 	})
 	if err != nil {
 		return err
