--- a/core/admit/admit_test.go
+++ b/core/admit/admit_test.go
@@ -352,7 +352,7 @@
 }
 
 // Whatever the order of calls, and even if the time passed in jumps back: each search
-// gets exactly one decision, none starts after Decision.Until, and no queue exceeds its
+// gets exactly one decision, none starts after Decision.StartBy, and no queue exceeds its
 // limit.
 func TestMachineProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/core/admit/doc.go
+++ b/core/admit/doc.go
@@ -11,11 +11,11 @@
 //
 // # Usage
 //
-//	mc := admit.New[*waiter](admit.Config{Room: pool.Room})
+//	mc := admit.New[*waiter](admit.Config{HasCapacity: pool.HasCapacity})
 //	de := mc.Offer(now, admit.Request{Class: admit.Urgent, Team: 3, Cost: 10, Deadline: now + 200*time.Millisecond}, waiter)
 //	switch de.Kind {
-//	case admit.Admitted: // send; mc.Begun(); at the end mc.Done(now, admit.Urgent, took, false)
-//	case admit.Queued:   // wait for a grant, at most until de.Until, then mc.Withdraw(now, de.Handle)
+//	case admit.Admitted: // send; mc.ConfirmStart(); at the end mc.Done(now, admit.Urgent, took, false)
+//	case admit.Queued:   // wait for a grant, at most until de.StartBy, then mc.Withdraw(now, de.Handle)
 //	case admit.Refused:  // answer with de.Reason and de.RetryAfter
 //	}
 //	for _, gr := range mc.Step(now) { gr.Waiter.notify(gr.Start, gr.Reason, gr.RetryAfter) }
--- a/core/admit/event.go
+++ b/core/admit/event.go
@@ -40,7 +40,7 @@
 	ReasonQueueFull Reason = "queueFull"
 	// ReasonTeamQueueFull: the team's part of that queue is full.
 	ReasonTeamQueueFull Reason = "teamQueueFull"
-	// ReasonWaited: it waited and could not start in time.
+	// ReasonQueueTimeout: it waited and could not start in time.
 	ReasonQueueTimeout Reason = "waited"
 )
 
@@ -55,7 +55,7 @@
 	Kind       Kind
 	Reason     Reason
 	RetryAfter time.Duration
-	// Handle and Until are set if Kind is Queued. Until is the time by which the
+	// Handle and StartBy are set if Kind is Queued. StartBy is the time by which the
 	// search must start.
 	Handle  Handle
 	StartBy time.Duration
--- a/core/admit/machine.go
+++ b/core/admit/machine.go
@@ -7,10 +7,10 @@
 
 // Config configures a machine. Fields that are 0 take default values.
 type Config struct {
-	// Room is called before each start. It is required.
+	// HasCapacity is called before each start. It is required.
 	HasCapacity CapacityFunc
 	// MinLimit and MaxLimit bound the VM's own limit of searches in flight, which
-	// applies whatever Room returns. The limit decreases when the VM itself
+	// applies whatever HasCapacity returns. The limit decreases when the VM itself
 	// cannot keep up.
 	MinLimit int
 	MaxLimit int
@@ -68,7 +68,7 @@
 	slab     slab[W]
 	stats    [Classes]classStats
 	inFlight int
-	// pending counts the searches that were started but whose sub-requests Room
+	// pending counts the searches that were started but whose sub-requests HasCapacity
 	// does not count yet.
 	pending int
 	limit   float64
@@ -237,8 +237,8 @@
 	mc.slab.release(i)
 }
 
-// Begun must be called once for each admitted search when its first sub-requests
-// are sent, so that Room counts them; also for a search that ends without sending
+// ConfirmStart must be called once for each admitted search when its first sub-requests
+// are sent, so that HasCapacity counts them; also for a search that ends without sending
 // any. Until then no other search starts. Otherwise a whole queue could start into
 // capacity that is already used, and the servers would shed the burst.
 func (mc *Machine[W]) ConfirmStart() {
--- a/core/budget/budget.go
+++ b/core/budget/budget.go
@@ -25,9 +25,9 @@
 	// Burst is the maximum number of tokens kept, so that a quiet hour does not pay for a burst
 	// of extra requests.
 	Burst float64
-	// Rounds raises this maximum with the number of requests sent at once: to Rounds tokens for
-	// each primary request of the latest round. A lost server affects its share of many rounds,
-	// however large they are.
+	// BurstPerPrimary raises this maximum with the number of requests sent at once: to BurstPerPrimary
+	// tokens for each primary request of the latest round. A lost server affects its share of many
+	// rounds, however large they are.
 	BurstPerPrimary float64
 }
 
--- a/core/change/envelope.go
+++ b/core/change/envelope.go
@@ -54,7 +54,7 @@
 	Sum string `json:"sum,omitempty"`
 }
 
-// Same reports whether the entry's document equals raw, ignoring white space.
+// SameDocument reports whether the entry's document equals raw, ignoring white space.
 func (et Entry) SameDocument(raw []byte) bool {
 	sum := et.Sum
 	if len(et.Document) > 0 {
@@ -88,7 +88,7 @@
 // Envelope is the decoded value of a team's key: its changes, newest first.
 type Envelope struct {
 	Changes []Entry
-	// Cut is the highest revision dropped from the history; 0 while the history is complete.
+	// DroppedUpTo is the highest revision dropped from the history; 0 while the history is complete.
 	DroppedUpTo uint64
 }
 
@@ -116,8 +116,8 @@
 	return Entry{}, false
 }
 
-// WholeSince reports whether the history lists every change after a revision. If it does, a change
-// based on that revision that is not listed was never made.
+// CompleteSince reports whether the history lists every change after a revision. If it does, a
+// change based on that revision that is not listed was never made.
 func (en Envelope) CompleteSince(revision uint64) bool {
 	return en.DroppedUpTo <= revision
 }
--- a/core/change/envelope_test.go
+++ b/core/change/envelope_test.go
@@ -75,7 +75,7 @@
 
 func TestEnvelopeBounds(t *testing.T) {
 	// A team changes its largest document again and again: the value stays below the service's
-	// limit, ids are kept longer than documents, and Cut is the last dropped revision.
+	// limit, ids are kept longer than documents, and DroppedUpTo is the last dropped revision.
 	is := is.New(t)
 	rnd := rand.New(rand.NewPCG(1, 1))
 	big := make([]byte, MaxDocument-2)
--- a/core/change/event.go
+++ b/core/change/event.go
@@ -24,8 +24,8 @@
 	Pair Pair
 }
 
-// SwapFailed reports that a Swap got no answer. Doubtful is false only if it is certain that the
-// service did not receive the swap.
+// SwapFailed reports that a Swap got no answer. MayHaveApplied is false only if it is certain that
+// the service did not receive the swap.
 type SwapFailed struct {
 	MayHaveApplied bool
 	Err            error
@@ -95,8 +95,8 @@
 	// Current is the change in force instead, for ResultConflict; for a dry run it is the change
 	// that would be replaced.
 	Current Entry
-	// Behind is set if the service's revision was lower than this VM's, as after a restore from a
-	// backup.
+	// ServiceBehind is set if the service's revision was lower than this VM's, as after a restore from
+	// a backup.
 	ServiceBehind bool
 	// Swaps counts the swaps that were requested.
 	Swaps int
--- a/core/change/proposer.go
+++ b/core/change/proposer.go
@@ -28,7 +28,7 @@
 // Proposal is a change proposed by an operator.
 type Proposal struct {
 	ID string
-	// Fresh is set if the id was generated for this proposal, so that no earlier attempt can have
+	// NewID is set if the id was generated for this proposal, so that no earlier attempt can have
 	// used it.
 	NewID    bool
 	Team     string
@@ -43,7 +43,7 @@
 // Config configures a Proposer.
 type Config struct {
 	Proposal Proposal
-	// Held is the team's change in force on this VM; the zero value if there is none. The revision
+	// InForce is the team's change in force on this VM; the zero value if there is none. The revision
 	// of a new change must be higher.
 	InForce Entry
 	// Deadline is when the machine reports the result as far as known.
--- a/core/codec/press.go
+++ b/core/codec/codec.go
@@ -1,10 +1,10 @@
-// Package press compresses the data that VMs send each other and the values kept in the store:
+// Package codec compresses the data that VMs send each other and the values kept in the store:
 // configurations are repetitive, link rates are low, and values are limited in size.
 //
 // # Usage
 //
-//	packed := press.Deflate(raw, press.Fast)
-//	raw, err := press.Inflate(packed, maxBytes)
+//	packed := codec.Deflate(raw, codec.Fast)
+//	raw, err := codec.Inflate(packed, maxBytes)
 package codec
 
 import (
--- a/core/conns/conns_test.go
+++ b/core/conns/conns_test.go
@@ -159,7 +159,7 @@
 	self := vmNumber(0, "a")
 	ro := conns.NewRoster(conns.RosterConfig{Self: self, DepartureDelay: time.Minute, SettleTime: 5 * time.Second})
 	is.True(!ro.Settled(4 * time.Second))
-	is.True(ro.Settled(5 * time.Second)) // no list, but Patience has passed
+	is.True(ro.Settled(5 * time.Second)) // no list, but SettleTime has passed
 	is.True(ro.Cautious(5 * time.Second))
 	ro.Update(time.Second, vmsOf(9, "a"))
 	is.Equal(ro.Len(), 9)
--- a/core/conns/doc.go
+++ b/core/conns/doc.go
@@ -4,8 +4,8 @@
 //
 // # Usage
 //
-//	ro := conns.NewRoster(conns.RosterConfig{Self: self, Hold: time.Minute})
-//	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Far: true})
+//	ro := conns.NewRoster(conns.RosterConfig{Self: self, DepartureDelay: time.Minute})
+//	pl := conns.NewPlanner(conns.PlannerConfig{Self: self, Remote: true})
 //	gr := pl.Add(conns.Group{Service: "pettigrew/members/members-3", DataCentre: "east", Replicas: 3, Limit: 30})
 //	for _, ch := range ro.Update(now, vms) {
 //		pl.Apply(ch)
@@ -15,7 +15,7 @@
 // # The division
 //
 // Of a limit L, a reserve R = max(1, L/8 rounded up) is kept back and K = L-R is divided. A
-// quarter of K goes to the VMs of other data centres, or nothing if Far is off, and the rest to
+// quarter of K goes to the VMs of other data centres, or nothing if Remote is off, and the rest to
 // the VMs of the server's own data centre. Each of the two parts is then divided by itself; below,
 // K is such a part. Among the c VMs that share it, the VM of rank r (by rendezvous hash of service
 // and VM) gets
--- a/core/conns/planner.go
+++ b/core/conns/planner.go
@@ -18,7 +18,7 @@
 // PlannerConfig configures a Planner.
 type PlannerConfig struct {
 	Self VM
-	// Far gives a part of the connections to VMs in other data centres. This is useful while
+	// Remote gives a part of the connections to VMs in other data centres. This is useful while
 	// every such VM can get a connection; with thousands of VMs hardly any does.
 	Remote bool
 }
--- a/core/conns/ramp.go
+++ b/core/conns/ramp.go
@@ -21,16 +21,16 @@
 type RampConfig struct {
 	// Rand is the source of jitter.
 	Rand *rand.Rand
-	// Setup is the processing time that one new connection costs a server.
+	// SetupTime is the processing time that one new connection costs a server.
 	SetupTime time.Duration
-	// Load is the share of its time that a server may spend on new connections from all VMs
+	// SetupShare is the share of its time that a server may spend on new connections from all VMs
 	// together.
 	SetupShare float64
 }
 
 // Ramp raises the limit of each server from initialLimit to this VM's share, one connection at a
-// time. It does so slowly enough that all VMs together keep within Load, although they start at
-// the same moment when a server or a data centre comes back. Reductions take effect at once.
+// time. It does so slowly enough that all VMs together keep within SetupShare, although they start
+// at the same moment when a server or a data centre comes back. Reductions take effect at once.
 type Ramp struct {
 	cfg     RampConfig
 	servers []serverRamp
--- a/core/conns/roster.go
+++ b/core/conns/roster.go
@@ -21,18 +21,18 @@
 // RosterConfig configures a Roster.
 type RosterConfig struct {
 	Self VM
-	// Hold is how long a VM that is no longer in the list is still counted: its connections may
-	// outlive it, or it may only be unreachable.
+	// DepartureDelay is how long a VM that is no longer in the list is still counted: its connections
+	// may outlive it, or it may only be unreachable.
 	DepartureDelay time.Duration
-	// Patience is how long after its start a VM without a list of VMs waits before it counts as
+	// SettleTime is how long after its start a VM without a list of VMs waits before it counts as
 	// settled, and for how long a VM with a list is cautious: VMs that start together are not in
 	// each other's lists.
 	SettleTime time.Duration
 }
 
 // Roster is the set of VMs that are counted for the division. A VM that joins counts at once, and
-// one that leaves is removed after Hold: to count one VM too many costs a few connections, one too
-// few exceeds a server's limit.
+// one that leaves is removed after DepartureDelay: to count one VM too many costs a few
+// connections, one too few exceeds a server's limit.
 type Roster struct {
 	cfg     RosterConfig
 	vms     map[string]entry
@@ -83,7 +83,8 @@
 	return append(out, ro.Expire(now)...)
 }
 
-// Expire removes the VMs that have not been in the list for Hold, and returns them as changes.
+// Expire removes the VMs that have not been in the list for DepartureDelay, and returns them as
+// changes.
 func (ro *Roster) Expire(now time.Duration) []Change {
 	var out []Change
 	for addr, en := range ro.vms {
--- a/core/cover/cover.go
+++ b/core/cover/cover.go
@@ -5,7 +5,7 @@
 //
 //	var pl cover.Planner
 //	for shard := range shards {
-//		pl.Need(shard, dataCentres)
+//		pl.AddShard(shard, dataCentres)
 //	}
 //	chosen := pl.Choose(5, rnd.Float64)
 //	dataCentre, ok := chosen[shard]
@@ -36,7 +36,7 @@
 	byDataCentre map[string][]int
 }
 
-// Need adds a shard that has no healthy server in this data centre, with the data centres that
+// AddShard adds a shard that has no healthy server in this data centre, with the data centres that
 // have one. Duplicates count once.
 func (pl *Planner) AddShard(shard int, dataCentres []string) {
 	if pl.byDataCentre == nil {
--- a/core/enlist/doc.go
+++ b/core/enlist/doc.go
@@ -9,11 +9,11 @@
 //
 // # Usage
 //
-//	var bk enlist.Book
-//	bk.Add(enlist.Entry{Key: key, Value: value, DataCentre: "east"})
-//	for _, en := range bk.Take() { ... } // one transaction
+//	var ba enlist.Batch
+//	ba.Add(enlist.Entry{Key: key, Value: value, DataCentre: "east"})
+//	for _, en := range ba.Take() { ... } // one transaction
 //
-//	if rand.Float64() < enlist.RenewChance(sharing) { ... } // enlist.Rounds times per lease time
+//	if rand.Float64() < enlist.RenewChance(sharing) { ... } // enlist.RenewRounds times per lease time
 //
-//	silent := enlist.Silent(sight, others)
+//	silent := enlist.Silent(ob, others)
 package enlist
--- a/core/enlist/enlist_test.go
+++ b/core/enlist/enlist_test.go
@@ -77,21 +77,21 @@
 
 func TestBook(t *testing.T) {
 	is := is.New(t)
-	var bk enlist.Batch
+	var ba enlist.Batch
 	for i := range enlist.MaxTxnEntries + 3 {
-		bk.Add(enlist.Entry{Key: fmt.Sprint(i)})
+		ba.Add(enlist.Entry{Key: fmt.Sprint(i)})
 	}
-	bk.Add(enlist.Entry{Key: "1", Value: []byte("anew")})
-	bk.Drop("0")
-	bk.Drop("not there")
-	first := bk.Take()
+	ba.Add(enlist.Entry{Key: "1", Value: []byte("anew")})
+	ba.Drop("0")
+	ba.Drop("not there")
+	first := ba.Take()
 	is.Equal(len(first), enlist.MaxTxnEntries)
 	is.Equal(first[0].Key, "1")
 	is.Equal(string(first[0].Value), "anew")
-	second := bk.Take()
+	second := ba.Take()
 	is.Equal(len(second), 2)
-	is.Equal(len(bk.Take()), 0)
-	bk.Add(enlist.Entry{Key: "later"})
+	is.Equal(len(ba.Take()), 0)
+	ba.Add(enlist.Entry{Key: "later"})
 	is.Equal(first[0].Key, "1") // entries returned by Take don't change later
 	is.Equal(second[1].Key, fmt.Sprint(enlist.MaxTxnEntries+2))
 }
@@ -101,33 +101,33 @@
 // no contact with it.
 func TestSilent(t *testing.T) {
 	const leaseTime = 30 * time.Second
-	leads := enlist.Observation{Now: time.Minute, LeaseTime: leaseTime, Followed: true, Since: 10 * time.Second, StoreFresh: true}
+	followed := enlist.Observation{Now: time.Minute, LeaseTime: leaseTime, Followed: true, Since: 10 * time.Second, StoreFresh: true}
 	live := enlist.OtherVM{Addr: "live", LastContact: 59 * time.Second}
 	dead := enlist.OtherVM{Addr: "dead", LastContact: 45 * time.Second}
 	never := enlist.OtherVM{Addr: "never"}
 	with := func(change func(*enlist.Observation)) enlist.Observation {
-		si := leads
-		change(&si)
-		return si
+		ob := followed
+		change(&ob)
+		return ob
 	}
 	cases := []struct {
-		name   string
-		sight  enlist.Observation
-		others []enlist.OtherVM
-		want   []string
+		name        string
+		observation enlist.Observation
+		others      []enlist.OtherVM
+		want        []string
 	}{
-		{"one VM died", leads, []enlist.OtherVM{live, dead}, []string{"dead"}},
-		{"one VM never asked", leads, []enlist.OtherVM{live, never}, []string{"never"}},
-		{"this VM was followed only recently", with(func(si *enlist.Observation) { si.Since = 55 * time.Second }), []enlist.OtherVM{live, dead}, nil},
-		{"the VMs follow another VM", with(func(si *enlist.Observation) { si.Followed = false }), []enlist.OtherVM{live, dead}, nil},
-		{"store outage", with(func(si *enlist.Observation) { si.StoreFresh = false }), []enlist.OtherVM{live, dead}, nil},
-		{"no contact with any VM", leads, []enlist.OtherVM{dead}, nil},
-		{"no contact with any VM for the lease time", with(func(si *enlist.Observation) { si.Now = 2 * time.Minute }), []enlist.OtherVM{dead}, []string{"dead"}},
+		{"one VM died", followed, []enlist.OtherVM{live, dead}, []string{"dead"}},
+		{"one VM never asked", followed, []enlist.OtherVM{live, never}, []string{"never"}},
+		{"this VM was followed only recently", with(func(ob *enlist.Observation) { ob.Since = 55 * time.Second }), []enlist.OtherVM{live, dead}, nil},
+		{"the VMs follow another VM", with(func(ob *enlist.Observation) { ob.Followed = false }), []enlist.OtherVM{live, dead}, nil},
+		{"store outage", with(func(ob *enlist.Observation) { ob.StoreFresh = false }), []enlist.OtherVM{live, dead}, nil},
+		{"no contact with any VM", followed, []enlist.OtherVM{dead}, nil},
+		{"no contact with any VM for the lease time", with(func(ob *enlist.Observation) { ob.Now = 2 * time.Minute }), []enlist.OtherVM{dead}, []string{"dead"}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			var got []string
-			for _, ot := range enlist.Silent(tc.sight, tc.others) {
+			for _, ot := range enlist.Silent(tc.observation, tc.others) {
 				got = append(got, ot.Addr)
 			}
 			is.New(t).Equal(got, tc.want)
@@ -137,6 +137,6 @@
 
 func TestSilentFitsOneTransaction(t *testing.T) {
 	others := make([]enlist.OtherVM, 2*enlist.MaxTxnEntries)
-	si := enlist.Observation{Now: time.Hour, LeaseTime: time.Second, Followed: true, StoreFresh: true}
-	is.New(t).Equal(len(enlist.Silent(si, others)), enlist.MaxTxnEntries)
+	ob := enlist.Observation{Now: time.Hour, LeaseTime: time.Second, Followed: true, StoreFresh: true}
+	is.New(t).Equal(len(enlist.Silent(ob, others)), enlist.MaxTxnEntries)
 }
--- a/core/enlist/lease.go
+++ b/core/enlist/lease.go
@@ -1,6 +1,6 @@
 package enlist
 
-// Rounds is the number of renewal rounds within the time of a lease: two renewals may fail
+// RenewRounds is the number of renewal rounds within the time of a lease: two renewals may fail
 // before the lease expires.
 const RenewRounds = 3
 
@@ -16,7 +16,7 @@
 	return min(1, renewers/float64(max(1, sharing)))
 }
 
-// LeaseOf returns the lease under which a new entry of a data centre is written, given the
+// CommonLease returns the lease under which a new entry of a data centre is written, given the
 // leases of the existing ones: the most frequent lease, or the newest of equally frequent ones.
 // It returns 0 if there is none.
 func CommonLease(leases []uint64) uint64 {
--- a/core/enlist/silent.go
+++ b/core/enlist/silent.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Sight is what one VM knows about the other VMs of its data centre.
+// Observation is what one VM knows about the other VMs of its data centre.
 type Observation struct {
 	Now time.Duration
 	// LeaseTime is how long an entry with a lease of its own would outlive its VM.
 	LeaseTime time.Duration
-	// Leads is set while the others follow this VM. Since is when that began; before, no VM
+	// Followed is set while the others follow this VM. Since is when that began; before, no VM
 	// asked this one.
 	Followed bool
 	Since    time.Duration
-	// Fresh is set if the store was contacted recently: during an outage of the store, no
+	// StoreFresh is set if the store was contacted recently: during an outage of the store, no
 	// entry can be removed.
 	StoreFresh bool
 }
 
-// Other is another VM of the data centre.
+// OtherVM is another VM of the data centre.
 type OtherVM struct {
 	Key      string
 	Addr     string
 	Revision uint64
-	// Heard is when the VM last asked this one or answered it; 0 if it never did.
+	// LastContact is when the VM last asked this one or answered it; 0 if it never did.
 	LastContact time.Duration
 }
 
@@ -31,19 +31,19 @@
 //
 // If there was no recent contact with any of the others, this VM is more likely cut off than all
 // of them are dead, so it waits as long as leases of their own would last.
-func Silent(si Observation, others []OtherVM) []OtherVM {
-	if !si.Followed || !si.StoreFresh {
+func Silent(ob Observation, others []OtherVM) []OtherVM {
+	if !ob.Followed || !ob.StoreFresh {
 		return nil
 	}
-	silenceLimit := si.LeaseTime
+	silenceLimit := ob.LeaseTime
 	for _, ot := range others {
-		if ot.LastContact > 0 && si.Now-ot.LastContact < si.LeaseTime/RenewRounds {
-			silenceLimit = si.LeaseTime / RenewRounds
+		if ot.LastContact > 0 && ob.Now-ot.LastContact < ob.LeaseTime/RenewRounds {
+			silenceLimit = ob.LeaseTime / RenewRounds
 		}
 	}
 	var silent []OtherVM
 	for _, ot := range others {
-		if si.Now-max(si.Since, ot.LastContact) >= silenceLimit {
+		if ob.Now-max(ob.Since, ot.LastContact) >= silenceLimit {
 			silent = append(silent, ot)
 		}
 	}
--- a/core/errs/fault.go
+++ b/core/errs/errs.go
@@ -1,8 +1,8 @@
-// Package fault holds error handling shared by all packages.
+// Package errs holds error handling shared by all packages.
 //
 // # Usage
 //
-//	return fault.Wrap(server.Run(), "front.Serve")
+//	return errs.Wrap(server.Run(), "front.Serve")
 package errs
 
 import "github.com/go-faster/errors"
