--- a/core/fanout/config.go
+++ b/core/fanout/config.go
@@ -6,7 +6,7 @@
 	"laburnumvane/core/origin"
 )
 
-// Ask describes the attempt that a server is to be picked for.
+// PickRequest describes the attempt that a server is to be picked for.
 type PickRequest struct {
 	Shard int
 	// Tried lists the servers that must not be picked.
@@ -41,12 +41,13 @@
 	// Target is when an answer is given without the missing shards, if at least MinParts
 	// answered.
 	Target time.Duration
-	// Hard is the deadline: the final answer is given then at the latest.
+	// HardDeadline is when the final answer is given at the latest.
 	HardDeadline time.Duration
 	// HedgeAfter is how long an attempt may take before a second server is asked as well; 0 turns
 	// hedging off.
 	HedgeAfter time.Duration
-	// LeastTime is the minimum duration of an attempt; none is sent when less is left until Hard.
+	// MinTimeLeft is the minimum duration of an attempt; none is sent when less is left until
+	// HardDeadline.
 	MinTimeLeft time.Duration
 	// Suspect is set if servers crashed under an earlier arrival of the same request: it is sent
 	// to a single server first.
@@ -55,7 +56,7 @@
 	// reports whether the request is known to crash servers by now; nil means never.
 	TrialGap time.Duration
 	Blocked  func() bool
-	// Draw returns a uniform random number in [0, 1), which selects the shard of a trial.
+	// Rand returns a uniform random number in [0, 1), which selects the shard of a trial.
 	Rand    func() float64
 	Chooser Chooser
 	Budget  Budget
--- a/core/fanout/crash.go
+++ b/core/fanout/crash.go
@@ -89,7 +89,7 @@
 }
 
 // nextTrialTime returns when the next trial may be sent: once every open attempt has a result or
-// is late; Hard if no further trial is possible.
+// is late; HardDeadline if no further trial is possible.
 func (mc *Machine) nextTrialTime() time.Duration {
 	if mc.countDue() == 0 {
 		return mc.cfg.HardDeadline
--- a/core/fanout/event.go
+++ b/core/fanout/event.go
@@ -64,7 +64,7 @@
 	EvResult EventKind = iota + 1
 	// EvWake is the timer event at the time returned by Wake, or later.
 	EvWake
-	// EvGone reports that the client disconnected.
+	// EvClientGone reports that the client disconnected.
 	EvClientGone
 )
 
@@ -140,7 +140,7 @@
 	OutcomeFailed
 	// OutcomeNotRun: the request did not run and will not run.
 	OutcomeNotRun
-	// OutcomeGone: the client disconnected before there was an answer.
+	// OutcomeClientGone: the client disconnected before there was an answer.
 	OutcomeClientGone
 )
 
@@ -181,9 +181,9 @@
 	// is valid until the machine's next step.
 	Winners []int
 	Missing int
-	// Shown is the attempt whose failure may be passed on to the client as it is, or -1.
+	// ShownFailure is the attempt whose failure may be passed on to the client as it is, or -1.
 	ShownFailure int
-	// Full is set if a server refused the request for lack of capacity.
+	// NoCapacity is set if a server refused the request for lack of capacity.
 	NoCapacity bool
 	// Attempts counts all attempts, Hedges and Retries those beyond the first of a shard.
 	Attempts int
--- a/core/fanout/joined.go
+++ b/core/fanout/joined.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// StepAll processes the results of a joined answer: one in which a VM in another data centre
+// StepJoined processes the results of a joined answer: one in which a VM in another data centre
 // combines the answers of several shards. All results are recorded before anything is decided. If
 // one of the served shards already has another winner, all served results count as Lost, since the
 // records of that shard cannot be separated from the rest.
@@ -23,7 +23,7 @@
 	return mc.actions
 }
 
-// Hold delays hedges for the shard of attempt k until the given time, by which its result is
+// HoldHedges delays hedges for the shard of attempt k until the given time, by which its result is
 // expected.
 func (mc *Machine) HoldHedges(k int, until time.Duration) {
 	if sh := &mc.shards[mc.attempts[k].shard]; sh.hedgeAt > 0 {
@@ -31,7 +31,7 @@
 	}
 }
 
-// Release undoes Hold: the result of attempt k will arrive on its own.
+// ReleaseHedges undoes HoldHedges: the result of attempt k will arrive on its own.
 func (mc *Machine) ReleaseHedges(k int) {
 	at := &mc.attempts[k]
 	if sh := &mc.shards[at.shard]; sh.hedgeAt > 0 && !mc.answered {
--- a/core/fanout/joined_test.go
+++ b/core/fanout/joined_test.go
@@ -38,7 +38,7 @@
 }
 
 // No hedge is sent while an attempt's answer may arrive joined with others, since the records of
-// the two answers could not be separated. After Release, the result is known to arrive on its
+// the two answers could not be separated. After ReleaseHedges, the result is known to arrive on its
 // own, and a hedge is sent as soon as the attempt is late.
 func TestHoldDelaysHedges(t *testing.T) {
 	is := is.New(t)
--- a/core/fanout/machine.go
+++ b/core/fanout/machine.go
@@ -9,7 +9,7 @@
 // none is the index used for "no attempt".
 const none = -1
 
-// SpareTries is how many attempts beyond MaxAttempts may be spent on servers that provably did
+// SpareAttempts is how many attempts beyond MaxAttempts may be spent on servers that provably did
 // not run the request. The bound keeps a wave of refusals from reaching all servers of a service.
 const SpareAttempts = 1
 
@@ -253,11 +253,11 @@
 // that refused, since that did not run the request and may have capacity by now, or one that was
 // advised against, since a slow server is better than none.
 func (mc *Machine) pick(now time.Duration, i int, first, trial bool) (*origin.Upstream, bool) {
-	ask := PickRequest{Shard: i, Tried: mc.triedServers(i), First: first, Trial: trial}
-	up, ok := mc.cfg.Chooser.Pick(now, ask)
+	rq := PickRequest{Shard: i, Tried: mc.triedServers(i), First: first, Trial: trial}
+	up, ok := mc.cfg.Chooser.Pick(now, rq)
 	if !ok && mc.shards[i].mayReuse {
-		ask.Tried = mc.nonReusableServers(i)
-		up, ok = mc.cfg.Chooser.Pick(now, ask)
+		rq.Tried = mc.nonReusableServers(i)
+		up, ok = mc.cfg.Chooser.Pick(now, rq)
 	}
 	return up, ok
 }
--- a/core/fanout/machine_test.go
+++ b/core/fanout/machine_test.go
@@ -19,10 +19,10 @@
 // servers is a Chooser that picks the first server of a shard that was not tried.
 type servers map[int][]string
 
-func (ss servers) Pick(_ time.Duration, ask fanout.PickRequest) (*origin.Upstream, bool) {
-	for _, id := range ss[ask.Shard] {
+func (ss servers) Pick(_ time.Duration, rq fanout.PickRequest) (*origin.Upstream, bool) {
+	for _, id := range ss[rq.Shard] {
 		untried := true
-		for _, up := range ask.Tried {
+		for _, up := range rq.Tried {
 			untried = untried && up.ID != id
 		}
 		if untried {
--- a/core/hedge/hedge.go
+++ b/core/hedge/hedge.go
@@ -7,9 +7,9 @@
 //	tr.Observe(latency)
 //	delay := tr.Delay()
 //
-// Report cancelled sub-requests with GaveUp. Otherwise the slowest ones would be missing from the
-// latencies, the quantile would fall, more sub-requests would be hedged and cancelled, and so on
-// until the delay reaches the floor.
+// Report cancelled sub-requests with ObserveCancelled. Otherwise the slowest ones would be missing
+// from the latencies, the quantile would fall, more sub-requests would be hedged and cancelled, and
+// so on until the delay reaches the floor.
 //
 // A Tracker is safe for concurrent use.
 package hedge
@@ -31,7 +31,7 @@
 	minSamples = 512
 	// refreshEvery is the number of observations after which the quantiles are recomputed.
 	refreshEvery = 256
-	// lowQuantile is the quantile, in per cent, that Least returns.
+	// lowQuantile is the quantile, in per cent, that LowQuantile returns.
 	lowQuantile = 5
 
 	resolution        = int64(time.Microsecond)
@@ -71,9 +71,9 @@
 	return tr
 }
 
-// GaveUp adds a sub-request that was cancelled after the given time. Its latency is only known to
-// be longer. That counts for the quantile if the time exceeds the current delay; otherwise it is
-// ignored.
+// ObserveCancelled adds a sub-request that was cancelled after the given time. Its latency is only
+// known to be longer. That counts for the quantile if the time exceeds the current delay; otherwise
+// it is ignored.
 func (tr *Tracker) ObserveCancelled(after time.Duration) {
 	if after >= tr.Delay() {
 		tr.Observe(after)
@@ -102,8 +102,8 @@
 	return time.Duration(tr.delay.Load())
 }
 
-// Least returns the 5 % quantile of the latency: few replies arrive earlier. It is 0 while there
-// are too few observations.
+// LowQuantile returns the 5 % quantile of the latency: few replies arrive earlier. It is 0 while
+// there are too few observations.
 func (tr *Tracker) LowQuantile() time.Duration {
 	return time.Duration(tr.least.Load())
 }
--- a/core/lead/lead.go
+++ b/core/lead/lead.go
@@ -4,9 +4,9 @@
 // # Usage
 //
 //	ld := lead.New(lead.Config{})
-//	at := target - ld.Time(lead.Trip{RoundTrip: rtt, Fresh: first})
+//	at := target - ld.Time(lead.Path{RoundTrip: rtt, FirstRequest: first})
 //	// later, when the timer for at has fired:
-//	ld.Woke(now - at)
+//	ld.RecordLateness(now - at)
 //
 // # Why
 //
@@ -56,11 +56,11 @@
 	WriteTime time.Duration
 }
 
-// Trip describes the path between a caller and this VM.
+// Path describes the path between a caller and this VM.
 type Path struct {
 	// RoundTrip is the round-trip time of its connection; 0 if unknown.
 	RoundTrip time.Duration
-	// Fresh is set for the first request of a connection: the caller also waited for the
+	// FirstRequest is set for the first request of a connection: the caller also waited for the
 	// connection to be opened.
 	FirstRequest bool
 }
@@ -83,31 +83,31 @@
 	return &Lead{cfg: cfg}
 }
 
-// Away returns the time that a caller waits outside this VM: before its request arrived, and
+// TransitTime returns the time that a caller waits outside this VM: before its request arrived, and
 // until it has the answer.
-func (ld *Lead) TransitTime(tr Path) time.Duration {
-	if tr.RoundTrip <= 0 {
-		tr.RoundTrip = ld.cfg.RoundTrip
+func (ld *Lead) TransitTime(pa Path) time.Duration {
+	if pa.RoundTrip <= 0 {
+		pa.RoundTrip = ld.cfg.RoundTrip
 	}
-	if tr.FirstRequest {
-		return 2 * tr.RoundTrip
+	if pa.FirstRequest {
+		return 2 * pa.RoundTrip
 	}
-	return tr.RoundTrip
+	return pa.RoundTrip
 }
 
-// Own returns the time that this VM itself needs, from when an answer is due until it is
+// LocalTime returns the time that this VM itself needs, from when an answer is due until it is
 // written.
 func (ld *Lead) LocalTime() time.Duration { return ld.cfg.WriteTime + ld.lateness() }
 
 // Time returns how long before the target time an answer has to leave.
-func (ld *Lead) Time(tr Path) time.Duration { return ld.TransitTime(tr) + ld.LocalTime() }
+func (ld *Lead) Time(pa Path) time.Duration { return ld.TransitTime(pa) + ld.LocalTime() }
 
 func (ld *Lead) lateness() time.Duration {
 	return time.Duration(math.Float64frombits(ld.latenessBits.Load()))
 }
 
-// Woke records how late a timer fired. A VM that lacks processor time runs its timers late
-// and has to set them earlier.
+// RecordLateness records how late a timer fired. A VM that lacks processor time runs its timers
+// late and has to set them earlier.
 func (ld *Lead) RecordLateness(late time.Duration) {
 	observed := float64(min(max(late, 0), maxLateness))
 	estimate := float64(ld.lateness())
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -21,7 +21,7 @@
 	return tb, tb.Pool(limit.PoolKey{})
 }
 
-// BenchmarkSubRequest measures the cost of the limits for one sub-request: Room for
+// BenchmarkSubRequest measures the cost of the limits for one sub-request: HasCapacity for
 // three replicas, Begin and End. The servers are random, so that the memory of all of
 // them is accessed.
 func BenchmarkSubRequest(b *testing.B) {
@@ -75,7 +75,7 @@
 	}), 0.0)
 }
 
-// BenchmarkSetOut measures the cost of a new view: SetOut is called for each server.
+// BenchmarkSetOut measures the cost of a new view: SetExcluded is called for each server.
 func BenchmarkSetOut(b *testing.B) {
 	for _, servers := range []int{10, 1000, 32_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/core/limit/budget.go
+++ b/core/limit/budget.go
@@ -20,13 +20,13 @@
 	earnsVM bool
 }
 
-// Retries combines a kind's retry budget with the VM's budget. Its Earn credits the
+// RetryBudget combines a kind's retry budget with the VM's budget. Its Earn credits the
 // VM's budget, too.
 func RetryBudget(kind, vm Budget) CombinedBudget {
 	return CombinedBudget{kind: kind, vm: vm, earnsVM: true}
 }
 
-// Hedges combines a kind's hedge budget with the VM's budget. Its Earn does not credit
+// HedgeBudget combines a kind's hedge budget with the VM's budget. Its Earn does not credit
 // the VM's budget.
 func HedgeBudget(kind, vm Budget) CombinedBudget {
 	return CombinedBudget{kind: kind, vm: vm}
--- a/core/limit/doc.go
+++ b/core/limit/doc.go
@@ -10,15 +10,15 @@
 //
 // Servers that hold the same shards form a group, and the groups of a register form a
 // pool. A search needs every group of its pool, so that a pool has capacity for one
-// more search while no group is full. Pool.Room takes two atomic loads, whatever the
+// more search while no group is full. Pool.HasCapacity takes two atomic loads, whatever the
 // number of servers.
 //
 // # Usage
 //
 //	tb := limit.New(limit.Config{})
-//	tb.Place(id, limit.GroupKey{Team: "wash", Register: "members", Service: "s1"})
+//	tb.Add(id, limit.GroupKey{Team: "wash", Register: "members", Service: "s1"})
 //	pool := tb.Pool(limit.PoolKey{Team: "wash", Register: "members"})
-//	if pool.Room(now, 1) { // then, for each sub-request:
+//	if pool.HasCapacity(now, 1) { // then, for each sub-request:
 //		tb.Begin(now, id)
 //		tb.End(now, id, limit.Sample{Kind: limit.Replied, Latency: took, Running: 3, Queued: 1})
 //	}
--- a/core/limit/pool.go
+++ b/core/limit/pool.go
@@ -33,7 +33,7 @@
 	nextStart [Classes]atomic.Int64
 }
 
-// Room reports whether a search of a class may start.
+// HasCapacity reports whether a search of a class may start.
 func (pl *Pool) HasCapacity(now time.Duration, class int) bool {
 	return pl.full[class].Load() == 0 && pauseOver(now, time.Duration(pl.nextStart[class].Load()))
 }
--- a/core/limit/table.go
+++ b/core/limit/table.go
@@ -123,7 +123,7 @@
 	return len(*tb.servers.Load())
 }
 
-// Place adds a server to its group. IDs must be added in order, from 0; an ID other
+// Add adds a server to its group. IDs must be added in order, from 0; an ID other
 // than the next one is ignored.
 func (tb *Table) Add(id view.ServerID, key GroupKey) {
 	tb.mu.Lock()
@@ -172,7 +172,7 @@
 	tb.serverOf(id).end(now, sa)
 }
 
-// Room reports whether a server may be sent one more sub-request.
+// HasCapacity reports whether a server may be sent one more sub-request.
 func (tb *Table) HasCapacity(now time.Duration, id view.ServerID) bool {
 	return tb.serverOf(id).hasCapacity(now)
 }
@@ -217,7 +217,7 @@
 	return sv.inFlight
 }
 
-// SetOut excludes a server that gets no new work from its group's limit, or includes
+// SetExcluded excludes a server that gets no new work from its group's limit, or includes
 // it again. A server that is included again starts with the limit of a new server,
 // since what was learnt about its former process does not apply.
 func (tb *Table) SetExcluded(id view.ServerID, excluded bool) {
--- a/core/member/doc.go
+++ b/core/member/doc.go
@@ -12,8 +12,8 @@
 //			case member.Send:   // send ac.Message to ac.To; then Answered or Failed
 //			case member.Ask:    // ask ac.Helper to probe ac.Target; then HelpDone
 //			case member.Reply:  // reply to the request ac.Tag
-//			case member.Helped: // reply to the probe request ac.Tag
-//			case member.Changed, member.Woke:
+//			case member.HelpReply: // reply to the probe request ac.Tag
+//			case member.Changed, member.Resumed:
 //			}
 //		}
 //	}
--- a/core/member/event.go
+++ b/core/member/event.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Event is an input of Machine.Step; only the types below and Kick implement it.
+// Event is an input of Machine.Step; only the types below and SendNow implement it.
 type Event interface {
 	apply(ma *Machine)
 }
 
 // Tick is due at the time given by Wake. A late Tick shows that this process was paused.
 type Tick struct {
-	// Slept is the length of a pause that the monotonic clock does not show, such as a suspension
+	// Suspended is the length of a pause that the monotonic clock does not show, such as a suspension
 	// of the whole VM together with its clocks.
 	Suspended time.Duration
 }
@@ -36,7 +36,7 @@
 	Exchange uint64
 }
 
-// HelpAsked carries another VM's request to probe Target; Tag is returned in Helped.
+// HelpRequested carries another VM's request to probe Target; Tag is returned in HelpReply.
 type HelpRequested struct {
 	Tag    uint64
 	Target Member
@@ -84,7 +84,7 @@
 	Message Message
 }
 
-// Helped is the reply to a HelpAsked. Target is set if it was reached.
+// HelpReply is the reply to a HelpRequested. Target is set if it was reached.
 type HelpReply struct {
 	Tag     uint64
 	Reached bool
@@ -97,7 +97,7 @@
 	Before State
 }
 
-// Woke reports that this process was paused for so long that it joins again under a new
+// Resumed reports that this process was paused for so long that it joins again under a new
 // incarnation. The caller must not act on membership data from before the pause.
 type Resumed struct {
 	Pause       time.Duration
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -26,7 +26,7 @@
 	purpose  purpose
 	to       string
 	deadline time.Duration
-	// tag identifies the HelpAsked request that a purposeIndirect exchange serves.
+	// tag identifies the HelpRequested request that a purposeIndirect exchange serves.
 	tag uint64
 }
 
@@ -161,15 +161,15 @@
 	ma.mergeState(mb)
 }
 
-func (ma *Machine) mergeLink(with string, li DataCentreView) {
-	if li.DataCentre == "" {
+func (ma *Machine) mergeLink(with string, dv DataCentreView) {
+	if dv.DataCentre == "" {
 		return
 	}
-	dc := ma.table.dataCentre(li.DataCentre)
-	if li.SinceHeard >= 0 && li.DataCentre != ma.self.DataCentre {
-		dc.lastHeard = max(dc.lastHeard, ma.now-li.SinceHeard)
+	dc := ma.table.dataCentre(dv.DataCentre)
+	if dv.SinceHeard >= 0 && dv.DataCentre != ma.self.DataCentre {
+		dc.lastHeard = max(dc.lastHeard, ma.now-dv.SinceHeard)
 	}
-	ma.compareDigest(diffKey{with: with, about: li.DataCentre}, li.Digest)
+	ma.compareDigest(diffKey{with: with, about: dv.DataCentre}, dv.Digest)
 }
 
 // saveJoinProgress records how much of the data centre's table this VM has received.
--- a/core/member/measure_test.go
+++ b/core/member/measure_test.go
@@ -97,7 +97,7 @@
 
 // TestMeasureUpdates lets one VM announce its stop and measures the time until all VMs of its data
 // centre, and of the fleet, have received the update. Other data piggybacked on beats spreads the
-// same way, because each VM that receives something new steps its machine with a Kick.
+// same way, because each VM that receives something new steps its machine with a SendNow.
 func TestMeasureUpdates(t *testing.T) {
 	skipUnlessMeasuring(t)
 	fmt.Println("| VMs | data centres | urgent beats | loss | runs | data centre: p50 | p99 | max | fleet: p50 | p99 | max |")
--- a/core/member/message.go
+++ b/core/member/message.go
@@ -9,30 +9,30 @@
 	// Joining is set if the sender is new or was paused: the message then carries no state but the
 	// sender's own.
 	Joining bool
-	// Want requests a page of the receiver's table; the zero value requests none.
+	// WantPage requests a page of the receiver's table; the zero value requests none.
 	WantPage Cursor
 	// Members are state updates and, while digests differ, a page of the table.
 	Members []Member
-	// Next is the start of the page after the requested one; its After is empty if that was the
+	// NextPage is the start of the page after the requested one; its After is empty if that was the
 	// last page.
 	NextPage Cursor
 	// Digest covers the members of the sender's data centre.
 	Digest uint64
-	// Other describes one other data centre, with its digest and the time since its last message;
-	// zero if there is none.
+	// OtherDataCentre describes one other data centre, with its digest and the time since its last
+	// message; zero if there is none.
 	OtherDataCentre DataCentreView
 }
 
-// Place is a cursor in the table of a data centre: it selects the VMs with an address after After.
+// Cursor is a position in the table of a data centre: it selects the VMs with an address after After.
 type Cursor struct {
 	DataCentre string
 	After      string
 }
 
-// Link is the sender's view of another data centre.
+// DataCentreView is the sender's view of another data centre.
 type DataCentreView struct {
 	DataCentre string
 	Digest     uint64
-	// Silent is the time since the last message from the data centre; negative if there was none.
+	// SinceHeard is the time since the last message from the data centre; negative if there was none.
 	SinceHeard time.Duration
 }
--- a/core/member/queue.go
+++ b/core/member/queue.go
@@ -63,15 +63,15 @@
 
 // Peek calls take for each item in queue order, without counting them as sent. It is for messages
 // that may get lost: if items were counted when sent, they would be used up by messages that nobody
-// received. Call Sent once the message is known to have arrived.
+// received. Call MarkSent once the message is known to have arrived.
 func (qu *Queue[K, V]) Peek(take func(V)) {
 	for _, it := range qu.items {
 		take(it.value)
 	}
 }
 
-// Sent counts one more message for each item that was included in it, and removes the items that
-// have been sent limit times.
+// MarkSent counts one more message for each item that was included in it, and removes the items
+// that have been sent limit times.
 func (qu *Queue[K, V]) MarkSent(limit int, included func(V) bool) {
 	counted := false
 	for i := range qu.items {
--- a/core/member/urgent.go
+++ b/core/member/urgent.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Kick requests that beats be sent immediately, for data that the caller piggybacks on them. It is
-// subject to the same bound as urgent updates.
+// SendNow requests that beats be sent immediately, for data that the caller piggybacks on them. It
+// is subject to the same bound as urgent updates.
 type SendNow struct{}
 
 func (SendNow) apply(ma *Machine) {
--- a/core/mirror/boot.go
+++ b/core/mirror/boot.go
@@ -128,7 +128,7 @@
 	return Step{From: FromPeer, Addr: addr, Wait: min(max(bo.storeAt-now, minSeedWait), most)}
 }
 
-// Listed records which VMs of this data centre read the store for the others, see Readers,
+// SetReaders records which VMs of this data centre read the store for the others, see Readers,
 // and whether this VM is one of them. Those VMs replace the seeds, which have not answered.
 // If the list is empty, or names this VM, this VM reads the store itself.
 func (bo *Boot) SetReaders(now time.Duration, readers []string, self bool) {
@@ -144,14 +144,14 @@
 // Failed records that a step yielded no copy. A peer without a copy to give is alive and
 // names others that have one by now. A peer whose machine refused the connection is about to
 // start, like this VM.
-func (bo *Boot) Failed(now time.Duration, st Step, rp Outcome) {
+func (bo *Boot) Failed(now time.Duration, st Step, oc Outcome) {
 	switch st.From {
 	case FromPeer:
 		bo.peerAt = now + seedPause
-		if rp.Empty || rp.Refused {
+		if oc.Empty || oc.Refused {
 			bo.deferStore()
 		}
-		for _, addr := range rp.Holders {
+		for _, addr := range oc.Holders {
 			bo.AddPeer(now, addr)
 		}
 	case FromStore:
@@ -172,11 +172,11 @@
 	bo.storeAt = max(bo.storeAt, bo.cfg.Now+storeDeferMax/2+time.Duration(bo.cfg.Rand.Int64N(half)))
 }
 
-// Tells reports whether this VM should announce its copy to the seeds after a step: the seeds
+// Announces reports whether this VM should announce its copy to the seeds after a step: the seeds
 // may have none, and all other VMs ask them.
 func (bo *Boot) Announces(st Step) bool { return st.From == FromStore && !bo.isSeed() }
 
-// Name adds a VM that has a copy, and allows asking a peer at once.
+// AddPeer adds a VM that has a copy, and allows asking a peer at once.
 func (bo *Boot) AddPeer(now time.Duration, addr string) {
 	bo.peerAt = now
 	if addr != bo.cfg.Self && !slices.Contains(bo.peers, addr) {
--- a/core/mirror/boot_test.go
+++ b/core/mirror/boot_test.go
@@ -88,7 +88,7 @@
 	startAt time.Duration
 	large   bool
 	boot    *mirror.Boot
-	giver   mirror.CopyLimiter
+	limiter mirror.CopyLimiter
 	// announced is set unless the VM still has to announce its copy to the seeds.
 	announced bool
 	// next is when the VM acts again, copyAt when it has its copy, linkFree when its link is
@@ -210,7 +210,7 @@
 	vm.announced = true
 	for _, addr := range []string{"vm0", "vm1", "vm2"} {
 		if seed := bf.byAddr[addr]; seed.startAt <= now && seed != vm {
-			seed.giver.AddHolder(now, vm.addr)
+			seed.limiter.AddHolder(now, vm.addr)
 			seed.boot.AddPeer(now, vm.addr)
 		}
 	}
@@ -229,10 +229,10 @@
 		return
 	}
 	if peer.copyAt > now {
-		vm.boot.Failed(vm.next, st, mirror.Outcome{Empty: true, Holders: peer.giver.Holders(now, vm.addr)})
+		vm.boot.Failed(vm.next, st, mirror.Outcome{Empty: true, Holders: peer.limiter.Holders(now, vm.addr)})
 		return
 	}
-	give, others := peer.giver.Allow(now, vm.addr)
+	give, others := peer.limiter.Allow(now, vm.addr)
 	if !give {
 		vm.boot.Failed(vm.next, st, mirror.Outcome{Empty: true, Holders: others})
 		return
--- a/core/mirror/giver.go
+++ b/core/mirror/copylimiter.go
@@ -13,7 +13,7 @@
 	holderTTL  = 5 * time.Second
 )
 
-// Giver limits how many full copies this VM gives, and names other holders to the VMs that it
+// CopyLimiter limits how many full copies this VM gives, and names other holders to the VMs that it
 // declines. A fleet that starts at once knows only a few seeds. If each VM that has a copy
 // gives it to four more, three seeds reach two hundred VMs in three rounds. It is not safe for
 // concurrent use.
@@ -29,30 +29,30 @@
 	at   time.Duration
 }
 
-// Ask reports whether the VM from gets a copy now; if not, others names recent holders of one.
-func (gi *CopyLimiter) Allow(now time.Duration, from string) (give bool, others []string) {
-	if n := len(gi.given); n >= maxCopies && now-gi.given[n-maxCopies] < copyWindow {
-		return false, gi.Holders(now, from)
+// Allow reports whether the VM from gets a copy now; if not, others names recent holders of one.
+func (cl *CopyLimiter) Allow(now time.Duration, from string) (give bool, others []string) {
+	if n := len(cl.given); n >= maxCopies && now-cl.given[n-maxCopies] < copyWindow {
+		return false, cl.Holders(now, from)
 	}
-	gi.given = append(gi.given, now)
-	gi.given = gi.given[max(0, len(gi.given)-maxCopies):]
-	gi.AddHolder(now, from)
+	cl.given = append(cl.given, now)
+	cl.given = cl.given[max(0, len(cl.given)-maxCopies):]
+	cl.AddHolder(now, from)
 	return true, nil
 }
 
-// Note records that a VM has a copy; an empty address is ignored.
-func (gi *CopyLimiter) AddHolder(now time.Duration, addr string) {
+// AddHolder records that a VM has a copy; an empty address is ignored.
+func (cl *CopyLimiter) AddHolder(now time.Duration, addr string) {
 	if addr == "" {
 		return
 	}
-	gi.holders = append(gi.holders, holder{addr: addr, at: now})
-	gi.holders = gi.holders[max(0, len(gi.holders)-maxHolders):]
+	cl.holders = append(cl.holders, holder{addr: addr, at: now})
+	cl.holders = cl.holders[max(0, len(cl.holders)-maxHolders):]
 }
 
-// Others returns recent holders of a copy other than from, which asks for one.
-func (gi *CopyLimiter) Holders(now time.Duration, from string) []string {
+// Holders returns recent holders of a copy other than from, which asks for one.
+func (cl *CopyLimiter) Holders(now time.Duration, from string) []string {
 	var others []string
-	for _, ho := range gi.holders {
+	for _, ho := range cl.holders {
 		if ho.addr != from && now-ho.at <= holderTTL {
 			others = append(others, ho.addr)
 		}
--- a/core/mirror/doc.go
+++ b/core/mirror/doc.go
@@ -1,16 +1,16 @@
-// Package feed keeps a replica of the entries that the platform's store holds for the fleet,
+// Package mirror keeps a replica of the entries that the platform's store holds for the fleet,
 // and selects the source from which each VM replicates: the store itself or another VM.
 //
 // # Usage
 //
-//	re := feed.NewReplica(feed.DefaultHistory)
-//	re.Take(update)
+//	re := mirror.NewReplica(mirror.DefaultHistory)
+//	re.Apply(update)
 //	up, ok := re.Since(asOf)
 //
-//	gu := feed.NewGuide(feed.GuideConfig{Self: self, Rand: rnd})
-//	gu.SetPeers(peers)
-//	st := gu.Next(now, age)
-//	gu.Heard(now, st, feed.Report{Age: age})
+//	se := mirror.NewSelector(mirror.SelectorConfig{Self: self, Rand: rnd})
+//	se.SetPeers(peers)
+//	st := se.Next(now, age)
+//	se.Done(now, st, mirror.Outcome{Age: age})
 //
 // # Normal operation
 //
--- a/core/mirror/absence.go
+++ b/core/mirror/outage.go
@@ -6,7 +6,7 @@
 // the failure to be discarded. It is more than the network delays between VMs add up to.
 const recoveryMargin = 250 * time.Millisecond
 
-// Absence detects outages of the store, from failed calls to it and from the times at which
+// Outage detects outages of the store, from failed calls to it and from the times at which
 // the store was last contacted, by this VM or by the VM whose data it replicates. It is not
 // safe for concurrent use.
 //
@@ -29,39 +29,39 @@
 	returned                  time.Duration
 }
 
-// Failed records a failed call to the store.
-func (ab *Outage) RecordFailure(now time.Duration) {
-	if ab.firstFailure == 0 {
-		ab.firstFailure = now
+// RecordFailure records a failed call to the store.
+func (ou *Outage) RecordFailure(now time.Duration) {
+	if ou.firstFailure == 0 {
+		ou.firstFailure = now
 	}
-	ab.lastFailure = now
+	ou.lastFailure = now
 }
 
-// Heard records that the store was contacted at the given time, by this VM or by another one.
-// Times up to the last known contact are ignored.
-func (ab *Outage) RecordContact(at time.Duration) {
-	if ab.contacted && at <= ab.lastContact {
+// RecordContact records that the store was contacted at the given time, by this VM or by another
+// one. Times up to the last known contact are ignored.
+func (ou *Outage) RecordContact(at time.Duration) {
+	if ou.contacted && at <= ou.lastContact {
 		return
 	}
-	back := ab.contacted && ab.firstFailure > 0 && at > ab.firstFailure && at-ab.lastContact > StaleAfter
+	back := ou.contacted && ou.firstFailure > 0 && at > ou.firstFailure && at-ou.lastContact > StaleAfter
 	if back {
-		ab.returned = at
+		ou.returned = at
 	}
-	if back || at > ab.lastFailure+recoveryMargin {
-		ab.firstFailure, ab.lastFailure = 0, 0
+	if back || at > ou.lastFailure+recoveryMargin {
+		ou.firstFailure, ou.lastFailure = 0, 0
 	}
-	ab.contacted, ab.lastContact = true, at
+	ou.contacted, ou.lastContact = true, at
 }
 
-// Told records when the store recovered according to another VM; 0 if that VM knows of no
+// RecordRecovery records when the store recovered according to another VM; 0 if that VM knows of no
 // outage.
-func (ab *Outage) RecordRecovery(returned time.Duration) { ab.returned = max(ab.returned, returned) }
+func (ou *Outage) RecordRecovery(returned time.Duration) { ou.returned = max(ou.returned, returned) }
 
-// Ever reports whether the store was ever contacted.
-func (ab *Outage) Contacted() bool { return ab.contacted }
+// Contacted reports whether the store was ever contacted.
+func (ou *Outage) Contacted() bool { return ou.contacted }
 
-// Last returns the time of the last contact with the store.
-func (ab *Outage) LastContact() time.Duration { return ab.lastContact }
+// LastContact returns the time of the last contact with the store.
+func (ou *Outage) LastContact() time.Duration { return ou.lastContact }
 
-// Returned returns when the store recovered from its last outage; 0 if no outage is known.
-func (ab *Outage) Recovered() time.Duration { return ab.returned }
+// Recovered returns when the store recovered from its last outage; 0 if no outage is known.
+func (ou *Outage) Recovered() time.Duration { return ou.returned }
--- a/core/mirror/absence_test.go
+++ b/core/mirror/outage_test.go
@@ -49,18 +49,18 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var ab mirror.Outage
+			var ou mirror.Outage
 			for _, ev := range tc.events {
 				if ev.failed {
-					ab.RecordFailure(ev.at)
+					ou.RecordFailure(ev.at)
 				} else {
-					ab.RecordContact(ev.contact)
+					ou.RecordContact(ev.contact)
 				}
 			}
-			is.Equal(ab.Recovered(), tc.returned)
-			is.True(ab.Contacted())
-			ab.RecordRecovery(time.Minute)
-			is.Equal(ab.Recovered(), time.Minute)
+			is.Equal(ou.Recovered(), tc.returned)
+			is.True(ou.Contacted())
+			ou.RecordRecovery(time.Minute)
+			is.Equal(ou.Recovered(), time.Minute)
 		})
 	}
 }
--- a/core/mirror/replica.go
+++ b/core/mirror/replica.go
@@ -21,7 +21,7 @@
 
 // Update is the set of changes after some revision, or a full copy.
 type Update struct {
-	// Whole is set if Events is a full copy: entries that are not among them no longer
+	// Full is set if Events is a full copy: entries that are not among them no longer
 	// exist.
 	Full   bool
 	Events []Event
@@ -47,7 +47,7 @@
 	return &Replica{items: make(map[string]Item), history: history}
 }
 
-// Known reports whether a full copy was ever taken in.
+// Loaded reports whether a full copy was ever applied.
 func (re *Replica) Loaded() bool { return re.known }
 
 // AsOf returns the revision up to which the replica is complete.
@@ -56,7 +56,7 @@
 // Len returns the number of entries.
 func (re *Replica) Len() int { return len(re.items) }
 
-// Take applies an update and returns the resulting changes. An update that ends before the
+// Apply applies an update and returns the resulting changes. An update that ends before the
 // replica's revision is ignored, since it would restore removed entries.
 func (re *Replica) Apply(up Update) []Event {
 	if up.Full {
--- a/core/mirror/search.go
+++ b/core/mirror/search.go
@@ -19,40 +19,40 @@
 	searchWaitRemote = 400 * time.Millisecond
 )
 
-// Hint records that a VM which asked this one has data of the given age. If that is fresh, the
+// Suggest records that a VM which asked this one has data of the given age. If that is fresh, the
 // VM becomes a candidate source: the store may serve it while it refuses this VM.
-func (gu *Selector) Suggest(addr string, age time.Duration) {
+func (se *Selector) Suggest(addr string, age time.Duration) {
 	if age <= StaleAfter {
-		gu.suggested = addr
+		se.suggested = addr
 	}
 }
 
 // takeSuggested returns the suggested VM and clears it.
-func (gu *Selector) takeSuggested() string {
-	addr := gu.suggested
-	gu.suggested = ""
+func (se *Selector) takeSuggested() string {
+	addr := se.suggested
+	se.suggested = ""
 	return addr
 }
 
 // searchStep asks a VM of another data centre, or one of this data centre with a lower rank.
-func (gu *Selector) searchStep(now time.Duration) Step {
-	if now >= gu.remoteAt {
-		if vm, ok := gu.firstAvailable(now, gu.remote); ok {
+func (se *Selector) searchStep(now time.Duration) Step {
+	if now >= se.remoteAt {
+		if vm, ok := se.firstAvailable(now, se.remote); ok {
 			return Step{From: FromPeer, Addr: vm.Addr}
 		}
 	}
-	if now >= gu.localAt {
-		if vm, ok := gu.firstAvailable(now, gu.local); ok {
+	if now >= se.localAt {
+		if vm, ok := se.firstAvailable(now, se.local); ok {
 			return Step{From: FromPeer, Addr: vm.Addr}
 		}
 	}
-	return Step{From: FromNone, Wait: gu.searchWait(now)}
+	return Step{From: FromNone, Wait: se.searchWait(now)}
 }
 
 // firstAvailable returns the first VM that is not this one and not skipped.
-func (gu *Selector) firstAvailable(now time.Duration, vms []rank.VM) (rank.VM, bool) {
+func (se *Selector) firstAvailable(now time.Duration, vms []rank.VM) (rank.VM, bool) {
 	for _, vm := range vms {
-		if vm.Addr != gu.cfg.Self.Addr && !gu.skipped(now, vm.Addr) {
+		if vm.Addr != se.cfg.Self.Addr && !se.skipped(now, vm.Addr) {
 			return vm, true
 		}
 	}
@@ -60,9 +60,9 @@
 }
 
 // searchWait is the time until the search may continue.
-func (gu *Selector) searchWait(now time.Duration) time.Duration {
+func (se *Selector) searchWait(now time.Duration) time.Duration {
 	wait := idleWait
-	for _, at := range [2]time.Duration{gu.localAt, gu.remoteAt} {
+	for _, at := range [2]time.Duration{se.localAt, se.remoteAt} {
 		if at > now {
 			wait = min(wait, at-now)
 		}
@@ -71,11 +71,11 @@
 }
 
 // noteStale delays the next call after a VM had stale data.
-func (gu *Selector) noteStale(now time.Duration) {
-	gu.staleInRow++
-	draw := gu.cfg.Rand.Float64()
+func (se *Selector) noteStale(now time.Duration) {
+	se.staleInRow++
+	draw := se.cfg.Rand.Float64()
 	near := retry.Backoff{Initial: minSearchWait, Max: searchWaitLocal, Jitter: jitter}
 	far := retry.Backoff{Initial: minSearchWait, Max: searchWaitRemote, Jitter: jitter}
-	gu.localAt = now + near.Wait(gu.staleInRow, draw)
-	gu.remoteAt = now + far.Wait(gu.staleInRow, draw)
+	se.localAt = now + near.Wait(se.staleInRow, draw)
+	se.remoteAt = now + far.Wait(se.staleInRow, draw)
 }
--- a/core/mirror/guide.go
+++ b/core/mirror/selector.go
@@ -9,7 +9,7 @@
 	"laburnumvane/core/retry"
 )
 
-// Delays of a guide.
+// Delays of a selector.
 const (
 	// skipUnresponsive is how long a peer that did not answer is not asked again.
 	skipUnresponsive = 3 * time.Second
@@ -63,7 +63,7 @@
 	FromStore From = iota + 1
 	// FromPeer is another VM.
 	FromPeer
-	// FromNobody means to wait without asking.
+	// FromNone means to wait without asking.
 	FromNone
 	// FromList is the platform's store, asked for the list of VMs only.
 	FromList
@@ -87,11 +87,11 @@
 	From From
 	// Addr is the peer's inner address, for FromPeer.
 	Addr string
-	// Wait is how long to wait for FromNobody, and the time-out of a call during a boot.
+	// Wait is how long to wait for FromNone, and the time-out of a call during a boot.
 	Wait time.Duration
 }
 
-// Report is the outcome of a step.
+// Outcome is the result of a step.
 type Outcome struct {
 	// Failed is set if there was no answer, Refused if the peer's machine refused the
 	// connection: its process is not running, or not yet. Empty is set if the peer has no
@@ -99,20 +99,20 @@
 	Failed, Refused, Empty bool
 	// Age is the age of a peer's data.
 	Age time.Duration
-	// Own is set if the peer's data comes from this VM's own call to the store, Follows if
+	// OwnData is set if the peer's data comes from this VM's own call to the store, Follows if
 	// the peer follows this VM.
 	OwnData, Follows bool
-	// Others are holders of a copy, named by a peer that gives none.
+	// Holders are VMs that hold a copy, named by a peer that gives none.
 	Holders []string
 }
 
-// GuideConfig configures a Guide.
+// SelectorConfig configures a Selector.
 type SelectorConfig struct {
 	Self rank.VM
 	Rand *rand.Rand
 }
 
-// Guide selects the source from which one VM replicates: the store or another VM. It is not
+// Selector selects the source from which one VM replicates: the store or another VM. It is not
 // safe for concurrent use.
 type Selector struct {
 	cfg SelectorConfig
@@ -150,26 +150,26 @@
 // watchSalt makes the order of the VMs that watch the store independent of other orders.
 const watchSalt = "watch"
 
-// NewGuide returns a guide without peers.
+// NewSelector returns a selector without peers.
 func NewSelector(cfg SelectorConfig) *Selector {
-	gu := &Selector{cfg: cfg, skipUntil: make(map[string]time.Duration)}
-	gu.SetPeers(nil)
-	return gu
+	se := &Selector{cfg: cfg, skipUntil: make(map[string]time.Duration)}
+	se.SetPeers(nil)
+	return se
 }
 
 // SetPeers replaces the list of VMs; it may include this VM.
-func (gu *Selector) SetPeers(peers []rank.VM) {
-	self := gu.cfg.Self
+func (se *Selector) SetPeers(peers []rank.VM) {
+	self := se.cfg.Self
 	byDC := map[string][]rank.VM{self.DataCentre: {self}}
 	for _, vm := range peers {
 		if vm.Addr != self.Addr {
 			byDC[vm.DataCentre] = append(byDC[vm.DataCentre], vm)
 		}
 	}
-	gu.local = rank.Order(byDC[self.DataCentre], watchSalt)
-	gu.before = slices.IndexFunc(gu.local, func(vm rank.VM) bool { return vm.Addr == self.Addr })
-	gu.remote, gu.higherFirsts = nil, nil
-	gu.firsts = map[string]bool{gu.local[0].Addr: true}
+	se.local = rank.Order(byDC[self.DataCentre], watchSalt)
+	se.before = slices.IndexFunc(se.local, func(vm rank.VM) bool { return vm.Addr == self.Addr })
+	se.remote, se.higherFirsts = nil, nil
+	se.firsts = map[string]bool{se.local[0].Addr: true}
 	var rest []rank.VM
 	ownSeen := false
 	for _, dc := range dataCentreOrder(byDC) {
@@ -179,13 +179,13 @@
 		}
 		vms := rank.Order(byDC[dc], watchSalt)
 		if !ownSeen {
-			gu.higherFirsts = append(gu.higherFirsts, vms[0])
+			se.higherFirsts = append(se.higherFirsts, vms[0])
 		}
-		gu.remote = append(gu.remote, vms[0])
-		gu.firsts[vms[0].Addr] = true
+		se.remote = append(se.remote, vms[0])
+		se.firsts[vms[0].Addr] = true
 		rest = append(rest, vms[1:]...)
 	}
-	gu.remote = append(rank.Order(gu.remote, self.Addr), rank.Order(rest, self.Addr)...)
+	se.remote = append(rank.Order(se.remote, self.Addr), rank.Order(rest, self.Addr)...)
 }
 
 // dataCentreOrder ranks the data centres.
@@ -202,149 +202,149 @@
 }
 
 // Next returns what to ask next; age is the age of this VM's own data.
-func (gu *Selector) Next(now, age time.Duration) Step {
-	if gu.urgent(now, age) {
+func (se *Selector) Next(now, age time.Duration) Step {
+	if se.urgent(now, age) {
 		return Step{From: FromStore}
 	}
-	if suggested := gu.takeSuggested(); suggested != "" && age > StaleAfter {
+	if suggested := se.takeSuggested(); suggested != "" && age > StaleAfter {
 		return Step{From: FromPeer, Addr: suggested}
 	}
-	leader := gu.leader(now)
+	leader := se.leader(now)
 	if leader == "" {
-		gu.noteLacking(now)
+		se.noteLacking(now)
 	}
 	switch {
-	case gu.storeDue(now, leader):
+	case se.storeDue(now, leader):
 		return Step{From: FromStore}
 	case leader == "":
-		return gu.searchStep(now)
-	case now < gu.localAt:
-		return Step{From: FromNone, Wait: min(gu.localAt-now, idleWait)}
+		return se.searchStep(now)
+	case now < se.localAt:
+		return Step{From: FromNone, Wait: min(se.localAt-now, idleWait)}
 	}
 	return Step{From: FromPeer, Addr: leader}
 }
 
 // urgent reports whether to ask the store before any other VM, see UrgentAfter.
-func (gu *Selector) urgent(now, age time.Duration) bool {
-	if !gu.unresponsive || age <= UrgentAfter || now < gu.retryAt || now < gu.urgentAt {
+func (se *Selector) urgent(now, age time.Duration) bool {
+	if !se.unresponsive || age <= UrgentAfter || now < se.retryAt || now < se.urgentAt {
 		return false
 	}
-	gu.urgentAt = now + gu.jittered(urgentPause<<min(gu.storeFails, 3))
+	se.urgentAt = now + se.jittered(urgentPause<<min(se.storeFails, 3))
 	return true
 }
 
 // storeDue reports whether this VM should ask the store now. leader is its preferred peer,
 // empty if there is none. The first-ranked VM of a data centre leaves the store to the data
 // centres that rank before, while one of these answers.
-func (gu *Selector) storeDue(now time.Duration, leader string) bool {
-	if !gu.lacking || now < gu.lackingSince+gu.turnDelay() || now < gu.retryAt {
+func (se *Selector) storeDue(now time.Duration, leader string) bool {
+	if !se.lacking || now < se.lackingSince+se.turnDelay() || now < se.retryAt {
 		return false
 	}
-	return leader == "" || gu.before > 0
+	return leader == "" || se.before > 0
 }
 
 // turnDelay is how long this VM waits for those that rank before it.
-func (gu *Selector) turnDelay() time.Duration {
-	late := max(0, gu.before-rankDelayCount)
-	return time.Duration(gu.before-late)*rankDelay + time.Duration(late)*rankDelayLate
+func (se *Selector) turnDelay() time.Duration {
+	late := max(0, se.before-rankDelayCount)
+	return time.Duration(se.before-late)*rankDelay + time.Duration(late)*rankDelayLate
 }
 
 // noteLacking records since when no preferred source has had fresh data.
-func (gu *Selector) noteLacking(now time.Duration) {
-	if !gu.lacking {
-		gu.lacking, gu.lackingSince = true, now
+func (se *Selector) noteLacking(now time.Duration) {
+	if !se.lacking {
+		se.lacking, se.lackingSince = true, now
 	}
 }
 
 // leader returns the first VM that ranks before this one and is not skipped: one of this data
 // centre or, for the first-ranked VM of a data centre, the first-ranked VM of a data centre
 // that ranks before. So only one VM of the region watches the store.
-func (gu *Selector) leader(now time.Duration) string {
-	vms := gu.local[:gu.before]
-	if gu.before == 0 {
-		vms = gu.higherFirsts
+func (se *Selector) leader(now time.Duration) string {
+	vms := se.local[:se.before]
+	if se.before == 0 {
+		vms = se.higherFirsts
 	}
-	vm, _ := gu.firstAvailable(now, vms)
+	vm, _ := se.firstAvailable(now, vms)
 	return vm.Addr
 }
 
-func (gu *Selector) skipped(now time.Duration, addr string) bool {
-	until, ok := gu.skipUntil[addr]
+func (se *Selector) skipped(now time.Duration, addr string) bool {
+	until, ok := se.skipUntil[addr]
 	if !ok {
 		return false
 	}
 	if now >= until {
-		delete(gu.skipUntil, addr)
+		delete(se.skipUntil, addr)
 		return false
 	}
 	return true
 }
 
-// Heard records the outcome of a step.
-func (gu *Selector) Done(now time.Duration, st Step, rp Outcome) {
+// Done records the outcome of a step.
+func (se *Selector) Done(now time.Duration, st Step, oc Outcome) {
 	if st.From == FromNone {
 		return
 	}
-	if rp.Failed || rp.Age > StaleAfter || rp.OwnData || rp.Follows {
-		gu.noteLacking(now)
+	if oc.Failed || oc.Age > StaleAfter || oc.OwnData || oc.Follows {
+		se.noteLacking(now)
 	} else {
-		gu.lacking, gu.suggested = false, ""
+		se.lacking, se.suggested = false, ""
 	}
 	if st.From == FromStore {
-		gu.noteStoreOutcome(now, rp)
+		se.noteStoreOutcome(now, oc)
 		return
 	}
-	gu.unresponsive = rp.Failed
-	gu.notePeerOutcome(now, st.Addr, rp)
+	se.unresponsive = oc.Failed
+	se.notePeerOutcome(now, st.Addr, oc)
 }
 
-func (gu *Selector) noteStoreOutcome(now time.Duration, rp Outcome) {
-	if !rp.Failed {
-		gu.storeFails, gu.retryAt = 0, 0
+func (se *Selector) noteStoreOutcome(now time.Duration, oc Outcome) {
+	if !oc.Failed {
+		se.storeFails, se.retryAt = 0, 0
 		return
 	}
-	gu.storeFails++
+	se.storeFails++
 	bo := retry.Backoff{Initial: minStoreBackoff, Max: maxStoreBackoff, Jitter: jitter}
 	// Bounds the sum: all VMs of a data centre ask little more often than a few would.
-	scale := min(1+gu.before, backoffScaleMax)
-	gu.retryAt = now + time.Duration(scale)*bo.Wait(gu.storeFails, gu.cfg.Rand.Float64())
+	scale := min(1+se.before, backoffScaleMax)
+	se.retryAt = now + time.Duration(scale)*bo.Wait(se.storeFails, se.cfg.Rand.Float64())
 }
 
-func (gu *Selector) notePeerOutcome(now time.Duration, addr string, rp Outcome) {
+func (se *Selector) notePeerOutcome(now time.Duration, addr string, oc Outcome) {
 	switch {
-	case rp.Failed:
-		gu.skipUntil[addr] = now + gu.jittered(skipUnresponsive)
-	case rp.Empty:
-		gu.skipUntil[addr] = now + gu.jittered(skipEmpty)
-	case rp.Age > StaleAfter:
-		gu.skipStalePeer(now, addr)
-		gu.noteStale(now)
-	case rp.OwnData, rp.Follows:
+	case oc.Failed:
+		se.skipUntil[addr] = now + se.jittered(skipUnresponsive)
+	case oc.Empty:
+		se.skipUntil[addr] = now + se.jittered(skipEmpty)
+	case oc.Age > StaleAfter:
+		se.skipStalePeer(now, addr)
+		se.noteStale(now)
+	case oc.OwnData, oc.Follows:
 		// The peer's data comes from this VM. Two VMs that follow each other get nothing
 		// new until the data of both is stale.
-		gu.skipStalePeer(now, addr)
-		if rp.OwnData {
+		se.skipStalePeer(now, addr)
+		if oc.OwnData {
 			// All VMs get their data through this one, so it asks the store without waiting for
 			// its turn.
-			gu.lackingSince = now - gu.turnDelay()
+			se.lackingSince = now - se.turnDelay()
 		}
-	case gu.staleInRow > 0:
+	case se.staleInRow > 0:
 		// The store serves another VM again. This VM may be the one that should watch it,
 		// and until it does, all VMs would ask each other for data that none receives.
-		gu.retryAt = min(gu.retryAt, now)
-		gu.staleInRow = 0
+		se.retryAt = min(se.retryAt, now)
+		se.staleInRow = 0
 	}
 }
 
 // skipStalePeer skips a VM without fresh data for a while.
-func (gu *Selector) skipStalePeer(now time.Duration, addr string) {
+func (se *Selector) skipStalePeer(now time.Duration, addr string) {
 	wait := skipStale
-	if gu.firsts[addr] {
+	if se.firsts[addr] {
 		wait = skipStaleFirst
 	}
-	gu.skipUntil[addr] = now + gu.jittered(wait)
+	se.skipUntil[addr] = now + se.jittered(wait)
 }
 
-func (gu *Selector) jittered(wait time.Duration) time.Duration {
-	return time.Duration(float64(wait) * (1 + jitter*gu.cfg.Rand.Float64()))
+func (se *Selector) jittered(wait time.Duration) time.Duration {
+	return time.Duration(float64(wait) * (1 + jitter*se.cfg.Rand.Float64()))
 }
--- a/core/mirror/guide_test.go
+++ b/core/mirror/selector_test.go
@@ -12,7 +12,7 @@
 	"laburnumvane/core/rank"
 )
 
-// fleet simulates VMs in several data centres, each with a guide, and a store that serves some
+// fleet simulates VMs in several data centres, each with a selector, and a store that serves some
 // of them. Time is virtual; a step takes as long as its call.
 type fleet struct {
 	vms []*member
@@ -31,10 +31,10 @@
 }
 
 type member struct {
-	vm     rank.VM
-	guide  *mirror.Selector
-	dataAt time.Duration
-	next   time.Duration
+	vm       rank.VM
+	selector *mirror.Selector
+	dataAt   time.Duration
+	next     time.Duration
 	// origin is the VM whose call to the store yielded the data that this one has.
 	origin string
 	// source is the VM that this one follows; empty if it asks the store.
@@ -66,9 +66,9 @@
 		}
 	}
 	for i, vm := range vms {
-		gu := mirror.NewSelector(mirror.SelectorConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
-		gu.SetPeers(vms)
-		fl.vms = append(fl.vms, &member{vm: vm, guide: gu, dataAt: fl.now, next: fl.now})
+		se := mirror.NewSelector(mirror.SelectorConfig{Self: vm, Rand: rand.New(rand.NewPCG(uint64(i), 3))})
+		se.SetPeers(vms)
+		fl.vms = append(fl.vms, &member{vm: vm, selector: se, dataAt: fl.now, next: fl.now})
 	}
 	return fl
 }
@@ -101,15 +101,15 @@
 }
 
 func (fl *fleet) step(mb *member) {
-	st := mb.guide.Next(fl.now, fl.now-mb.dataAt)
-	rp := mirror.Outcome{}
+	st := mb.selector.Next(fl.now, fl.now-mb.dataAt)
+	oc := mirror.Outcome{}
 	took := shortTime
 	switch st.From {
 	case mirror.FromStore:
 		fl.storeCalls++
 		mb.source = ""
 		if fl.refused[mb.vm.Addr] {
-			rp.Failed = true
+			oc.Failed = true
 		} else {
 			mb.dataAt, mb.origin = fl.now, mb.vm.Addr
 			took = watchTime
@@ -121,11 +121,11 @@
 			fl.remoteCalls++
 		}
 		if fl.dead[st.Addr] {
-			rp.Failed = true
+			oc.Failed = true
 			break
 		}
 		if fl.unpowered[st.Addr] {
-			rp.Failed = true
+			oc.Failed = true
 			took = unpoweredTime
 			if fl.now-mb.dataAt > time.Second {
 				took = unpoweredHurry
@@ -133,14 +133,14 @@
 			break
 		}
 		if fl.bootedAt[st.Addr] > fl.now {
-			rp.Empty = true
+			oc.Empty = true
 			break
 		}
-		peer.guide.Suggest(mb.vm.Addr, fl.now-mb.dataAt)
-		rp.Age = fl.now - peer.dataAt
-		rp.OwnData, rp.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
+		peer.selector.Suggest(mb.vm.Addr, fl.now-mb.dataAt)
+		oc.Age = fl.now - peer.dataAt
+		oc.OwnData, oc.Follows = peer.origin == mb.vm.Addr, peer.source == mb.vm.Addr
 		mb.source = st.Addr
-		if rp.Age <= mirror.StaleAfter && !rp.OwnData && !rp.Follows {
+		if oc.Age <= mirror.StaleAfter && !oc.OwnData && !oc.Follows {
 			// The peer answers when it contacts the store again, or after its wait.
 			took = peerWait
 			if peer.next < fl.now+peerWait {
@@ -153,7 +153,7 @@
 	case mirror.FromNone:
 		took = st.Wait
 	}
-	mb.guide.Done(fl.now, st, rp)
+	mb.selector.Done(fl.now, st, oc)
 	mb.next = fl.now + took
 }
 
@@ -180,7 +180,7 @@
 // leader is the VM that asks the store in normal operation.
 func (fl *fleet) leader() string {
 	for _, mb := range fl.vms {
-		if mb.guide.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
+		if mb.selector.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
 			return mb.vm.Addr
 		}
 	}
@@ -265,7 +265,7 @@
 	fl := newFleet(6)
 	fl.run(5 * time.Second)
 	for i, mb := range fl.vms {
-		if i%3 == 0 || mb.guide.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
+		if i%3 == 0 || mb.selector.Next(fl.now, fl.now-mb.dataAt).From == mirror.FromStore {
 			fl.refused[mb.vm.Addr] = true
 		}
 	}
