--- a/core/origin/doc.go
+++ b/core/origin/doc.go
@@ -4,14 +4,14 @@
 // # Usage
 //
 //	dir := origin.New(upstreams)
-//	for _, up := range dir.Of("members-07") {
-//		if up.Takes() { ... }
+//	for _, up := range dir.OfService("members-07") {
+//		if up.Accepting() { ... }
 //	}
 //
 // A Directory is immutable. A Table maintains the current one while entries are written and
 // removed:
 //
-//	tb := origin.NewTable(origin.Config{Linger: 2500 * time.Millisecond})
+//	tb := origin.NewTable(origin.Config{LapseGrace: 2500 * time.Millisecond})
 //	changed := tb.Put(now, up)
 //	changed = tb.Remove(now, id)
 //	dir := tb.Directory()
@@ -33,12 +33,12 @@
 // # Evacuation
 //
 // An operator may evacuate a data centre: after Table.Evacuate its servers get no new requests,
-// whatever their own entries say, until Table.Return.
+// whatever their own entries say, until Table.EndEvacuation.
 //
 // # Entries that lapse
 //
 // Entries can expire while the platform's store is unavailable, though their servers are
-// running. Table.Suspect begins a period in which the removal of an entry proves nothing. A
+// running. Table.StoreReturned begins a period in which the removal of an entry proves nothing. A
 // server whose entry is removed in this period stays usable until the period ends; a running
 // server has written its entry again by then. Only then is the server dropped.
 package origin
--- a/core/origin/table.go
+++ b/core/origin/table.go
@@ -7,10 +7,10 @@
 
 // Config configures a Table.
 type Config struct {
-	// Linger is how long after the end of a store outage a server whose entry was removed
+	// LapseGrace is how long after the end of a store outage a server whose entry was removed
 	// stays usable without a new entry.
 	LapseGrace time.Duration
-	// Forget is how long the sequence of a removed server is kept, so that an entry that
+	// TombstoneTTL is how long the sequence of a removed server is kept, so that an entry that
 	// arrives late cannot bring it back.
 	TombstoneTTL time.Duration
 }
@@ -54,14 +54,14 @@
 }
 
 // Evacuate marks a data centre: its servers, including those that are added later, get no new
-// requests until Return. It reports whether the data centre was not evacuated before.
+// requests until EndEvacuation. It reports whether the data centre was not evacuated before.
 func (tb *Table) Evacuate(dataCentre string) bool {
 	_, already := tb.evacuated[dataCentre]
 	tb.evacuated[dataCentre] = struct{}{}
 	return !already
 }
 
-// Return ends the evacuation of a data centre and reports whether it was in force. The
+// EndEvacuation ends the evacuation of a data centre and reports whether it was in force. The
 // servers count as cold from now for the warm-up time of their service: their own entries,
 // which say so, may arrive late.
 func (tb *Table) EndEvacuation(now time.Duration, dataCentre string, warmUp func(service string) time.Duration) bool {
@@ -169,8 +169,8 @@
 	}
 }
 
-// Suspect begins a suspect period after the store was unavailable until back: the removal of
-// an entry proves nothing until Linger has passed. Servers whose entries were removed in an
+// StoreReturned begins a suspect period after the store was unavailable until back: the removal of
+// an entry proves nothing until LapseGrace has passed. Servers whose entries were removed in an
 // earlier suspect period keep their deadline, or a server that left would be used as long as
 // outages keep recurring. Only deadlines that passed during the outage are extended.
 func (tb *Table) StoreReturned(back time.Duration) {
--- a/core/origin/upstream.go
+++ b/core/origin/upstream.go
@@ -7,7 +7,7 @@
 // of the earlier one do not apply to it.
 type Process struct {
 	ID string
-	// Born is its start time in milliseconds since 1970; 0 if unknown.
+	// StartMs is its start time in milliseconds since 1970; 0 if unknown.
 	StartMs int64
 	Addr    string
 }
@@ -16,7 +16,7 @@
 type Upstream struct {
 	// ID identifies the server.
 	ID string
-	// Born is the start time of the process in milliseconds since 1970; 0 if unknown.
+	// StartMs is the start time of the process in milliseconds since 1970; 0 if unknown.
 	StartMs int64
 	Service string
 	// Addr is host and port. Another server may have used it before.
@@ -28,11 +28,11 @@
 	Leaving bool
 	// Evacuated is set while an operator has its data centre evacuated.
 	Evacuated bool
-	// WarmFor is how much longer the server stays cold, counted from when its entry was
+	// ColdFor is how much longer the server stays cold, counted from when its entry was
 	// written.
 	ColdFor time.Duration
-	// ColdFrom and ColdUntil are times on the clock of the table that holds the server: it is
-	// cold until ColdUntil, and before ColdFrom other VMs that do not know this yet may still
+	// ColdKnownFrom and ColdUntil are times on the clock of the table that holds the server: it is
+	// cold until ColdUntil, and before ColdKnownFrom other VMs that do not know this yet may still
 	// send to it. Both are 0 if it is warm.
 	ColdKnownFrom, ColdUntil time.Duration
 	// Sequence increases with every entry that the process writes.
@@ -65,7 +65,7 @@
 	return &changed
 }
 
-// WithCold returns a copy of the server that is cold; see ColdFrom and ColdUntil.
+// WithCold returns a copy of the server that is cold; see ColdKnownFrom and ColdUntil.
 func (up *Upstream) WithCold(from, until time.Duration) *Upstream {
 	changed := *up
 	changed.ColdKnownFrom, changed.ColdUntil = from, until
@@ -75,7 +75,7 @@
 // Cold reports whether the server still warms up.
 func (up *Upstream) Cold(now time.Duration) bool { return now < up.ColdUntil }
 
-// Takes reports whether the server may get new requests.
+// Accepting reports whether the server may get new requests.
 func (up *Upstream) Accepting() bool { return !up.Leaving && !up.Evacuated }
 
 // Directory is an immutable set of servers.
@@ -97,7 +97,7 @@
 	return dir
 }
 
-// Of lists the servers of a service, including those that are leaving. The caller must not
+// OfService lists the servers of a service, including those that are leaving. The caller must not
 // modify the list.
 func (dir *Directory) OfService(service string) []*Upstream { return dir.byService[service] }
 
--- a/core/peak/peak.go
+++ b/core/peak/peak.go
@@ -3,8 +3,8 @@
 // # Usage
 //
 //	pk := peak.Peak{Span: 10 * time.Second}
-//	pk.Note(now, busy)
-//	keep := pk.Most(now)
+//	pk.Record(now, busy)
+//	keep := pk.Max(now)
 package peak
 
 import "time"
@@ -20,13 +20,13 @@
 	currentSince      time.Duration
 }
 
-// Note records a value of the gauge.
+// Record adds a value of the gauge.
 func (pk *Peak) Record(now time.Duration, n int) {
 	pk.rotate(now)
 	pk.current = max(pk.current, n)
 }
 
-// Most returns the maximum of the recorded values in the window.
+// Max returns the maximum of the recorded values in the window.
 func (pk *Peak) Max(now time.Duration) int {
 	pk.rotate(now)
 	return max(pk.current, pk.previous)
--- a/core/pick/table.go
+++ b/core/pick/table.go
@@ -41,7 +41,7 @@
 
 // Results of a sub-request.
 const (
-	// Nothing: it never reached the server, or was abandoned.
+	// NoResult: it never reached the server, or was abandoned.
 	NoResult Result = iota
 	// Replied: the server executed the sub-request.
 	Replied
@@ -193,7 +193,7 @@
 	return time.Duration(tb.stats(id).latency.Load())
 }
 
-// Sick reports whether a server failed most recent sub-requests.
+// Failing reports whether a server failed most recent sub-requests.
 func (tb *Table) Failing(id view.ServerID) bool {
 	return tb.stats(id).failing()
 }
--- a/core/plan/forward.go
+++ b/core/plan/forward.go
@@ -29,7 +29,7 @@
 	largeVMShare = 0.75
 )
 
-// Homes lists the VMs to which this VM should forward a request, as Upstreams with their
+// ForwardTargets lists the VMs to which this VM should forward a request, as Upstreams with their
 // inner addresses as ID and Addr. It is empty if this VM should handle the request itself. A
 // request that must not run twice is never forwarded, since the failure of a forwarding VM
 // would leave unknown whether the request ran. The caller must not modify the list.
@@ -168,7 +168,7 @@
 	return colocated
 }
 
-// ExtraPart returns this VM's share of the extra attempts (beyond first attempts) that all
+// ExtraShare returns this VM's share of the extra attempts (beyond first attempts) that all
 // VMs together may send, 0 to 1.
 func (vw *View) ExtraShare() float64 {
 	anyLarge, self := vw.Large()
--- a/core/plan/local.go
+++ b/core/plan/local.go
@@ -2,7 +2,7 @@
 
 import "laburnumvane/core/route"
 
-// ServesAlone reports whether the servers of this VM's own data centre suffice for the
+// LocalServersSuffice reports whether the servers of this VM's own data centre suffice for the
 // minimum coverage of every route that gathers from shards. It is true while no routes are
 // known.
 func (vw *View) LocalServersSuffice() bool {
@@ -17,7 +17,7 @@
 	return true
 }
 
-// ServesNear reports whether the servers of this VM's own data centre suffice to answer
+// LocalServersSufficeFor reports whether the servers of this VM's own data centre suffice to answer
 // requests of a route: at least the minimum number of shards of a gather, or all services of
 // a split.
 func (vw *View) LocalServersSufficeFor(rt *route.Route) bool {
--- a/core/plan/region.go
+++ b/core/plan/region.go
@@ -13,7 +13,7 @@
 	return rt.Allows(vw.cfg.Regions[dataCentre])
 }
 
-// Within returns those of the given servers or VMs to which requests of a route may go. The
+// FilterByRegion returns those of the given servers or VMs to which requests of a route may go. The
 // caller must not modify the list.
 func (vw *View) FilterByRegion(rt *route.Route, ups []*origin.Upstream) []*origin.Upstream {
 	if len(rt.Regions) == 0 {
--- a/core/plan/view.go
+++ b/core/plan/view.go
@@ -43,9 +43,9 @@
 
 // Limits is this VM's share of the connections to a server.
 type Limits struct {
-	// Warm is how many are kept open without demand.
+	// Idle is how many are kept open without demand.
 	Idle int
-	// Most is the maximum.
+	// Max is how many may be open.
 	Max int
 }
 
@@ -144,7 +144,7 @@
 // Upstreams returns the directory of all servers.
 func (vw *View) Upstreams() *origin.Directory { return vw.cfg.Upstreams }
 
-// FarVMs returns at most n random VMs of other data centres, from different data centres as
+// RemoteVMs returns at most n random VMs of other data centres, from different data centres as
 // far as possible: if one data centre is cut off, the answers must not depend on its VMs
 // alone. draw returns a uniform random number in [0, 1).
 func (vw *View) RemoteVMs(n int, draw func() float64) []rank.VM {
--- a/core/plan/warming.go
+++ b/core/plan/warming.go
@@ -15,7 +15,7 @@
 // Warming describes how requests may be sent to a server that warms up and can serve only a
 // limited rate until then.
 type Warming struct {
-	// Most is how many requests all VMs together may send to it within any second.
+	// MaxPerSecond is how many requests all VMs together may send to it within any second.
 	MaxPerSecond int
 	// Owner is the VM that sends all of these requests, as an Upstream with its inner address
 	// as ID and Addr. Self is set if this VM is the owner.
@@ -23,7 +23,7 @@
 	Self  bool
 }
 
-// Warms reports whether a service limits the requests to a warming server and has a server
+// HasWarming reports whether a service limits the requests to a warming server and has a server
 // that warms up, or did so when its last entry was written.
 func (vw *View) HasWarming(service string) bool { return vw.warming[service] }
 
@@ -42,13 +42,13 @@
 	}, true
 }
 
-// WarmsUp reports whether a server warms up and has a bound. Unlike Warming it does not
+// IsWarming reports whether a server warms up and has a bound. Unlike Warming it does not
 // compute the owner.
 func (vw *View) IsWarming(now time.Duration, up *origin.Upstream) bool {
 	return up.Cold(now) && vw.warming[up.Service]
 }
 
-// Bounds reports whether the requests to a service's servers are limited while they warm up.
+// LimitsWarmUp reports whether the requests to a service's servers are limited while they warm up.
 func (vw *View) LimitsWarmUp(service string) bool {
 	if vw.cfg.Routes == nil {
 		return false
@@ -57,15 +57,15 @@
 	return ok && sv.WarmUpRate > 0
 }
 
-// BlindServes reports whether a VM that does not know which servers are cold (see
-// ramp.Gate.Blind) may take requests of a route: none of the route's services limits the
+// ServesWithStaleState reports whether a VM that does not know which servers are cold (see
+// warmup.Limiter.Stale) may take requests of a route: none of the route's services limits the
 // requests to cold servers.
 func (vw *View) ServesWithStaleState(rt *route.Route) bool {
 	return !slices.ContainsFunc(rt.Services(), vw.LimitsWarmUp)
 }
 
-// BlindMatters reports whether it matters that this VM may not know which servers are cold
-// (see ramp.Gate.Blind): some service limits the requests to cold servers, and there are VMs
+// StaleStateMatters reports whether it matters that this VM may not know which servers are cold
+// (see warmup.Limiter.Stale): some service limits the requests to cold servers, and there are VMs
 // in other data centres that may know more.
 func (vw *View) StaleStateMatters() bool {
 	return vw.cfg.Routes != nil && vw.cfg.Routes.LimitsWarmUp() && len(vw.fleet.byDataCentre) > 1
--- a/core/poison/fingerprint.go
+++ b/core/poison/fingerprint.go
@@ -39,8 +39,8 @@
 // tracingPrefix is the common prefix of further tracing headers.
 const tracingPrefix = "x-b3-"
 
-// Of returns the fingerprint of a request. It is a cryptographic hash, so that nobody can
-// construct a request with the fingerprint of another caller's.
+// FingerprintOf returns the fingerprint of a request. It is a cryptographic hash, so that nobody
+// can construct a request with the fingerprint of another caller's.
 func FingerprintOf(rq Request) Fingerprint {
 	ha := sha256.New()
 	writeText := func(text string) {
--- a/core/poison/word.go
+++ b/core/poison/hint.go
@@ -13,8 +13,8 @@
 
 var errHintLength = errors.New("record truncated or too long")
 
-// Word returns the compact encoding. Further names, and names that are too long, are left out;
-// other VMs get them through the store.
+// EncodeHint returns the compact encoding. Further names, and names that are too long, are left
+// out; other VMs get them through the store.
 func (rd Record) EncodeHint() string {
 	out := append([]byte(nil), rd.Fingerprint[:]...)
 	for n, name := range rd.Trials {
@@ -27,7 +27,7 @@
 	return string(out)
 }
 
-// ParseWord parses the result of Word.
+// ParseHint parses the result of EncodeHint.
 func ParseHint(word string) (Record, error) {
 	var rd Record
 	if len(word) < len(rd.Fingerprint) {
--- a/core/poison/record.go
+++ b/core/poison/record.go
@@ -34,7 +34,7 @@
 	Fingerprint Fingerprint
 	// Trials names the server processes that crashed during trials of the request.
 	Trials []string
-	// Ends counts the servers that crashed under the request, and Repeats those that crashed
+	// Crashes counts the servers that crashed under the request, and RepeatCrashes those that crashed
 	// during a trial at least a second after the previous one that counted.
 	Crashes       int
 	RepeatCrashes int
--- a/core/poison/sim_arrival_test.go
+++ b/core/poison/sim_arrival_test.go
@@ -35,13 +35,13 @@
 
 // Pick prefers the nearby replica, as VMs of one data centre do. For a trial it avoids servers on
 // which another request is tried.
-func (ar *simArrival) Pick(_ time.Duration, ask fanout.PickRequest) (*origin.Upstream, bool) {
-	if ask.Trial {
-		if up, ok := ar.pick(ask.Shard, ask.Tried, true); ok {
+func (ar *simArrival) Pick(_ time.Duration, rq fanout.PickRequest) (*origin.Upstream, bool) {
+	if rq.Trial {
+		if up, ok := ar.pick(rq.Shard, rq.Tried, true); ok {
 			return up, true
 		}
 	}
-	return ar.pick(ask.Shard, ask.Tried, false)
+	return ar.pick(rq.Shard, rq.Tried, false)
 }
 
 func (ar *simArrival) pick(shard int, tried []*origin.Upstream, exclusive bool) (*origin.Upstream, bool) {
--- a/core/poison/table.go
+++ b/core/poison/table.go
@@ -20,7 +20,7 @@
 	// same servers is answered in the meantime.
 	blockRepeatCrashes = 2
 	minRepeatInterval  = time.Second
-	// BlockFor is for how long a blocked request must not arrive before it is tried again.
+	// BlockDuration is for how long a blocked request must not arrive before it is tried again.
 	BlockDuration = 10 * time.Minute
 	// recordTTL is how long a request is remembered after it last arrived.
 	recordTTL = 30 * time.Minute
@@ -112,7 +112,7 @@
 	return st, refresh
 }
 
-// Broken records that a server ended the connection of an attempt.
+// RecordBroken records that a server ended the connection of an attempt.
 func (tb *Table) RecordBroken(now time.Duration, fp Fingerprint, pr origin.Process, kind TrialKind) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// Ended records that a server's process has ended, which confirms that the attempts whose
+// RecordServerEnd records that a server's process has ended, which confirms that the attempts whose
 // connections broke were not hit by a mere connection failure.
 func (tb *Table) RecordServerEnd(now time.Duration, pr origin.Process) []Update {
 	tb.mu.Lock()
@@ -163,8 +163,8 @@
 	return append(ups, up)
 }
 
-// Answered records that a server answered a request, so it does not crash servers. The update is
-// to be shared if other VMs were informed before; known is false if there was nothing to clear.
+// RecordAnswer records that a server answered a request, so it does not crash servers. The update
+// is to be shared if other VMs were informed before; known is false if there was nothing to clear.
 func (tb *Table) RecordAnswer(now time.Duration, fp Fingerprint) (up Update, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -181,7 +181,7 @@
 	return up, up.Crashes > 0 || up.Share
 }
 
-// Unserved records that an arrival of a request ended without an answer from any server.
+// RecordUnserved records that an arrival of a request ended without an answer from any server.
 func (tb *Table) RecordUnserved(now time.Duration, fp Fingerprint) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -221,7 +221,7 @@
 	return ok && re.state(now) == Blocked
 }
 
-// Learn merges another VM's record into this one's.
+// Merge merges another VM's record into this one's.
 func (tb *Table) Merge(now time.Duration, rd Record) []Update {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -232,7 +232,7 @@
 	return append(tb.attributeAll(now, rd, re), tb.update(now, rd.Fingerprint, re))
 }
 
-// Release lifts the block of a request, after an operator removed its entry or it expired. The
+// Unblock lifts the block of a request, after an operator removed its entry or it expired. The
 // request is suspect when it arrives again, and one more crash blocks it.
 func (tb *Table) Unblock(now time.Duration, fp Fingerprint) (Update, bool) {
 	tb.mu.Lock()
--- a/core/poison/trial.go
+++ b/core/poison/trial.go
@@ -22,12 +22,12 @@
 	overlapped bool
 }
 
-// Place is how a request ran on a server.
+// TrialKind is how a request ran on a server.
 type TrialKind uint8
 
 // Kinds of runs.
 const (
-	// Among: not a trial; it ran beside other requests.
+	// NotTrial: not a trial; it ran beside other requests.
 	NotTrial TrialKind = iota
 	// SharedTrial: a trial during which another request was tried on the server too.
 	SharedTrial
@@ -67,7 +67,7 @@
 	return ExclusiveTrial
 }
 
-// OnTrial reports whether a request is being tried on a server.
+// HasTrial reports whether a request is being tried on a server.
 func (tb *Table) HasTrial(pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/core/queue/queue.go
+++ b/core/queue/queue.go
@@ -2,10 +2,10 @@
 //
 // # Usage
 //
-//	var li queue.Line[*call]
-//	li.Push(priority, ca)
-//	ca, ok := li.Pop()
-//	li.Remove(ca)
+//	var qu queue.Queue[*call]
+//	qu.Push(priority, ca)
+//	ca, ok := qu.Pop()
+//	qu.Remove(ca)
 //
 // Among values of the best priority, the newest goes first. Under overload, the callers that have
 // waited longest gain least from an answer: first in, first out would make all answers late,
@@ -13,7 +13,7 @@
 // its wait by removing its value from the queue.
 package queue
 
-// Line is the queue of waiting values. The zero value is empty. It is not safe for concurrent use.
+// Queue is the queue of waiting values. The zero value is empty. It is not safe for concurrent use.
 type Queue[T comparable] struct {
 	// OldestFirst makes the oldest value of a priority go first.
 	OldestFirst bool
@@ -27,33 +27,33 @@
 }
 
 // Push adds a value; a lower priority number goes first.
-func (li *Queue[T]) Push(priority int, value T) {
-	li.items = append(li.items, item[T]{priority: priority, value: value})
+func (qu *Queue[T]) Push(priority int, value T) {
+	qu.items = append(qu.items, item[T]{priority: priority, value: value})
 }
 
 // Pop removes and returns the value that goes first; ok is false if the queue is empty.
-func (li *Queue[T]) Pop() (T, bool) {
+func (qu *Queue[T]) Pop() (T, bool) {
 	var zero T
-	if len(li.items) == 0 {
+	if len(qu.items) == 0 {
 		return zero, false
 	}
-	best := len(li.items) - 1
+	best := len(qu.items) - 1
 	for i := best - 1; i >= 0; i-- {
-		older, newest := li.items[i].priority, li.items[best].priority
-		if older < newest || li.OldestFirst && older == newest {
+		older, newest := qu.items[i].priority, qu.items[best].priority
+		if older < newest || qu.OldestFirst && older == newest {
 			best = i
 		}
 	}
-	value := li.items[best].value
-	li.removeAt(best)
+	value := qu.items[best].value
+	qu.removeAt(best)
 	return value, true
 }
 
 // Remove removes a value and reports whether it was in the queue.
-func (li *Queue[T]) Remove(value T) bool {
-	for i := range li.items {
-		if li.items[i].value == value {
-			li.removeAt(i)
+func (qu *Queue[T]) Remove(value T) bool {
+	for i := range qu.items {
+		if qu.items[i].value == value {
+			qu.removeAt(i)
 			return true
 		}
 	}
@@ -61,20 +61,20 @@
 }
 
 // Drain removes and returns all values, oldest first.
-func (li *Queue[T]) Drain() []T {
-	values := make([]T, len(li.items))
-	for i := range li.items {
-		values[i] = li.items[i].value
+func (qu *Queue[T]) Drain() []T {
+	values := make([]T, len(qu.items))
+	for i := range qu.items {
+		values[i] = qu.items[i].value
 	}
-	li.items = nil
+	qu.items = nil
 	return values
 }
 
 // Len returns the number of waiting values.
-func (li *Queue[T]) Len() int { return len(li.items) }
+func (qu *Queue[T]) Len() int { return len(qu.items) }
 
-func (li *Queue[T]) removeAt(i int) {
-	copy(li.items[i:], li.items[i+1:])
-	li.items[len(li.items)-1] = item[T]{}
-	li.items = li.items[:len(li.items)-1]
+func (qu *Queue[T]) removeAt(i int) {
+	copy(qu.items[i:], qu.items[i+1:])
+	qu.items[len(qu.items)-1] = item[T]{}
+	qu.items = qu.items[:len(qu.items)-1]
 }
--- a/core/queue/queue_test.go
+++ b/core/queue/queue_test.go
@@ -26,17 +26,17 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			var li queue.Queue[string]
+			var qu queue.Queue[string]
 			for _, pu := range tc.pushes {
-				li.Push(pu.priority, pu.value)
+				qu.Push(pu.priority, pu.value)
 			}
-			is.Equal(li.Len(), len(tc.pushes))
+			is.Equal(qu.Len(), len(tc.pushes))
 			for _, want := range tc.want {
-				got, ok := li.Pop()
+				got, ok := qu.Pop()
 				is.True(ok)
 				is.Equal(got, want)
 			}
-			_, ok := li.Pop()
+			_, ok := qu.Pop()
 			is.True(!ok)
 		})
 	}
@@ -44,12 +44,12 @@
 
 func TestRemoveAndDrain(t *testing.T) {
 	is := is.New(t)
-	var li queue.Queue[string]
+	var qu queue.Queue[string]
 	for _, value := range []string{"a", "b", "c"} {
-		li.Push(0, value)
+		qu.Push(0, value)
 	}
-	is.True(li.Remove("b"))
-	is.True(!li.Remove("b"))
-	is.Equal(li.Drain(), []string{"a", "c"})
-	is.Equal(li.Len(), 0)
+	is.True(qu.Remove("b"))
+	is.True(!qu.Remove("b"))
+	is.Equal(qu.Drain(), []string{"a", "c"})
+	is.Equal(qu.Len(), 0)
 }
--- a/core/rank/rank.go
+++ b/core/rank/rank.go
@@ -6,7 +6,7 @@
 // # Usage
 //
 //	tb := rank.New(rank.Config{Self: self, VMs: vms})
-//	if tb.Watches() { ... }
+//	if tb.IsWatcher() { ... }
 //	for _, vm := range tb.Children("east", changeID, tb.Self().Addr) { ... }
 //
 // A VM that joins or leaves moves only its own duties: the order of the others does not
@@ -131,7 +131,7 @@
 // list.
 func (tb *Table) DataCentres() []string { return tb.dataCentres }
 
-// Members lists the VMs of a data centre. The caller must not modify the list.
+// VMs lists the VMs of a data centre. The caller must not modify the list.
 func (tb *Table) VMs(dataCentre string) []VM { return tb.byDataCentre[dataCentre] }
 
 // Ranked lists the VMs of a data centre in the order in which they are chosen for watching
@@ -140,7 +140,7 @@
 	return Order(tb.byDataCentre[dataCentre], watchSalt)
 }
 
-// Watches reports whether this VM has to watch the key-value service and to relay between its
+// IsWatcher reports whether this VM has to watch the key-value service and to relay between its
 // data centre and the others.
 func (tb *Table) IsWatcher() bool { return tb.watches }
 
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -3,8 +3,8 @@
 //
 // # Usage
 //
-//	ju := reach.New(reach.Config{})
-//	cutOff := ju.Look(now, reach.Sight{Silence: silence, Asked: asked, Unserved: unserved})
+//	de := reach.New(reach.Config{})
+//	cutOff := de.Update(now, reach.Observation{Silence: silence, Requests: asked, Unserved: unserved})
 //
 // # Why
 //
@@ -49,8 +49,8 @@
 	// not send clients elsewhere.
 	DefaultIdleSilence = 1600 * time.Millisecond
 	// DefaultMinOwed is how many answers from other data centres must be overdue or lost,
-	// with none received meanwhile, for the shorter DefaultSoon to suffice as silence.
-	// DefaultSoon exceeds the pauses of a server and of this VM's own processor, and is short
+	// with none received meanwhile, for the shorter DefaultShortSilence to suffice as silence.
+	// DefaultShortSilence exceeds the pauses of a server and of this VM's own processor, and is short
 	// compared with the time that the balancer takes to send clients elsewhere. A VM with
 	// twenty requests a second over ten shards has that many answers overdue within it. Since
 	// faulty servers could be the cause of all of them, VMs in other data centres are probed
@@ -66,7 +66,8 @@
 	DefaultInterval    = 500 * time.Millisecond
 )
 
-// Config configures a Judge. Fields that are 0 take the defaults; their comments describe the fields.
+// Config configures a Detector. Fields that are 0 take the defaults; their comments describe the
+// fields.
 type Config struct {
 	Silence      time.Duration
 	IdleSilence  time.Duration
@@ -78,25 +79,25 @@
 	Interval    time.Duration
 }
 
-// Sight is what a VM observes at one moment.
+// Observation is what a VM observes at one moment.
 type Observation struct {
 	// Silence is the time since anything was received from outside the data centre.
 	Silence time.Duration
-	// Owed is how many answers from other data centres are overdue or were lost since one was
-	// received. Mute is set if VMs there were probed during the silence and none answered.
+	// Overdue is how many answers from other data centres are overdue or were lost since one was
+	// received. ProbesFailed is set if VMs there were probed during the silence and none answered.
 	Overdue      int
 	ProbesFailed bool
-	// Told is set if another VM of the data centre has recently reported proof that the data
+	// CutReported is set if another VM of the data centre has recently reported proof that the data
 	// centre is cut off.
 	CutReported bool
-	// Asked counts all requests since the start, Unserved those of them that were not served.
+	// Requests counts all requests since the start, Unserved those of them that were not served.
 	Requests, Unserved int64
-	// Lacking is set if the servers of this VM's data centre do not suffice for some route,
+	// LocalInsufficient is set if the servers of this VM's data centre do not suffice for some route,
 	// whether it has requests or not.
 	LocalInsufficient bool
 }
 
-// Judge decides from successive observations whether a VM is cut off. It is not safe for
+// Detector decides from successive observations whether a VM is cut off. It is not safe for
 // concurrent use.
 type Detector struct {
 	cfg      Config
@@ -106,7 +107,7 @@
 	cutOff   bool
 }
 
-// New returns the Judge of a VM that is not cut off.
+// New returns the Detector of a VM that is not cut off.
 func New(cfg Config) *Detector {
 	if cfg.Silence == 0 {
 		cfg.Silence = DefaultSilence
@@ -132,27 +133,27 @@
 	return &Detector{cfg: cfg}
 }
 
-// Look reports whether the VM is cut off. While it is, it gets few requests and its state is
-// kept until something is received from outside the data centre again.
-func (ju *Detector) Update(now time.Duration, si Observation) bool {
-	requests, failed := si.Requests-ju.baseline.Requests, si.Unserved-ju.baseline.Unserved
-	if now >= ju.countAt && requests >= ju.cfg.MinRequests {
-		ju.failing = float64(failed) >= ju.cfg.FailedShare*float64(requests)
-		ju.baseline, ju.countAt = si, now+ju.cfg.Interval
+// Update evaluates an observation and reports whether the VM is cut off. While it is, it gets few
+// requests and its state is kept until something is received from outside the data centre again.
+func (de *Detector) Update(now time.Duration, ob Observation) bool {
+	requests, failed := ob.Requests-de.baseline.Requests, ob.Unserved-de.baseline.Unserved
+	if now >= de.countAt && requests >= de.cfg.MinRequests {
+		de.failing = float64(failed) >= de.cfg.FailedShare*float64(requests)
+		de.baseline, de.countAt = ob, now+de.cfg.Interval
 	}
-	proven := si.ProbesFailed && ju.ShouldProbe(si)
-	silent := proven || si.Silence > ju.cfg.Silence || ju.cutOff && si.Silence > ju.cfg.ShortSilence
-	idle := si.LocalInsufficient && (proven || si.Silence > ju.cfg.IdleSilence)
-	ju.cutOff = silent && (ju.failing || ju.cutOff || idle)
-	return ju.cutOff
+	proven := ob.ProbesFailed && de.ShouldProbe(ob)
+	silent := proven || ob.Silence > de.cfg.Silence || de.cutOff && ob.Silence > de.cfg.ShortSilence
+	idle := ob.LocalInsufficient && (proven || ob.Silence > de.cfg.IdleSilence)
+	de.cutOff = silent && (de.failing || de.cutOff || idle)
+	return de.cutOff
 }
 
-// Doubts reports whether VMs of other data centres should be probed: more answers are overdue
+// ShouldProbe reports whether VMs of other data centres should be probed: more answers are overdue
 // than chance explains, or another VM of this data centre reports a cut. The other VM may be
 // at fault itself, so its report alone proves nothing.
-func (ju *Detector) ShouldProbe(si Observation) bool {
-	return si.Silence > ju.cfg.ShortSilence && (si.Overdue >= ju.cfg.MinOwed || si.CutReported)
+func (de *Detector) ShouldProbe(ob Observation) bool {
+	return ob.Silence > de.cfg.ShortSilence && (ob.Overdue >= de.cfg.MinOwed || ob.CutReported)
 }
 
 // Failing reports whether too many of the recent requests were not served.
-func (ju *Detector) Failing() bool { return ju.failing }
+func (de *Detector) Failing() bool { return de.failing }
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -11,13 +11,13 @@
 
 const (
 	ms = time.Millisecond
-	// tick is the interval between calls of Look.
+	// tick is the interval between calls of Update.
 	tick = 250 * ms
 )
 
 // simVM is a simulated VM. It gets forty requests a second unless perTick is changed.
 type simVM struct {
-	judge    *reach.Detector
+	detector *reach.Detector
 	now      time.Duration
 	requests int64
 	unserved int64
@@ -38,14 +38,14 @@
 		if hears {
 			v.lastHeard = v.now
 		}
-		if v.judge.Update(v.now, reach.Observation{Silence: v.now - v.lastHeard, Requests: v.requests, Unserved: v.unserved, LocalInsufficient: v.lacking}) && found < 0 {
+		if v.detector.Update(v.now, reach.Observation{Silence: v.now - v.lastHeard, Requests: v.requests, Unserved: v.unserved, LocalInsufficient: v.lacking}) && found < 0 {
 			found = v.now
 		}
 	}
 	return found
 }
 
-func newSimVM() *simVM { return &simVM{judge: reach.New(reach.Config{}), perTick: 10} }
+func newSimVM() *simVM { return &simVM{detector: reach.New(reach.Config{}), perTick: 10} }
 
 // A data centre is cut off while its clients still reach it. In the first second their
 // requests run into deadlines or are refused for lack of capacity. The cut must be detected
@@ -129,13 +129,13 @@
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			ju := reach.New(reach.Config{})
+			de := reach.New(reach.Config{})
 			found := time.Duration(0)
 			for now := time.Duration(0); now < 1700*ms && found == 0; now += 50 * ms {
-				si := reach.Observation{Silence: now, Overdue: int(now/ms) / tc.everyMs, LocalInsufficient: tc.lacking}
-				// Probes are sent once Doubts is true and need some time.
-				si.ProbesFailed = tc.mute && ju.ShouldProbe(reach.Observation{Silence: now - 50*ms, Overdue: si.Overdue})
-				if ju.Update(now, si) {
+				ob := reach.Observation{Silence: now, Overdue: int(now/ms) / tc.everyMs, LocalInsufficient: tc.lacking}
+				// Probes are sent once ShouldProbe is true and need some time.
+				ob.ProbesFailed = tc.mute && de.ShouldProbe(reach.Observation{Silence: now - 50*ms, Overdue: ob.Overdue})
+				if de.Update(now, ob) {
 					found = now
 				}
 			}
@@ -146,8 +146,8 @@
 			is.True(found > 0 && found <= tc.within)
 			// The VM stays cut off until something is received, also when no further answers
 			// become overdue.
-			is.True(ju.Update(found+50*ms, reach.Observation{Silence: found + 50*ms, LocalInsufficient: tc.lacking}))
-			is.True(!ju.Update(found+time.Second, reach.Observation{Silence: 20 * ms, LocalInsufficient: tc.lacking}))
+			is.True(de.Update(found+50*ms, reach.Observation{Silence: found + 50*ms, LocalInsufficient: tc.lacking}))
+			is.True(!de.Update(found+time.Second, reach.Observation{Silence: 20 * ms, LocalInsufficient: tc.lacking}))
 		})
 	}
 }
--- a/core/reach/told_test.go
+++ b/core/reach/report_test.go
@@ -41,29 +41,29 @@
 		look         = 50 * ms
 		probeTime    = 150 * ms
 	)
-	judges := make([]*reach.Detector, vms)
+	detectors := make([]*reach.Detector, vms)
 	found := make([]time.Duration, vms)
 	probedAt := make([]time.Duration, vms)
-	for i := range judges {
-		judges[i] = reach.New(reach.Config{})
+	for i := range detectors {
+		detectors[i] = reach.New(reach.Config{})
 	}
 	for now := look; slices.Contains(found, 0); now += look {
-		for i, ju := range judges {
+		for i, de := range detectors {
 			// VM 0 is the first VM. It gets reports from the VMs with overdue answers; all
 			// others get them from it.
 			source := found[0]
 			if i == 0 || mode == relaysReports {
 				source = earliestPositive(found[vms-overdue:])
 			}
-			si := reach.Observation{Silence: now, LocalInsufficient: true, CutReported: mode != reportsNothing && source > 0 && source < now}
+			ob := reach.Observation{Silence: now, LocalInsufficient: true, CutReported: mode != reportsNothing && source > 0 && source < now}
 			if i >= vms-overdue {
-				si.Overdue = int(now / (20 * ms))
+				ob.Overdue = int(now / (20 * ms))
 			}
-			if ju.ShouldProbe(si) && probedAt[i] == 0 {
+			if de.ShouldProbe(ob) && probedAt[i] == 0 {
 				probedAt[i] = now
 			}
-			si.ProbesFailed = probedAt[i] > 0 && now >= probedAt[i]+probeTime
-			if ju.Update(now, si) && found[i] == 0 {
+			ob.ProbesFailed = probedAt[i] > 0 && now >= probedAt[i]+probeTime
+			if de.Update(now, ob) && found[i] == 0 {
 				found[i] = now
 			}
 		}
@@ -97,9 +97,9 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			ju := reach.New(reach.Config{})
-			si := reach.Observation{Silence: tc.silence, LocalInsufficient: true, CutReported: true, ProbesFailed: tc.mute}
-			is.New(t).Equal(ju.Update(time.Second, si), tc.off)
+			de := reach.New(reach.Config{})
+			ob := reach.Observation{Silence: tc.silence, LocalInsufficient: true, CutReported: true, ProbesFailed: tc.mute}
+			is.New(t).Equal(de.Update(time.Second, ob), tc.off)
 		})
 	}
 }
