--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -2,7 +2,7 @@
 //
 // # Usage
 //
-//	backoff := retry.Backoff{First: 300 * time.Millisecond, Most: 1500 * time.Millisecond, Jitter: 0.5}
+//	backoff := retry.Backoff{Initial: 300 * time.Millisecond, Max: 1500 * time.Millisecond, Jitter: 0.5}
 //	wait := backoff.Wait(fails, rnd.Float64())
 //
 // The wait doubles with each consecutive failure. Jitter only lengthens it: VMs whose attempts
@@ -16,7 +16,7 @@
 
 // Backoff computes the waits between attempts. It is a value without state.
 type Backoff struct {
-	// First is the wait after the first failure, Most the maximum; both without jitter.
+	// Initial is the wait after the first failure, Max the maximum; both without jitter.
 	Initial, Max time.Duration
 	// Jitter is the largest share of a wait that is added to it.
 	Jitter float64
--- a/core/route/table.go
+++ b/core/route/table.go
@@ -23,9 +23,9 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
-	// RequestTime is the maximum time for a request's header to arrive.
+	// HeaderTimeout is the maximum time for a request's header to arrive.
 	HeaderTimeout time.Duration
-	// IdleTime is how long a client's connection is kept open between requests.
+	// IdleTimeout is how long a client's connection is kept open between requests.
 	IdleTimeout time.Duration
 }
 
@@ -110,7 +110,7 @@
 // if there are none.
 func (tb *Table) BestPriority() int { return tb.bestPriority }
 
-// WarmUpBounds reports whether some service limits the requests to its servers while they
+// LimitsWarmUp reports whether some service limits the requests to its servers while they
 // warm up.
 func (tb *Table) LimitsWarmUp() bool { return tb.boundsWarmUp }
 
--- a/core/search/config.go
+++ b/core/search/config.go
@@ -27,19 +27,19 @@
 // Config configures one search. All fields are required except Newer and those
 // whose comment names a value that turns them off.
 type Config struct {
-	// Number identifies the search; it is unique for the life of the process.
+	// ID identifies the search; it is unique for the life of the process.
 	ID uint64
 	// Snapshot is the pinned snapshot: the one that shards are asked for.
 	Snapshot view.Snapshot
 	// Newer returns a complete snapshot newer than version, for a restart; false
 	// if none is known.
 	Newer func(version uint64) (view.Snapshot, bool)
-	// Soft is the time at which an answer with at least MinCoverage is given.
-	// Hard is the time at which an answer is given whatever its coverage.
+	// SoftDeadline is the time at which an answer with at least MinCoverage is given.
+	// HardDeadline is the time at which an answer is given whatever its coverage.
 	SoftDeadline time.Duration
 	HardDeadline time.Duration
 	MinCoverage  float64
-	// Once forbids any shard to run the search twice.
+	// AtMostOnce forbids any shard to run the search twice.
 	AtMostOnce bool
 	HitLimit   int
 	Chooser    Chooser
@@ -56,7 +56,7 @@
 	// cost a server work. Retries after attempts that cost nothing are limited
 	// by the number of replicas.
 	RetryPerShard int
-	// LeastTime is the time that must remain until Hard for a sub-request to be
+	// MinTimeLeft is the time that must remain until HardDeadline for a sub-request to be
 	// sent: with less, its reply could not arrive before the deadline.
 	MinTimeLeft time.Duration
 }
--- a/core/search/event.go
+++ b/core/search/event.go
@@ -10,7 +10,7 @@
 
 // SubID identifies one sub-request; it is unique for the life of the process.
 type SubID struct {
-	// Search is Config.Number of its search.
+	// Search is Config.ID of its search.
 	Search uint64
 	// Attempt is the index of the sub-request within its search, from 0.
 	Attempt uint32
--- a/core/search/internal/qsim/config.go
+++ b/core/search/internal/qsim/config.go
@@ -111,7 +111,7 @@
 	RetryShare float64
 	RetryBurst float64
 	// HedgeRounds and RetryRounds make the bursts grow with the number of
-	// shards (see budget.Config.Rounds).
+	// shards (see budget.Config.BurstPerPrimary).
 	HedgeRounds float64
 	RetryRounds float64
 }
--- a/core/server/doc.go
+++ b/core/server/doc.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	tb := server.New(server.Config{Rand: rnd, Last: mp.Last})
+//	tb := server.New(server.Config{Rand: rnd, IsLastReplica: mp.IsLastReplica})
 //	tb.Add(id, "10.0.0.7:9000")
 //	for _, ac := range tb.Step(now, id, server.Event{Kind: server.Reply, Incarnation: 7, Good: 1}) {
 //		// publish, probe or spread
--- a/core/server/event.go
+++ b/core/server/event.go
@@ -23,7 +23,7 @@
 	Wake
 )
 
-// Says is the state that a server reports of itself.
+// ReportedState is the state that a server reports of itself.
 type ReportedState uint8
 
 // States that a server can report.
@@ -100,11 +100,11 @@
 	Publish ActionKind = iota
 	// Probe: send a probe to the server's load endpoint and step with the outcome.
 	Probe
-	// Spread: send the action's Sign to the other VMs.
+	// SendSign: send the action's Sign to the other VMs.
 	SendSign
 )
 
-// Action is a request to the caller. Sign is set for Spread.
+// Action is a request to the caller. Sign is set for SendSign.
 type Action struct {
 	Kind ActionKind
 	ID   view.ServerID
--- a/core/server/maps.go
+++ b/core/server/maps.go
@@ -108,8 +108,8 @@
 	return 0
 }
 
-// Last reports whether a server is the only live replica of some shard in any snapshot that it
-// holds.
+// IsLastReplica reports whether a server is the only live replica of some shard in any snapshot
+// that it holds.
 func (mp *Maps) IsLastReplica(id view.ServerID) bool {
 	for _, ho := range mp.byServer[id] {
 		sn, ok := mp.snapshot(ho)
--- a/core/server/maps_test.go
+++ b/core/server/maps_test.go
@@ -113,8 +113,8 @@
 	})
 }
 
-// Last is true for the only live replica of a shard, so that it is still tried when the other
-// replica is gone, and false for servers with another live replica.
+// IsLastReplica is true for the only live replica of a shard, so that it is still tried when the
+// other replica is gone, and false for servers with another live replica.
 func TestLastReplica(t *testing.T) {
 	is := is.New(t)
 	gone := map[view.ServerID]bool{}
--- a/core/server/polls.go
+++ b/core/server/polls.go
@@ -82,7 +82,7 @@
 	po.schedule(id, now+jitter(po.cfg.Rand, 200*time.Millisecond))
 }
 
-// Urge polls a server soon, because an event suggests that its reported state has changed.
+// PollSoon polls a server soon, because an event suggests that its reported state has changed.
 func (po *Polls) PollSoon(now time.Duration, id view.ServerID) {
 	if !po.servers[id].used {
 		return
@@ -93,8 +93,8 @@
 	}
 }
 
-// Behind polls a server again that lags behind the newest snapshot, after a pause that doubles each
-// time.
+// RepeatLagging polls a server again that lags behind the newest snapshot, after a pause that
+// doubles each time.
 func (po *Polls) RepeatLagging(now time.Duration, id view.ServerID) {
 	ps := &po.servers[id]
 	if !ps.used {
--- a/core/server/reply.go
+++ b/core/server/reply.go
@@ -115,8 +115,8 @@
 	return effect{sign: SignUnreachable}
 }
 
-// mayBecomeGone reports whether an event may make the server gone, so that Config.Last has to be
-// called.
+// mayBecomeGone reports whether an event may make the server gone, so that Config.IsLastReplica has
+// to be called.
 func (mc *machine) mayBecomeGone(ev Event) bool {
 	return ev.Kind == Failure && mc.State != view.StateGone && (ev.Probe || mc.probeFailures >= goneProbes)
 }
--- a/core/server/table.go
+++ b/core/server/table.go
@@ -12,7 +12,7 @@
 type Config struct {
 	// Rand is the source of jitter.
 	Rand *rand.Rand
-	// Last reports whether a server is the last live replica of some shard. It is called only
+	// IsLastReplica reports whether a server is the last live replica of some shard. It is called only
 	// before a server would become gone. If it is nil, no server counts as a last replica.
 	IsLastReplica func(view.ServerID) bool
 }
@@ -57,8 +57,8 @@
 	return tb.machines[id].Status
 }
 
-// Calm reports whether a server is serving without recent failures, so that its successful replies
-// need not be reported.
+// Healthy reports whether a server is serving without recent failures, so that its successful
+// replies need not be reported.
 func (tb *Table) Healthy(id view.ServerID) bool {
 	mc := &tb.machines[id]
 	return mc.State == view.StateServing && mc.failures == 0 && mc.score < negligibleScore
@@ -94,7 +94,7 @@
 	return tb.queue.Next()
 }
 
-// Learn handles a sign from another VM. Signs of servers that are not in this VM's configuration
+// StepSign handles a sign from another VM. Signs of servers that are not in this VM's configuration
 // are dropped: the sender's configuration is newer, and once this VM has it, the server's own
 // refusals show the same.
 func (tb *Table) StepSign(now time.Duration, sg Sign) []Action {
--- a/core/share/bucket.go
+++ b/core/share/bucket.go
@@ -71,14 +71,14 @@
 // maxRetrySeconds is the maximum time after which to retry.
 const maxRetrySeconds = 30.0
 
-// Give ends a search that Take allowed to start.
+// Release ends a search that Take allowed to start.
 func (bu *Bucket) Release() {
 	bu.mu.Lock()
 	defer bu.mu.Unlock()
 	bu.inFlight--
 }
 
-// GiveBack ends a search that Take allowed to start but that was then refused for
+// Refund ends a search that Take allowed to start but that was then refused for
 // another reason. It returns the token, since nothing of the team's limit was used.
 func (bu *Bucket) Refund() {
 	bu.mu.Lock()
@@ -94,7 +94,7 @@
 	return bu.inFlight
 }
 
-// Part is this VM's share of the team's limits: the searches per second and the
+// Limits returns this VM's share of the team's limits: the searches per second and the
 // concurrent searches that it may start; 0 where there is no such limit.
 func (bu *Bucket) Limits() (rate float64, concurrent int) {
 	bu.mu.Lock()
--- a/core/share/doc.go
+++ b/core/share/doc.go
@@ -25,13 +25,13 @@
 //   - All VMs hear from each other within the Window: L.
 //   - Some VMs are not heard from: L, as long as both sides notice, since no VM that
 //     misses another one raises its share.
-//   - A VM has been silent for Forget: those that still hear from more than half of the
+//   - A VM has been silent for ForgetAfter: those that still hear from more than half of the
 //     VMs divide L among themselves; any other VM keeps at most the lower of its last
 //     share and L/N. With k VMs partitioned: L * (1 + k/N), less than 1.5 L.
 //   - k VMs are new: each uses L/N until it has heard from all others and has announced
 //     its own demand for two Windows: L * (1 + k/N). If all restarted at once: L.
 //
-// The bounds require that a demand reaches the others within Way, a part of the
+// The bounds require that a demand reaches the others within MaxDelay, a part of the
 // Window. A VM counts as missed if no newer message from it arrived for the rest of
 // the Window.
 //
@@ -54,7 +54,7 @@
 // aggregates, nor if two do so at a time or none for a while.
 //
 // The groups' shares sum to at most L, and so do those of all VMs, while partitions are
-// shorter than Forget. Groups with k VMs in total that are partitioned for longer, or
+// shorter than ForgetAfter. Groups with k VMs in total that are partitioned for longer, or
 // have no aggregator for longer, keep an even share: L * (1 + k/N), less than 1.5 L. A
 // new VM has at most L/N for five GroupWindows, since sums that it never received may
 // be in use. A VM that is partitioned from its group adds to the group's share as
@@ -71,7 +71,7 @@
 //	demands := mc.Outgoing(now) // at each heartbeat: send these to the others
 //	mc.Step(now)                // after it
 //
-//	if reason, after := bucket.Take(now); reason == "" { defer bucket.Give() }
+//	if reason, after := bucket.Take(now); reason == "" { defer bucket.Release() }
 //
 // Times are monotonic, measured from the start of the process. A time before that of
 // an earlier call counts as the earlier one.
--- a/core/share/groups_test.go
+++ b/core/share/groups_test.go
@@ -140,7 +140,7 @@
 
 // The sum of the shares of all VMs of all groups never exceeds the limit, whatever the
 // demand, the delays and losses of messages, and whichever VMs aggregate, two at a time
-// or none; neither during a partition of groups or VMs shorter than Forget, nor after it.
+// or none; neither during a partition of groups or VMs shorter than ForgetAfter, nor after it.
 func TestGroupSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		gs := randomGroups(rt)
@@ -180,7 +180,7 @@
 				}
 			}
 			// Partitions and times without an aggregator are each shorter than
-			// Forget. The next test covers longer ones.
+			// ForgetAfter. The next test covers longer ones.
 			gs.blocked = func(int, int) bool { return false }
 			gs.aggregates = first
 			gs.run(time.Duration(rapid.IntRange(8, 20).Draw(rt, "healed")) * time.Second)
@@ -191,7 +191,7 @@
 	})
 }
 
-// If groups with k VMs in total are partitioned for longer than Forget, the remaining
+// If groups with k VMs in total are partitioned for longer than ForgetAfter, the remaining
 // ones divide the limit, and the others keep at most an even share: the sum is at most
 // 1 + k/N, less than 1.5.
 func TestGroupSharesAreBoundedInALongPartition(t *testing.T) {
--- a/core/share/machine.go
+++ b/core/share/machine.go
@@ -45,12 +45,12 @@
 type Config struct {
 	Self VM
 	// Window is the time within which a demand announced by one VM has reached
-	// all others. Way is the part of it allowed for the delay of a message, by
+	// all others. MaxDelay is the part of it allowed for the delay of a message, by
 	// default a third; a VM counts as missed if no newer message from it arrived
 	// for the rest.
 	Window   time.Duration
 	MaxDelay time.Duration
-	// Forget is how long a VM must be silent before its share is divided among
+	// ForgetAfter is how long a VM must be silent before its share is divided among
 	// the others.
 	ForgetAfter time.Duration
 	// Floor is the minimum demand of a VM, in multiples of the limit divided by
--- a/core/share/share_test.go
+++ b/core/share/share_test.go
@@ -13,7 +13,7 @@
 const rounding = 1e-9
 
 // The sum of the shares of all VMs never exceeds the limit, whatever the changes of the
-// demand and the delays of messages; neither during a partition shorter than Forget, nor
+// demand and the delays of messages; neither during a partition shorter than ForgetAfter, nor
 // after it.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
@@ -44,14 +44,14 @@
 					rt.Fatalf("shares sum to %v at %v", sum, fl.now)
 				}
 			}
-			// The partitions are shorter than Forget. The next test covers longer ones.
+			// The partitions are shorter than ForgetAfter. The next test covers longer ones.
 			fl.blocked = func(int, int) bool { return false }
 			fl.run(2 * time.Second)
 		}
 	})
 }
 
-// If k VMs are partitioned for longer than Forget, the remaining ones divide the limit
+// If k VMs are partitioned for longer than ForgetAfter, the remaining ones divide the limit
 // and the others keep at most an even share each: the sum is at most 1 + k/N, less than
 // 1.5.
 func TestSharesAreBoundedInALongPartition(t *testing.T) {
@@ -152,7 +152,7 @@
 }
 
 // One VM of nine crashes. Its share, a ninth of the limit, is unused until it has been
-// silent for Forget, since until then it may only be partitioned and still use its
+// silent for ForgetAfter, since until then it may only be partitioned and still use its
 // share. Then the others get it.
 func TestDeadVM(t *testing.T) {
 	is := is.New(t)
@@ -171,7 +171,7 @@
 
 // One VM is partitioned from all others, and its demand grows tenfold. It continues with
 // its last share, which it must not raise without hearing from all others, and after
-// Forget has at most an even share.
+// ForgetAfter has at most an even share.
 func TestCutOffVM(t *testing.T) {
 	is := is.New(t)
 	fl := newFleet(fleetSize, share.Limit{Rate: 90}, 4)
--- a/core/share/status.go
+++ b/core/share/status.go
@@ -5,7 +5,7 @@
 	// allHeard is set if no VM has been missed for a Window, so that the others
 	// have heard from this VM again, too, before it raises its share.
 	allHeard bool
-	// lost is the number of VMs silent for longer than Forget; atMostHalfLeft is
+	// lost is the number of VMs silent for longer than ForgetAfter; atMostHalfLeft is
 	// set if no more than half of all VMs are left.
 	lost           int
 	atMostHalfLeft bool
@@ -58,7 +58,7 @@
 }
 
 // otherDemand sums the demands of the other VMs, without those silent for longer than
-// Forget, and reports whether one of them holds its share. A VM that has not announced
+// ForgetAfter, and reports whether one of them holds its share. A VM that has not announced
 // a demand of this team yet counts as holding its share, with the minimum demand.
 func (mc *Machine) otherDemand(ts *teamState) (sum float64, held bool) {
 	floor := mc.boundDemand(ts, 0)
--- a/core/spread/config.go
+++ b/core/spread/config.go
@@ -11,7 +11,7 @@
 type Config struct {
 	Self rank.VM
 	Rand *rand.Rand
-	// Readable returns an error if this build cannot read an update's document.
+	// CheckReadable returns an error if this build cannot read an update's document.
 	CheckReadable func(Update) error
 	Pace          Pace
 }
--- a/core/spread/doc.go
+++ b/core/spread/doc.go
@@ -3,7 +3,7 @@
 //
 // # Usage
 //
-//	ma := spread.New(spread.Config{Self: self, Rand: rnd, Readable: readable})
+//	ma := spread.New(spread.Config{Self: self, Rand: rnd, CheckReadable: readable})
 //	for _, ac := range ma.Step(now, spread.Members{VMs: vms}) {
 //		switch ac := ac.(type) {
 //		case spread.Watch: // wait for the service, then Step with Watched or Failed
--- a/core/spread/event.go
+++ b/core/spread/event.go
@@ -9,7 +9,7 @@
 // Event is an input of Machine.Step.
 type Event interface{ isEvent() }
 
-// Call identifies a call, so that its answer can be matched with it.
+// CallID identifies a call, so that its answer can be matched with it.
 type CallID uint64
 
 // Tick reports that the time returned by Next has come.
@@ -26,7 +26,7 @@
 	Broken   []Undecodable
 }
 
-// Broken is a team's value in the service that cannot be decoded.
+// Undecodable is a team's value in the service that cannot be decoded.
 type Undecodable struct {
 	Team string
 	Err  error
@@ -53,7 +53,7 @@
 // Acked acknowledges a Push.
 type Acked struct{ Call CallID }
 
-// Beat delivers a peer's digest, which came with a Compare of that peer or on a heartbeat.
+// PeerDigest delivers a peer's digest, which came with a Compare of that peer or on a heartbeat.
 type PeerDigest struct {
 	From   rank.VM
 	Digest Digest
--- a/core/spread/machine.go
+++ b/core/spread/machine.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxRecent bounds the ids of past changes that Find can look up.
+	// maxRecent bounds the ids of past changes that FindChange can look up.
 	maxRecent = 1024
 	// maxAnswerBytes bounds the documents in one answer to a pull. Only the answer to a VM
 	// that boots reaches it.
@@ -285,7 +285,7 @@
 	return rv, ok
 }
 
-// Find returns the change with the given id, among the last ones that this VM received.
+// FindChange returns the change with the given id, among the last ones that this VM received.
 func (ma *Machine) FindChange(id string) (Revision, bool) {
 	for _, rv := range slices.Backward(ma.recent) {
 		if rv.ChangeID == id {
@@ -295,8 +295,8 @@
 	return Revision{}, false
 }
 
-// Answer returns the updates that a peer lacks, given what it holds. more is set if the answer was
-// truncated.
+// MissingFrom returns the updates that a peer lacks, given what it holds. more is set if the answer
+// was truncated.
 func (ma *Machine) MissingFrom(held []Revision) (ups []Update, more bool) {
 	theirs := make(map[string]Revision, len(held))
 	for _, rv := range held {
--- a/core/spread/update.go
+++ b/core/spread/update.go
@@ -22,7 +22,7 @@
 	ChangeID string
 }
 
-// Name returns the identity of the update.
+// ID returns the identity of the update.
 func (up Update) ID() Revision {
 	return Revision{Team: up.Team, Revision: up.Revision, ChangeID: up.ChangeID}
 }
--- a/core/stall/measure_test.go
+++ b/core/stall/measure_test.go
@@ -67,7 +67,7 @@
 	for tf.now < start+tf.deadline {
 		tf.step()
 		// Every 250 ms the connections that are reported silent are closed, and the server is
-		// pinged if Doubt is true.
+		// pinged if ShouldPing is true.
 		if tf.now%(250*ms) != 0 {
 			continue
 		}
--- a/core/stall/stall.go
+++ b/core/stall/stall.go
@@ -9,9 +9,9 @@
 //	for _, cn := range tr.Silent(now, nil) {
 //		cn.close()
 //	}
-//	if tr.Doubt(now) {
+//	if tr.ShouldPing(now) {
 //		// ping on another connection, then:
-//		tr.Vouch(began)
+//		tr.Overtake(began)
 //	}
 //
 // A Tracker covers one server and is not safe for concurrent use.
@@ -124,7 +124,7 @@
 	tr.Overtake(ex.began)
 }
 
-// Vouch records that the server answered something sent at began, such as a ping: all older
+// Overtake records that the server answered something sent at began, such as a ping: all older
 // exchanges have been overtaken.
 func (tr *Tracker[K]) Overtake(began time.Duration) {
 	for i := range tr.outstanding {
@@ -156,7 +156,7 @@
 	return buf
 }
 
-// Doubt reports whether an exchange is old enough to count as silent but was not overtaken
+// ShouldPing reports whether an exchange is old enough to count as silent but was not overtaken
 // often enough to decide, as with few requests. A ping would decide.
 func (tr *Tracker[K]) ShouldPing(now time.Duration) bool {
 	for _, ex := range tr.outstanding {
