--- a/core/steer/doc.go
+++ b/core/steer/doc.go
@@ -5,9 +5,10 @@
 // # Usage
 //
 //	tb := steer.New(steer.Config{DataCentre: "east"})
-//	up, ok := tb.Pick(now, steer.Kind{Usual: usual, Slack: slack}, candidates, tried, rnd.Float64)
+//	ki := steer.RequestKind{UsualLatency: usual, Slack: slack}
+//	up, ok := tb.Pick(now, ki, candidates, tried, rnd.Float64)
 //	tb.Begin(now, usual, up.Process())
-//	tb.End(now, up.Process(), steer.Attempt{Verdict: fanout.Served, Took: took, Usual: usual})
+//	tb.End(now, up.Process(), steer.Result{Verdict: fanout.Served, Latency: took, UsualLatency: usual})
 //
 // A Table may be used from many goroutines.
 //
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -10,7 +10,7 @@
 type Load struct {
 	// Running and Waiting count requests; Slots is how many the server runs concurrently.
 	Running, Waiting, Slots int
-	// Pace is how many times the usual time work currently takes on the server's machine; 0 if it
+	// Slowdown is how many times the usual time work currently takes on the server's machine; 0 if it
 	// is not reported.
 	Slowdown float64
 }
@@ -24,7 +24,7 @@
 }
 
 const (
-	// slowPace is the Pace from which on a server counts as slow.
+	// slowPace is the Slowdown from which on a server counts as slow.
 	slowPace = 1.5
 	// A reported slowdown is assumed to last for as long as it has lasted already, within
 	// minPaceDecay and maxPaceDecay: bursts of neighbouring load end within some tens of
@@ -35,8 +35,8 @@
 	queueDecay = 50 * time.Millisecond
 )
 
-// Tell records the load that a server reported. Took is the latency of the answer that carried
-// it, or 0 if there was none.
+// RecordLoad records the load that a server reported. Took is the latency of the answer that
+// carried it, or 0 if there was none.
 func (tb *Table) RecordLoad(now time.Duration, up *origin.Upstream, lo Load, took time.Duration) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -74,7 +74,7 @@
 	return max(0, float64(ahead)) / float64(lr.load.Slots) * decay(now-lr.at, queueDecay)
 }
 
-// Told returns the last load that a server reported and its age; ok is false if there is none.
+// LastLoad returns the last load that a server reported and its age; ok is false if there is none.
 // The load changes many times per second, so a report is only useful while it is recent.
 func (tb *Table) LastLoad(now time.Duration, pr origin.Process) (lo Load, age time.Duration, ok bool) {
 	tb.mu.Lock()
@@ -86,8 +86,8 @@
 	return st.report.load, now - st.report.at, true
 }
 
-// Ready returns the servers that, by recent reports, are not slow and have a free slot. If there
-// are none, it returns those that are not slow but have a queue.
+// FilterReady returns the servers that, by recent reports, are not slow and have a free slot. If
+// there are none, it returns those that are not slow but have a queue.
 func (tb *Table) FilterReady(now time.Duration, ups []*origin.Upstream) (ready []*origin.Upstream) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -108,8 +108,8 @@
 	return ready
 }
 
-// Tells returns whether servers of a service report their load; known is false before the first
-// answer.
+// ReportsLoad returns whether servers of a service report their load; known is false before the
+// first answer.
 func (tb *Table) ReportsLoad(service string) (tells, known bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -117,7 +117,7 @@
 	return tells, known
 }
 
-// TellsNot records that a server of a service answered without reporting its load.
+// RecordNoLoad records that a server of a service answered without reporting its load.
 func (tb *Table) RecordNoLoad(service string) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -126,9 +126,9 @@
 	}
 }
 
-// Misread records that a server's load report could not be read, and returns whether it is the
-// first such report: the caller logs only the first, since the fault may repeat with every
-// answer.
+// RecordUnreadableLoad records that a server's load report could not be read, and returns whether
+// it is the first such report: the caller logs only the first, since the fault may repeat with
+// every answer.
 func (tb *Table) RecordUnreadableLoad(pr origin.Process) (first bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/core/steer/stats.go
+++ b/core/steer/stats.go
@@ -78,16 +78,16 @@
 }
 
 // recordLatency updates the slowdown from the latency of an answer.
-func (st *serverStats) recordLatency(now time.Duration, at Result) {
-	if at.UsualLatency <= 0 {
+func (st *serverStats) recordLatency(now time.Duration, rs Result) {
+	if rs.UsualLatency <= 0 {
 		return
 	}
 	// A short request may have been queued behind a long one.
-	ratio := min(float64(at.Latency)/float64(max(at.UsualLatency, st.longestUsual)), maxSlowdown)
+	ratio := min(float64(rs.Latency)/float64(max(rs.UsualLatency, st.longestUsual)), maxSlowdown)
 	previous := st.currentSlowdown(now)
 	if ratio < slowRatio {
 		st.slowAnswers = 0
-	} else if st.slowAnswers == 0 || now-at.Latency >= st.lastSlowAt {
+	} else if st.slowAnswers == 0 || now-rs.Latency >= st.lastSlowAt {
 		st.slowAnswers++
 		st.lastSlowAt = now
 	}
--- a/core/steer/steer.go
+++ b/core/steer/steer.go
@@ -113,18 +113,18 @@
 	return &Table{cfg: cfg, stats: make(map[origin.Process]*serverStats), reportsLoad: make(map[string]bool)}
 }
 
-// Kind describes a kind of request.
+// RequestKind describes a kind of request.
 type RequestKind struct {
-	// Usual is the latency of such a request on most servers.
+	// UsualLatency is the latency of such a request on most servers.
 	UsualLatency time.Duration
 	// Slack is how long a server may be silent before that raises its cost: the time after which
 	// a hedge would be sent anyway. A pause that ends earlier costs the request nothing, while
 	// avoiding it costs traffic between data centres.
 	Slack time.Duration
-	// Joined is the data centre whose answer would be sent joined with others; empty if there is
-	// none.
+	// JoinDataCentre is the data centre whose answer would be sent joined with others; empty if there
+	// is none.
 	JoinDataCentre string
-	// Told lets the load reports of servers influence the cost.
+	// UseLoadReports lets the load reports of servers influence the cost.
 	UseLoadReports bool
 }
 
@@ -216,20 +216,20 @@
 	return st
 }
 
-// Attempt is the result of an attempt.
+// Result is the outcome of an attempt.
 type Result struct {
 	Verdict fanout.Verdict
-	// Took is the latency of the attempt, Usual that of its kind on most servers.
+	// Latency is the latency of the attempt, UsualLatency that of its kind on most servers.
 	Latency      time.Duration
 	UsualLatency time.Duration
-	// Most is the maximum number of connections, and thus of concurrent requests, from this VM to
-	// the server; 0 if unknown.
+	// MaxConnections is the maximum number of connections, and thus of concurrent requests, from this
+	// VM to the server; 0 if unknown.
 	MaxConnections int
 }
 
 // End records the end of an attempt and returns how many requests of this VM the server may have
 // in flight from now on.
-func (tb *Table) End(now time.Duration, pr origin.Process, at Result) (window int) {
+func (tb *Table) End(now time.Duration, pr origin.Process, rs Result) (window int) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
 	st, ok := tb.stats[pr]
@@ -237,16 +237,16 @@
 		return windowMax
 	}
 	st.inFlight = max(0, st.inFlight-1)
-	switch at.Verdict {
+	switch rs.Verdict {
 	case fanout.Served:
 		if !tb.cfg.Off.Off(toggle.Slowness) {
-			st.recordLatency(now, at)
+			st.recordLatency(now, rs)
 		}
 		st.recordOutcome(now, 0, 0)
 		st.silentSince = now
 		// A short request queued behind a long one does not indicate overload.
-		if allowed := windowCutRatio * max(at.UsualLatency, st.longestUsual); at.Latency > allowed {
-			st.cutWindow(now, at.Latency, float64(allowed))
+		if allowed := windowCutRatio * max(rs.UsualLatency, st.longestUsual); rs.Latency > allowed {
+			st.cutWindow(now, rs.Latency, float64(allowed))
 		} else {
 			st.window += windowIncrease / st.window
 		}
@@ -262,8 +262,8 @@
 		// The connection failed; a new one may work.
 		st.recordOutcome(now, 1, 0)
 	}
-	if at.MaxConnections > 0 {
-		st.window = min(st.window, float64(at.MaxConnections))
+	if rs.MaxConnections > 0 {
+		st.window = min(st.window, float64(rs.MaxConnections))
 	}
 	st.window = min(st.window, windowMax)
 	return int(st.window)
@@ -284,7 +284,7 @@
 	}
 }
 
-// Reached records whether a connection to a server could be opened.
+// RecordConnect records whether a connection to a server could be opened.
 func (tb *Table) RecordConnect(now time.Duration, pr origin.Process, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -296,8 +296,8 @@
 	st.avoidUntil = max(st.avoidUntil, now+avoidTime)
 }
 
-// Sound reports whether a server counts as healthy: not slow, silent or avoided, and without recent
-// refusals or failures.
+// Healthy reports whether a server counts as healthy: not slow, silent or avoided, and without
+// recent refusals or failures.
 func (tb *Table) Healthy(now time.Duration, pr origin.Process) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -331,7 +331,7 @@
 	}
 }
 
-// SoundPlaces returns the data centres, other than this VM's own, that have a healthy server
+// HealthyDataCentres returns the data centres, other than this VM's own, that have a healthy server
 // among ups; near reports whether this VM's own has one.
 func (tb *Table) HealthyDataCentres(now time.Duration, ups []*origin.Upstream) (near bool, places []string) {
 	for _, up := range ups {
@@ -346,7 +346,7 @@
 	return near, places
 }
 
-// Quiet returns for how long a server with requests of this VM in flight has not answered.
+// SilentFor returns for how long a server with requests of this VM in flight has not answered.
 func (tb *Table) SilentFor(now time.Duration, pr origin.Process) time.Duration {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -357,7 +357,7 @@
 	return now - st.silentSince
 }
 
-// Overdue counts the servers outside this VM's data centre that are silent for longer than
+// CountOverdue counts the servers outside this VM's data centre that are silent for longer than
 // expected.
 func (tb *Table) CountOverdue(now time.Duration, dir *origin.Directory) int {
 	tb.mu.Lock()
@@ -372,7 +372,7 @@
 	return overdue
 }
 
-// Keep removes all servers that are not in the directory and have no requests in flight.
+// Retain removes all servers that are not in the directory and have no requests in flight.
 func (tb *Table) Retain(dir *origin.Directory) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
--- a/core/steer/steer_test.go
+++ b/core/steer/steer_test.go
@@ -241,9 +241,9 @@
 // A joined answer waits for its slowest server, so only healthy servers are asked together.
 func TestSound(t *testing.T) {
 	cases := []struct {
-		name  string
-		at    steer.Result
-		sound bool
+		name   string
+		result steer.Result
+		sound  bool
 	}{
 		{"served", steer.Result{Verdict: fanout.Served, Latency: 10 * time.Millisecond, UsualLatency: 10 * time.Millisecond}, true},
 		{"slow", steer.Result{Verdict: fanout.Served, Latency: 90 * time.Millisecond, UsualLatency: 10 * time.Millisecond}, false},
@@ -257,7 +257,7 @@
 			tb := steer.New(steer.Config{})
 			is.True(tb.Healthy(0, process("a")))
 			tb.Begin(0, 10*time.Millisecond, process("a"))
-			tb.End(100*time.Millisecond, process("a"), tc.at)
+			tb.End(100*time.Millisecond, process("a"), tc.result)
 			is.Equal(tb.Healthy(101*time.Millisecond, process("a")), tc.sound)
 		})
 	}
--- a/core/steer/warn_test.go
+++ b/core/steer/warn_test.go
@@ -112,9 +112,9 @@
 			tried = append(tried, up)
 			continue
 		}
-		at := steer.Result{Verdict: fanout.Served, Latency: took, UsualLatency: took}
+		rs := steer.Result{Verdict: fanout.Served, Latency: took, UsualLatency: took}
 		if slow[up.ID] {
-			at.Latency = 10 * took
+			rs.Latency = 10 * took
 		}
 		seen := []*steer.Table{home}
 		if neighbour != home {
@@ -122,7 +122,7 @@
 		}
 		for _, tb := range seen {
 			tb.Begin(now, took, up.Process())
-			tb.End(now+at.Latency, up.Process(), at)
+			tb.End(now+rs.Latency, up.Process(), rs)
 		}
 		if slow[up.ID] {
 			return 1
--- a/core/ticket/table.go
+++ b/core/ticket/table.go
@@ -54,7 +54,7 @@
 	VerdictUnverified
 	// VerdictElsewhere: the request has to be forwarded to Issuer.
 	VerdictElsewhere
-	// VerdictVoid: issued by an earlier process at this address.
+	// VerdictEarlierProcess: issued by an earlier process at this address.
 	VerdictEarlierProcess
 	// VerdictExpired: the ticket expired; an earlier use may have run.
 	VerdictExpired
--- a/core/valve/valve.go
+++ b/core/valve/valve.go
@@ -7,7 +7,7 @@
 //	if !va.Admit(level, rnd.Float64()) {
 //		// refuse, with a Retry-After
 //	}
-//	va.Note(short)
+//	va.Record(short)
 //
 // # Why
 //
@@ -100,7 +100,7 @@
 	return draw < max(admitted, va.cfg.MinShare)
 }
 
-// Note records the result of an admitted request; short is set if it was late or failed for lack
+// Record adds the result of an admitted request; short is set if it was late or failed for lack
 // of capacity.
 func (va *Valve) Record(short bool) {
 	va.mu.Lock()
@@ -118,7 +118,7 @@
 	va.step = min(1, va.step)
 }
 
-// Open returns the share of the most urgent requests that is admitted, 0 to 1.
+// Share returns the share of the most urgent requests that is admitted, 0 to 1.
 func (va *Valve) Share() float64 {
 	va.mu.Lock()
 	defer va.mu.Unlock()
--- a/core/view/snapshot.go
+++ b/core/view/snapshot.go
@@ -63,8 +63,8 @@
 	return rg.Snapshots[best], true
 }
 
-// Newer returns the newest snapshot that covers all its shards, if its version is higher than
-// version.
+// NewerComplete returns the newest snapshot that covers all its shards, if its version is higher
+// than version.
 func (rg Register) NewerComplete(version uint64, live func(ServerID) bool) (Snapshot, bool) {
 	for _, sn := range rg.Snapshots {
 		if sn.Version <= version {
--- a/core/warm/warm.go
+++ b/core/warm/warm.go
@@ -53,7 +53,7 @@
 	MaxWait time.Duration
 	// MaxOpening bounds the concurrent attempts.
 	MaxOpening int
-	// PeakWindow is the length of a period of use. Want covers the peak of the current and of
+	// PeakWindow is the length of a period of use. Target covers the peak of the current and of
 	// the previous period.
 	PeakWindow time.Duration
 	Rand       *rand.Rand
@@ -142,7 +142,7 @@
 	return ga.open+ga.opening < ga.capacity(now)
 }
 
-// Waiting reports whether a failure forbids attempts for now.
+// BackingOff reports whether a failure forbids attempts for now.
 func (ga *Gate) BackingOff(now time.Duration) bool {
 	return now < ga.blockedUntil
 }
@@ -203,7 +203,7 @@
 	}
 }
 
-// Used records how many connections are in use.
+// RecordUse records how many connections are in use.
 func (ga *Gate) RecordUse(now time.Duration, n int) {
 	if now-ga.windowStart >= ga.cfg.PeakWindow {
 		ga.prevPeak, ga.peak, ga.windowStart = ga.peak, 0, now
@@ -211,8 +211,8 @@
 	ga.peak = max(ga.peak, n)
 }
 
-// Want returns the number of connections to keep open: the floor or, if greater, one more than were
-// recently in use, within the limit.
+// Target returns the number of connections to keep open: the floor or, if greater, one more than
+// were recently in use, within the limit.
 func (ga *Gate) Target() int {
 	want := ga.cfg.Floor
 	if peak := max(ga.peak, ga.prevPeak); peak > 0 {
@@ -221,7 +221,7 @@
 	return min(want, ga.cfg.Limit)
 }
 
-// Fill reports whether to open a connection for which no request waits. If it returns true, it
+// MayFill reports whether to open a connection for which no request waits. If it returns true, it
 // does so again only after FillInterval, with jitter.
 func (ga *Gate) MayFill(now time.Duration) bool {
 	if ga.open+ga.opening >= ga.Target() || now < ga.nextFill || !ga.MayOpen(now) {
--- a/core/warmup/doc.go
+++ b/core/warmup/doc.go
@@ -1,10 +1,10 @@
-// Package ramp bounds the requests that a server gets from all VMs together while it warms up.
+// Package warmup bounds the requests that a server gets from all VMs together while it warms up.
 //
 // # Usage
 //
-//	ga := ramp.New()
-//	ga.Look(now, age, listed) // a few times a second
-//	if ga.Take(now, up.Process(), bounds.Most(perSecond)) {
+//	li := warmup.New()
+//	li.ObserveStore(now, age, listed) // a few times a second
+//	if li.Allow(now, up.Process(), bounds.Max(perSecond)) {
 //		// send
 //	}
 //
@@ -21,7 +21,7 @@
 // Two VMs that both act as owner would send twice what the server can serve. Each VM ranks all
 // VMs that it knows by their entries in the store, so two VMs can disagree only if one does not
 // know the other. A VM acts as owner only after its own entry has been in its copy of the store
-// for OwnerDelay, and if the copy was never older than FreshFor meanwhile. Any other VM that
+// for OwnerDelay, and if the copy was never older than MaxCopyAge meanwhile. Any other VM that
 // acts as owner has an equally fresh copy, so it knows of this VM by then. A VM that has just
 // started, or whose copy of the store is not updated, sends nothing to such servers.
 //
@@ -30,5 +30,5 @@
 // A VM that is cut off from the store and from all other VMs does not learn that a data centre
 // was evacuated and that its servers are cold since. Its requests to these servers, and those of
 // VMs cut off together with it, cannot be bounded by what they know. They therefore send nothing
-// to servers that have a bound: see Gate.Blind.
+// to servers that have a bound: see Limiter.Stale.
 package warmup
--- a/core/warmup/fleet_test.go
+++ b/core/warmup/fleet_test.go
@@ -44,7 +44,7 @@
 	index    int
 	vm       rank.VM
 	capacity float64
-	gate     *warmup.Limiter
+	limiter  *warmup.Limiter
 	running  bool
 	// known are the VMs in its copy of the store, which is current as of asOf. forgetAt holds
 	// when VMs whose entries were removed stop counting.
@@ -73,7 +73,7 @@
 
 // start starts a VM, which gets its copy of the store up to half a second later.
 func (sim *simulation) start(sv *simVM) {
-	sv.running, sv.gate, sv.view = true, warmup.New(), nil
+	sv.running, sv.limiter, sv.view = true, warmup.New(), nil
 	sv.known, sv.forgetAt = map[int]bool{}, map[int]time.Duration{}
 	sv.asOf, sv.nextUpdate = sim.now, sim.now+sim.randomUpTo(500*ms)
 }
@@ -175,7 +175,7 @@
 	switch {
 	case !bound:
 		panic("the cold server has no bound")
-	case wa.Self && sv.gate.Allow(sim.now, up.Process(), wa.MaxPerSecond):
+	case wa.Self && sv.limiter.Allow(sim.now, up.Process(), wa.MaxPerSecond):
 		sim.sent = append(sim.sent, sim.now)
 	case wa.Self || forwarded:
 	default:
@@ -199,7 +199,7 @@
 				sv.nextUpdate = sim.now + 50*ms + sim.randomUpTo(700*ms)
 			}
 			if sim.now%(250*ms) == 0 {
-				sv.gate.ObserveStore(sim.now, sim.now-sv.asOf, sv.known[sv.index])
+				sv.limiter.ObserveStore(sim.now, sim.now-sv.asOf, sv.known[sv.index])
 			}
 		}
 		for range 3 {
--- a/core/warmup/gate.go
+++ b/core/warmup/limiter.go
@@ -30,7 +30,7 @@
 	Slack   float64
 }
 
-// Most returns how many requests a server may get within any second; perSecond is its
+// Max returns how many requests a server may get within any second; perSecond is its
 // configured rate.
 func (bo Bounds) Max(perSecond float64) int {
 	// Without the tolerance a product that rounding puts slightly below a whole number would
@@ -39,13 +39,13 @@
 	return int(math.Floor(perSecond*bo.Overage + bo.Slack + tolerance))
 }
 
-// Gate counts the requests that this VM sends to servers that warm up. It is safe for
+// Limiter counts the requests that this VM sends to servers that warm up. It is safe for
 // concurrent use.
 type Limiter struct {
 	mu      sync.Mutex
 	servers map[origin.Process]*serverState
 	// eligible is set, since eligibleSince, while this VM's entry is in a fresh copy of the
-	// store. It expires at eligibleUntil unless Look renews it.
+	// store. It expires at eligibleUntil unless ObserveStore renews it.
 	eligible                     bool
 	eligibleSince, eligibleUntil time.Duration
 	// copyAsOf is the time as of which this VM's copy of the store was current.
@@ -54,7 +54,7 @@
 	probes []probe
 }
 
-// serverState is what the Gate holds of one server.
+// serverState is what the Limiter holds of one server.
 type serverState struct {
 	// times are when the requests of the last window were sent.
 	times []time.Duration
@@ -64,18 +64,18 @@
 	denials int
 }
 
-// New returns a gate that allows no request until Look has been called for OwnerDelay.
+// New returns a limiter that allows no request until ObserveStore has been called for OwnerDelay.
 func New() *Limiter { return &Limiter{servers: make(map[origin.Process]*serverState)} }
 
-// Take reports whether this VM may send one more request to a server that it owns, and counts
+// Allow reports whether this VM may send one more request to a server that it owns, and counts
 // it. most is the server's bound within any second.
-func (ga *Limiter) Allow(now time.Duration, pr origin.Process, most int) bool {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	if !ga.mayActAsOwner(now) {
+func (li *Limiter) Allow(now time.Duration, pr origin.Process, most int) bool {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	if !li.mayActAsOwner(now) {
 		return false
 	}
-	st := ga.stateOf(pr)
+	st := li.stateOf(pr)
 	expired := 0
 	for expired < len(st.times) && now-st.times[expired] > window+transitMargin {
 		expired++
@@ -88,11 +88,11 @@
 	return true
 }
 
-// Asked records that a server's owner was asked to send a request, and whether it did.
-func (ga *Limiter) RecordReply(now time.Duration, pr origin.Process, sent bool) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	st := ga.stateOf(pr)
+// RecordReply records that a server's owner was asked to send a request, and whether it did.
+func (li *Limiter) RecordReply(now time.Duration, pr origin.Process, sent bool) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	st := li.stateOf(pr)
 	switch {
 	case sent:
 		st.denials, st.askAt = 0, now
@@ -104,31 +104,31 @@
 	}
 }
 
-// MayAsk reports whether a server's owner may be asked to send a request, that is whether no
+// MayAskOwner reports whether a server's owner may be asked to send a request, that is whether no
 // backoff after a denial is in force.
-func (ga *Limiter) MayAskOwner(now time.Duration, pr origin.Process) bool {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	st, ok := ga.servers[pr]
+func (li *Limiter) MayAskOwner(now time.Duration, pr origin.Process) bool {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	st, ok := li.servers[pr]
 	return !ok || now >= st.askAt
 }
 
-func (ga *Limiter) stateOf(pr origin.Process) *serverState {
-	st, ok := ga.servers[pr]
+func (li *Limiter) stateOf(pr origin.Process) *serverState {
+	st, ok := li.servers[pr]
 	if !ok {
 		st = &serverState{}
-		ga.servers[pr] = st
+		li.servers[pr] = st
 	}
 	return st
 }
 
-// Keep deletes the state of all servers that are not in the directory.
-func (ga *Limiter) Retain(dir *origin.Directory) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	for pr := range ga.servers {
+// Retain deletes the state of all servers that are not in the directory.
+func (li *Limiter) Retain(dir *origin.Directory) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	for pr := range li.servers {
 		if !dir.Has(pr) {
-			delete(ga.servers, pr)
+			delete(li.servers, pr)
 		}
 	}
 }
--- a/core/warmup/gate_test.go
+++ b/core/warmup/limiter_test.go
@@ -28,11 +28,11 @@
 	}
 }
 
-// eligibleGate returns the gate of a VM that has been listed for long enough to act as owner.
-func eligibleGate(now time.Duration) *warmup.Limiter {
-	ga := warmup.New()
-	observe(ga, now-2*warmup.OwnerDelay, now, 0)
-	return ga
+// eligibleLimiter returns the limiter of a VM that has been listed for long enough to act as owner.
+func eligibleLimiter(now time.Duration) *warmup.Limiter {
+	li := warmup.New()
+	observe(li, now-2*warmup.OwnerDelay, now, 0)
+	return li
 }
 
 // The bound must hold within any second at the server, although transit times vary: a request
@@ -40,12 +40,12 @@
 func TestTakeBoundsEverySecond(t *testing.T) {
 	is := is.New(t)
 	pr := origin.Process{ID: "a"}
-	ga := eligibleGate(10 * second)
+	li := eligibleLimiter(10 * second)
 	const most = 8
 	var taken []time.Duration
 	for now := 10 * second; now < 18*second; now += 3 * ms {
-		ga.ObserveStore(now, 0, true)
-		if ga.Allow(now, pr, most) {
+		li.ObserveStore(now, 0, true)
+		if li.Allow(now, pr, most) {
 			taken = append(taken, now)
 		}
 	}
@@ -59,13 +59,13 @@
 		is.True(n <= most)
 	}
 	is.True(len(taken) >= 7*most)
-	is.True(ga.Allow(18*second, origin.Process{ID: "b"}, most)) // servers are counted separately
+	is.True(li.Allow(18*second, origin.Process{ID: "b"}, most)) // servers are counted separately
 }
 
-// observe calls Look a few times a second.
-func observe(ga *warmup.Limiter, from, to, age time.Duration) {
+// observe calls ObserveStore a few times a second.
+func observe(li *warmup.Limiter, from, to, age time.Duration) {
 	for at := from; at <= to; at += 250 * ms {
-		ga.ObserveStore(at, age, true)
+		li.ObserveStore(at, age, true)
 	}
 }
 
@@ -75,42 +75,42 @@
 func TestMayActAsOwner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		look func(ga *warmup.Limiter)
+		look func(li *warmup.Limiter)
 		want bool
 	}{
-		{"listed long enough", func(ga *warmup.Limiter) { observe(ga, 0, 10*second, 0) }, true},
-		{"no update for a second", func(ga *warmup.Limiter) {
-			observe(ga, 0, 9*second, 0)
-			ga.ObserveStore(10*second, second, true)
+		{"listed long enough", func(li *warmup.Limiter) { observe(li, 0, 10*second, 0) }, true},
+		{"no update for a second", func(li *warmup.Limiter) {
+			observe(li, 0, 9*second, 0)
+			li.ObserveStore(10*second, second, true)
 		}, true},
-		{"just started", func(ga *warmup.Limiter) { observe(ga, 8*second, 10*second, 0) }, false},
-		{"old copy", func(ga *warmup.Limiter) {
-			observe(ga, 0, 9*second, 0)
-			ga.ObserveStore(10*second, 1900*ms, true)
+		{"just started", func(li *warmup.Limiter) { observe(li, 8*second, 10*second, 0) }, false},
+		{"old copy", func(li *warmup.Limiter) {
+			observe(li, 0, 9*second, 0)
+			li.ObserveStore(10*second, 1900*ms, true)
 		}, false},
-		{"no longer listed", func(ga *warmup.Limiter) {
-			observe(ga, 0, 9*second, 0)
-			ga.ObserveStore(10*second, 0, false)
+		{"no longer listed", func(li *warmup.Limiter) {
+			observe(li, 0, 9*second, 0)
+			li.ObserveStore(10*second, 0, false)
 		}, false},
-		{"briefly not listed", func(ga *warmup.Limiter) {
-			observe(ga, 0, 8*second, 0)
-			ga.ObserveStore(8*second, 0, false)
-			observe(ga, 8*second, 10*second, 0)
+		{"briefly not listed", func(li *warmup.Limiter) {
+			observe(li, 0, 8*second, 0)
+			li.ObserveStore(8*second, 0, false)
+			observe(li, 8*second, 10*second, 0)
 		}, false},
-		{"old copy until recently", func(ga *warmup.Limiter) {
-			observe(ga, 0, 8*second, 2*second)
-			observe(ga, 8*second, 10*second, 0)
+		{"old copy until recently", func(li *warmup.Limiter) {
+			observe(li, 0, 8*second, 2*second)
+			observe(li, 8*second, 10*second, 0)
 		}, false},
-		{"frozen until now", func(ga *warmup.Limiter) {
-			observe(ga, 0, 6*second, 0)
-			ga.ObserveStore(10*second, 0, true)
+		{"frozen until now", func(li *warmup.Limiter) {
+			observe(li, 0, 6*second, 0)
+			li.ObserveStore(10*second, 0, true)
 		}, false},
-		{"frozen after the last update", func(ga *warmup.Limiter) { observe(ga, 0, 8*second, 0) }, false},
+		{"frozen after the last update", func(li *warmup.Limiter) { observe(li, 0, 8*second, 0) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			ga := warmup.New()
-			tc.look(ga)
-			is.New(t).Equal(ga.Allow(10*second, origin.Process{ID: "a"}, 1), tc.want)
+			li := warmup.New()
+			tc.look(li)
+			is.New(t).Equal(li.Allow(10*second, origin.Process{ID: "a"}, 1), tc.want)
 		})
 	}
 }
@@ -119,23 +119,23 @@
 // For each denied request the servers of all other shards have done useless work.
 func TestBackoffAfterDenial(t *testing.T) {
 	is := is.New(t)
-	ga := warmup.New()
+	li := warmup.New()
 	pr := origin.Process{ID: "a"}
 	asked := 0
 	for now := time.Duration(0); now < 10*second; now += 10 * ms {
-		if ga.MayAskOwner(now, pr) {
+		if li.MayAskOwner(now, pr) {
 			asked++
-			ga.RecordReply(now, pr, false)
-			ga.RecordReply(now+ms, pr, false) // a second denial in flight at once
+			li.RecordReply(now, pr, false)
+			li.RecordReply(now+ms, pr, false) // a second denial in flight at once
 		}
 	}
 	is.True(asked >= 6 && asked <= 9)
-	ga.RecordReply(10*second, pr, true)
-	is.True(ga.MayAskOwner(10*second, pr))
-	ga.RecordReply(10*second, pr, false)
-	is.True(ga.MayAskOwner(10*second+300*ms, pr))
-	ga.Retain(origin.New(nil))
-	is.True(ga.MayAskOwner(10*second, pr))
+	li.RecordReply(10*second, pr, true)
+	is.True(li.MayAskOwner(10*second, pr))
+	li.RecordReply(10*second, pr, false)
+	is.True(li.MayAskOwner(10*second+300*ms, pr))
+	li.Retain(origin.New(nil))
+	is.True(li.MayAskOwner(10*second, pr))
 }
 
 // A VM whose copy of the store is old may be cut off together with other VMs, some of which
@@ -158,13 +158,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			is := is.New(t)
-			ga := warmup.New()
-			ga.ObserveStore(10*second, tc.age, true)
+			li := warmup.New()
+			li.ObserveStore(10*second, tc.age, true)
 			for i := range tc.asked {
-				ga.RecordProbe(10*second, i < tc.answered)
+				li.RecordProbe(10*second, i < tc.answered)
 			}
-			is.Equal(ga.Stale(10*second), tc.want)
-			is.True(ga.Stale(13 * second)) // the answers have expired
+			is.Equal(li.Stale(10*second), tc.want)
+			is.True(li.Stale(13 * second)) // the answers have expired
 		})
 	}
 }
--- a/core/warmup/stale.go
+++ b/core/warmup/stale.go
@@ -19,36 +19,36 @@
 	answered bool
 }
 
-// Probed records whether a VM of another data centre answered a probe.
-func (ga *Limiter) RecordProbe(now time.Duration, answered bool) {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	ga.probes = append(ga.probes, probe{at: now, answered: answered})
-	for len(ga.probes) > 0 && now-ga.probes[0].at > probeWindow {
-		ga.probes = ga.probes[1:]
+// RecordProbe records whether a VM of another data centre answered a probe.
+func (li *Limiter) RecordProbe(now time.Duration, answered bool) {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	li.probes = append(li.probes, probe{at: now, answered: answered})
+	for len(li.probes) > 0 && now-li.probes[0].at > probeWindow {
+		li.probes = li.probes[1:]
 	}
 }
 
-// Doubts reports whether VMs of other data centres should be probed, because Blind may soon
+// ShouldProbe reports whether VMs of other data centres should be probed, because Stale may soon
 // become true.
-func (ga *Limiter) ShouldProbe(now time.Duration) bool {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	return now-ga.copyAsOf > probeAfter
+func (li *Limiter) ShouldProbe(now time.Duration) bool {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	return now-li.copyAsOf > probeAfter
 }
 
-// Blind reports whether servers may have turned cold without this VM knowing: its copy of the
+// Stale reports whether servers may have turned cold without this VM knowing: its copy of the
 // store has not been updated for a while, and it does not reach most other VMs, which may
 // have newer copies and would have sent it the update. If all VMs lack updates alike, no
 // operator can have evacuated a data centre either.
-func (ga *Limiter) Stale(now time.Duration) bool {
-	ga.mu.Lock()
-	defer ga.mu.Unlock()
-	if now-ga.copyAsOf <= MaxCopyAge {
+func (li *Limiter) Stale(now time.Duration) bool {
+	li.mu.Lock()
+	defer li.mu.Unlock()
+	if now-li.copyAsOf <= MaxCopyAge {
 		return false
 	}
 	probed, answered := 0, 0
-	for _, pr := range ga.probes {
+	for _, pr := range li.probes {
 		if now-pr.at <= probeWindow {
 			probed++
 			if pr.answered {
