--- a/core/enlist/enlist_test.go
+++ b/core/enlist/enlist_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestBook(t *testing.T) {
+func TestBatch(t *testing.T) {
 	is := is.New(t)
 	var ba enlist.Batch
 	for i := range enlist.MaxTxnEntries + 3 {
--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -76,7 +76,7 @@
 }
 
 // BenchmarkSetOut measures the cost of a new view: SetExcluded is called for each server.
-func BenchmarkSetOut(b *testing.B) {
+func BenchmarkSetExcluded(b *testing.B) {
 	for _, servers := range []int{10, 1000, 32_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			tb, _ := newTable(servers)
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -115,7 +115,7 @@
 
 // An excluded server no longer adds to the limit of its group; when it is included
 // again, it starts with the initial limit.
-func TestSetOut(t *testing.T) {
+func TestSetExcluded(t *testing.T) {
 	is := is.New(t)
 	tb, pool := newTable(3)
 	now := time.Duration(0)
--- a/core/member/compose.go
+++ b/core/member/compose.go
@@ -17,9 +17,9 @@
 	if relayed {
 		// The receiver has the most accurate data about its own data centre, so its digest is the
 		// one worth comparing.
-		mg.OtherDataCentre = ma.link(to.DataCentre)
+		mg.OtherDataCentre = ma.dataCentreView(to.DataCentre)
 	} else {
-		mg.OtherDataCentre = ma.anyLink()
+		mg.OtherDataCentre = ma.anyDataCentreView()
 	}
 	ma.repair(to, &mg)
 	return mg
@@ -89,7 +89,7 @@
 
 // anyLink describes another data centre, chosen at random. Round-robin could fall in step with the
 // replies sent in between, and one neighbour would then always receive the same data centre.
-func (ma *Machine) anyLink() DataCentreView {
+func (ma *Machine) anyDataCentreView() DataCentreView {
 	names := ma.table.dcNames
 	if len(names) < 2 {
 		return DataCentreView{}
@@ -98,10 +98,10 @@
 	for name == ma.self.DataCentre {
 		name = names[ma.cfg.Random.IntN(len(names))]
 	}
-	return ma.link(name)
+	return ma.dataCentreView(name)
 }
 
-func (ma *Machine) link(name string) DataCentreView {
+func (ma *Machine) dataCentreView(name string) DataCentreView {
 	dc := ma.table.dataCentre(name)
 	silent := neverHeard
 	if dc.lastHeard != neverHeard {
--- a/core/member/exchange.go
+++ b/core/member/exchange.go
@@ -149,7 +149,7 @@
 		ma.receiveState(mb)
 	}
 	ma.compareDigest(diffKey{with: with, about: with}, mg.Digest)
-	ma.mergeLink(with, mg.OtherDataCentre)
+	ma.mergeDataCentreView(with, mg.OtherDataCentre)
 	ma.savePullCursor(with, mg.NextPage)
 }
 
@@ -161,7 +161,7 @@
 	ma.mergeState(mb)
 }
 
-func (ma *Machine) mergeLink(with string, dv DataCentreView) {
+func (ma *Machine) mergeDataCentreView(with string, dv DataCentreView) {
 	if dv.DataCentre == "" {
 		return
 	}
--- a/core/mirror/outage.go
+++ b/core/mirror/outage.go
@@ -26,7 +26,7 @@
 	// firstFailure and lastFailure bound the failed calls since the last contact; 0 if no
 	// call failed.
 	firstFailure, lastFailure time.Duration
-	returned                  time.Duration
+	recovered                  time.Duration
 }
 
 // RecordFailure records a failed call to the store.
@@ -45,7 +45,7 @@
 	}
 	back := ou.contacted && ou.firstFailure > 0 && at > ou.firstFailure && at-ou.lastContact > StaleAfter
 	if back {
-		ou.returned = at
+		ou.recovered = at
 	}
 	if back || at > ou.lastFailure+recoveryMargin {
 		ou.firstFailure, ou.lastFailure = 0, 0
@@ -55,7 +55,7 @@
 
 // RecordRecovery records when the store recovered according to another VM; 0 if that VM knows of no
 // outage.
-func (ou *Outage) RecordRecovery(returned time.Duration) { ou.returned = max(ou.returned, returned) }
+func (ou *Outage) RecordRecovery(returned time.Duration) { ou.recovered = max(ou.recovered, returned) }
 
 // Contacted reports whether the store was ever contacted.
 func (ou *Outage) Contacted() bool { return ou.contacted }
@@ -64,4 +64,4 @@
 func (ou *Outage) LastContact() time.Duration { return ou.lastContact }
 
 // Recovered returns when the store recovered from its last outage; 0 if no outage is known.
-func (ou *Outage) Recovered() time.Duration { return ou.returned }
+func (ou *Outage) Recovered() time.Duration { return ou.recovered }
--- a/core/mirror/replica_test.go
+++ b/core/mirror/replica_test.go
@@ -35,7 +35,7 @@
 	return out
 }
 
-func TestTake(t *testing.T) {
+func TestApply(t *testing.T) {
 	is := is.New(t)
 	re := mirror.NewReplica(mirror.DefaultHistory)
 	is.Equal(len(re.Apply(since(3, put("a", 2)))), 0) // nothing to apply it to
--- a/core/plan/local_test.go
+++ b/core/plan/local_test.go
@@ -13,7 +13,7 @@
 
 // Tests the decision whether a data centre that is cut off can keep answering: it depends on
 // how many shards have a server there and on how many shards an answer needs.
-func TestServesAloneByLocalShards(t *testing.T) {
+func TestLocalServersSufficeByShards(t *testing.T) {
 	cases := []struct {
 		name     string
 		near     int
--- a/core/poison/hint_test.go
+++ b/core/poison/hint_test.go
@@ -9,7 +9,7 @@
 	"laburnumvane/core/poison"
 )
 
-func TestWordRoundTrip(t *testing.T) {
+func TestHintRoundTrip(t *testing.T) {
 	is := is.New(t)
 	for _, trials := range [][]string{nil, {"a@0"}, {"a@0", "b@17"}} {
 		want := poison.Record{Fingerprint: fingerprint(7), Trials: trials}
@@ -24,7 +24,7 @@
 }
 
 // Messages of other VMs must not panic this one, and the encoding must be unambiguous.
-func FuzzWord(f *testing.F) {
+func FuzzParseHint(f *testing.F) {
 	f.Add("")
 	f.Add(poison.Record{Trials: []string{"a@0", "b@0"}}.EncodeHint())
 	f.Add(poison.Record{}.EncodeHint() + "\xff")
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -55,7 +55,7 @@
 	// twenty requests a second over ten shards has that many answers overdue within it. Since
 	// faulty servers could be the cause of all of them, VMs in other data centres are probed
 	// too.
-	DefaultMinOwed      = 5
+	DefaultMinOverdue      = 5
 	DefaultShortSilence = 150 * time.Millisecond
 	// DefaultFailedShare is the share of requests that must fail for clients to be better
 	// served by other VMs. DefaultMinRequests is the minimum number of requests for this
@@ -72,7 +72,7 @@
 	Silence      time.Duration
 	IdleSilence  time.Duration
 	ShortSilence time.Duration
-	MinOwed      int
+	MinOverdue      int
 	// FailedShare is 0 to 1.
 	FailedShare float64
 	MinRequests int64
@@ -118,8 +118,8 @@
 	if cfg.ShortSilence == 0 {
 		cfg.ShortSilence = DefaultShortSilence
 	}
-	if cfg.MinOwed == 0 {
-		cfg.MinOwed = DefaultMinOwed
+	if cfg.MinOverdue == 0 {
+		cfg.MinOverdue = DefaultMinOverdue
 	}
 	if cfg.FailedShare == 0 {
 		cfg.FailedShare = DefaultFailedShare
@@ -152,7 +152,7 @@
 // than chance explains, or another VM of this data centre reports a cut. The other VM may be
 // at fault itself, so its report alone proves nothing.
 func (de *Detector) ShouldProbe(ob Observation) bool {
-	return ob.Silence > de.cfg.ShortSilence && (ob.Overdue >= de.cfg.MinOwed || ob.CutReported)
+	return ob.Silence > de.cfg.ShortSilence && (ob.Overdue >= de.cfg.MinOverdue || ob.CutReported)
 }
 
 // Failing reports whether too many of the recent requests were not served.
--- a/core/reach/reach_test.go
+++ b/core/reach/reach_test.go
@@ -111,7 +111,7 @@
 // servers elsewhere become overdue. Callers are refused until the balancer has taken the VM
 // out of rotation, two health checks after detection; detecting the cut only after a second
 // of silence would add that second for all of them.
-func TestCutOffProvenByOwedAnswers(t *testing.T) {
+func TestCutOffProvenByOverdueAnswers(t *testing.T) {
 	cases := []struct {
 		name string
 		// everyMs is the interval between attempts in milliseconds.
--- a/core/reach/report_test.go
+++ b/core/reach/report_test.go
@@ -107,7 +107,7 @@
 // A VM starts in a data centre that is cut off, while all other VMs there are out of the load
 // balancer's rotation. As the only VM in rotation it got all clients for more than a second
 // until it detected the cut itself, and refused them.
-func TestEnters(t *testing.T) {
+func TestMayEnterRotation(t *testing.T) {
 	const uptime = 200 * ms
 	cases := []struct {
 		name    string
--- a/core/spread/gossip.go
+++ b/core/spread/gossip.go
@@ -157,7 +157,7 @@
 }
 
 // handleBeat handles a peer's digest that this VM did not ask for.
-func (ma *Machine) handleBeat(ev PeerDigest) {
+func (ma *Machine) handlePeerDigest(ev PeerDigest) {
 	ma.planPull(ev.From, ev.Digest)
 }
 
--- a/core/spread/machine.go
+++ b/core/spread/machine.go
@@ -122,7 +122,7 @@
 	case Acked:
 		ma.endCall(ev.Call)
 	case PeerDigest:
-		ma.handleBeat(ev)
+		ma.handlePeerDigest(ev)
 	case Compared:
 		ma.handleCompared(ev)
 	case Pulled:
--- a/core/spread/service.go
+++ b/core/spread/service.go
@@ -168,7 +168,7 @@
 func (ma *Machine) handleRanged(ev Ranged) {
 	_, awaited := ma.endCall(ev.Call)
 	ma.mergeAll(ev.Updates, originService)
-	ma.handleBroken(ev.Broken)
+	ma.handleUndecodable(ev.Broken)
 	if !awaited {
 		// The call had expired; its revision is no basis for the next watch.
 		return
@@ -192,7 +192,7 @@
 func (ma *Machine) handleWatched(ev Watched) {
 	_, awaited := ma.endCall(ev.Call)
 	ma.mergeAll(ev.Updates, originService)
-	ma.handleBroken(ev.Broken)
+	ma.handleUndecodable(ev.Broken)
 	if !awaited {
 		return
 	}
@@ -229,7 +229,7 @@
 	}
 }
 
-func (ma *Machine) handleBroken(broken []Undecodable) {
+func (ma *Machine) handleUndecodable(broken []Undecodable) {
 	for _, br := range broken {
 		ma.raiseAlarm(AlarmBroken, br.Team, "the value in the service cannot be read: "+br.Err.Error())
 	}
--- a/core/stall/stall_test.go
+++ b/core/stall/stall_test.go
@@ -22,7 +22,7 @@
 	return now
 }
 
-func TestSilentAndDoubt(t *testing.T) {
+func TestSilentAndShouldPing(t *testing.T) {
 	cases := []struct {
 		name string
 		// known is the number of answers of 5 ms recorded before.
--- a/core/steer/load.go
+++ b/core/steer/load.go
@@ -24,8 +24,8 @@
 }
 
 const (
-	// slowPace is the Slowdown from which on a server counts as slow.
-	slowPace = 1.5
+	// slowThreshold is the Slowdown from which on a server counts as slow.
+	slowThreshold = 1.5
 	// A reported slowdown is assumed to last for as long as it has lasted already, within
 	// minPaceDecay and maxPaceDecay: bursts of neighbouring load end within some tens of
 	// milliseconds, while faults last for seconds.
@@ -44,10 +44,10 @@
 	st := tb.statsOf(up.Process())
 	previous := st.report
 	st.report = loadReport{load: lo, at: now, slowSince: now}
-	if lo.Slowdown < slowPace {
+	if lo.Slowdown < slowThreshold {
 		return
 	}
-	if previous.load.Slowdown >= slowPace {
+	if previous.load.Slowdown >= slowThreshold {
 		st.report.slowSince = previous.slowSince
 	}
 	// The server was this slow during the whole request.
@@ -95,7 +95,7 @@
 	for _, up := range ups {
 		st, seen := tb.stats[up.Process()]
 		switch {
-		case !seen || st.report.currentPace(now) >= slowPace:
+		case !seen || st.report.currentPace(now) >= slowThreshold:
 		case st.report.queueWait(now) > 0:
 			queued = append(queued, up)
 		default:
--- a/core/steer/steer_test.go
+++ b/core/steer/steer_test.go
@@ -239,7 +239,7 @@
 }
 
 // A joined answer waits for its slowest server, so only healthy servers are asked together.
-func TestSound(t *testing.T) {
+func TestHealthy(t *testing.T) {
 	cases := []struct {
 		name   string
 		result steer.Result
--- a/core/warmup/limiter_test.go
+++ b/core/warmup/limiter_test.go
@@ -37,7 +37,7 @@
 
 // The bound must hold within any second at the server, although transit times vary: a request
 // that is sent later may have a shorter transit time.
-func TestTakeBoundsEverySecond(t *testing.T) {
+func TestAllowBoundsEverySecond(t *testing.T) {
 	is := is.New(t)
 	pr := origin.Process{ID: "a"}
 	li := eligibleLimiter(10 * second)
@@ -141,7 +141,7 @@
 // A VM whose copy of the store is old may be cut off together with other VMs, some of which
 // answer its probes. It must not take this for a store outage that affects all VMs: servers
 // that turned cold meanwhile would get the same load from this group as before.
-func TestBlind(t *testing.T) {
+func TestStale(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		age  time.Duration
