--- a/core/mirror/outage.go
+++ b/core/mirror/outage.go
@@ -26,7 +26,7 @@
 	// firstFailure and lastFailure bound the failed calls since the last contact; 0 if no
 	// call failed.
 	firstFailure, lastFailure time.Duration
-	recovered                  time.Duration
+	recovered                 time.Duration
 }
 
 // RecordFailure records a failed call to the store.
--- a/core/reach/reach.go
+++ b/core/reach/reach.go
@@ -55,7 +55,7 @@
 	// twenty requests a second over ten shards has that many answers overdue within it. Since
 	// faulty servers could be the cause of all of them, VMs in other data centres are probed
 	// too.
-	DefaultMinOverdue      = 5
+	DefaultMinOverdue   = 5
 	DefaultShortSilence = 150 * time.Millisecond
 	// DefaultFailedShare is the share of requests that must fail for clients to be better
 	// served by other VMs. DefaultMinRequests is the minimum number of requests for this
@@ -72,7 +72,7 @@
 	Silence      time.Duration
 	IdleSilence  time.Duration
 	ShortSilence time.Duration
-	MinOverdue      int
+	MinOverdue   int
 	// FailedShare is 0 to 1.
 	FailedShare float64
 	MinRequests int64
