--- a/io/accept/context.go
+++ b/io/accept/context.go
@@ -15,7 +15,7 @@
 	return context.WithValue(context.Background(), connKey{}, nc)
 }
 
-// Begin marks the connection of ctx as busy until the returned function is called. It does
+// BeginRequest marks the connection of ctx as busy until the returned function is called. It does
 // nothing if ctx carries no connection.
 func BeginRequest(ctx context.Context) (end func()) {
 	cn, ok := ctx.Value(connKey{}).(*Conn)
--- a/io/accept/doc.go
+++ b/io/accept/doc.go
@@ -6,7 +6,7 @@
 //	ln := accept.New(inner)
 //	srv := server.New(server.WithListener(ln), server.WithOnAccept(accept.Context))
 //	srv.Use(func(ctx context.Context, rc *app.RequestContext) {
-//		defer accept.Begin(ctx)()
+//		defer accept.BeginRequest(ctx)()
 //		rc.Next(ctx)
 //	})
 //	...
--- a/io/contr/talk.go
+++ b/io/contr/talk.go
@@ -23,7 +23,7 @@
 	// Until is the text up to which, and including which, the reply is read. If it is empty,
 	// the reply is read to the end of the stream.
 	Until string
-	// Hang closes the sending side after Send.
+	// CloseWrite closes the sending side after Send.
 	CloseWrite bool
 }
 
--- a/io/drive/ticket.go
+++ b/io/drive/ticket.go
@@ -26,7 +26,7 @@
 	ReasonTicketUnverified = "ticketUnverified"
 	ReasonTicketRunning    = "ticketRunning"
 	ReasonTicketForgotten  = "ticketAnswerForgotten"
-	// ReasonIssuerGone means that the issuer could not be reached, so that this attempt did
+	// ReasonIssuerUnreachable means that the issuer could not be reached, so that this attempt did
 	// not run.
 	ReasonIssuerUnreachable = "ticketIssuerUnreachable"
 	// ReasonIssuerSilent means that the issuer was asked and did not answer.
--- a/io/edge/config.go
+++ b/io/edge/config.go
@@ -92,7 +92,7 @@
 	// Remove deletes entries in one transaction. None is deleted if an item has a revision and
 	// its entry was written since.
 	Remove(ctx context.Context, items []mirror.Item) error
-	// Missing reports whether an error means that the lease no longer exists.
+	// IsLeaseMissing reports whether an error means that the lease no longer exists.
 	IsLeaseMissing(err error) bool
 }
 
--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -33,23 +33,23 @@
 func (eg *Edge) updateCutOff(ctx context.Context) {
 	vw, now := eg.view.Load(), eg.clock()
 	tr := eg.entry.Stats()
-	si := reach.Observation{
+	ob := reach.Observation{
 		Silence:  min(eg.follow.RemoteSilence(), now-tr.RemoteAnsweredAt),
 		Requests: tr.Routed,
 		Unserved: tr.Unserved,
 	}
 	// Usually nothing is silent, and the checks of servers and routes can be skipped.
-	if si.Silence > reach.DefaultShortSilence {
-		si.CutReported = !eg.set.Off.Off(toggle.Proofs) && eg.follow.CutReported()
-		si.Overdue = tr.RemoteLost + eg.steer.CountOverdue(now, vw.Upstreams())
-		si.ProbesFailed = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-si.Silence
-		si.LocalInsufficient = !vw.LocalServersSuffice()
+	if ob.Silence > reach.DefaultShortSilence {
+		ob.CutReported = !eg.set.Off.Off(toggle.Proofs) && eg.follow.CutReported()
+		ob.Overdue = tr.RemoteLost + eg.steer.CountOverdue(now, vw.Upstreams())
+		ob.ProbesFailed = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-ob.Silence
+		ob.LocalInsufficient = !vw.LocalServersSuffice()
 	}
-	if si.Silence > probeSilence || vw.StaleStateMatters() && eg.ramp.ShouldProbe(now) || eg.cutOff.Load() || eg.cutDetector.ShouldProbe(si) {
+	if ob.Silence > probeSilence || vw.StaleStateMatters() && eg.ramp.ShouldProbe(now) || eg.cutOff.Load() || eg.cutDetector.ShouldProbe(ob) {
 		eg.probeRemote(now)
 	}
 	blind := vw.StaleStateMatters() && eg.ramp.Stale(now)
-	off := (eg.cutDetector.Update(now, si) && !eg.set.Off.Off(toggle.Cuts) || blind) && vw.FleetSize() > 1
+	off := (eg.cutDetector.Update(now, ob) && !eg.set.Off.Off(toggle.Cuts) || blind) && vw.FleetSize() > 1
 	if eg.cutOff.Swap(off) == off {
 		return
 	}
@@ -58,8 +58,8 @@
 	if off {
 		eg.workers.submit(func() { eg.follow.ReportCut(ctx) })
 	}
-	eg.cfg.Log.Warn().Bool("cutOff", off).Int64("silenceMs", si.Silence.Milliseconds()).Int("owed", si.Overdue).
-		Bool("told", si.CutReported).Bool("blind", blind).Bool("mute", si.ProbesFailed).Bool("failing", eg.cutDetector.Failing()).Msg("cut-off state changed")
+	eg.cfg.Log.Warn().Bool("cutOff", off).Int64("silenceMs", ob.Silence.Milliseconds()).Int("owed", ob.Overdue).
+		Bool("told", ob.CutReported).Bool("blind", blind).Bool("mute", ob.ProbesFailed).Bool("failing", eg.cutDetector.Failing()).Msg("cut-off state changed")
 }
 
 // probeRemote probes VMs of other data centres. While the store is down nothing changes, and a
--- a/io/entry/choose.go
+++ b/io/entry/choose.go
@@ -32,8 +32,8 @@
 }
 
 func (fl *flight) pick(now time.Duration, shard int, ups, tried []*origin.Upstream) (*origin.Upstream, bool) {
-	ki := steer.RequestKind{UsualLatency: fl.latency.usualLatency(), Slack: fl.hedgeAfter, JoinDataCentre: fl.joinFrom[shard], UseLoadReports: !fl.rt.Idempotent}
-	return fl.en.cfg.Steer.Pick(now, ki, ups, tried, rand.Float64)
+	rk := steer.RequestKind{UsualLatency: fl.latency.usualLatency(), Slack: fl.hedgeAfter, JoinDataCentre: fl.joinFrom[shard], UseLoadReports: !fl.rt.Idempotent}
+	return fl.en.cfg.Steer.Pick(now, rk, ups, tried, rand.Float64)
 }
 
 // withOnTrial returns tried and the servers at which another suspect request is on trial: if
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -44,11 +44,11 @@
 // Relay sends requests to servers; relay.Pool implements it.
 type Relay interface {
 	Send(up *origin.Upstream, rq relay.Request) *relay.Call
-	// Allow limits the number of concurrent requests to a server.
+	// SetWindow limits the number of concurrent requests to a server.
 	SetWindow(up *origin.Upstream, window int)
 }
 
-// HomeClient calls the inner.Home service of other VMs; carry.Client implements it.
+// HomeClient calls the inner.Home service of other VMs; remote.Client implements it.
 type HomeClient interface {
 	// Carry forwards a request to one of the VMs, which runs it in place of this VM. Join has
 	// one of the VMs send a request to servers of its own data centre.
@@ -97,7 +97,7 @@
 	leaving  atomic.Bool
 	moving   atomic.Bool
 	inFlight atomic.Int64
-	// forwardedInFlight counts those of inFlight that other VMs forwarded.
+	// forwarded counts those of inFlight that other VMs forwarded.
 	forwarded atomic.Int64
 	// routed counts the requests that matched a route, unserved those of them that were not
 	// served.
--- a/io/entry/forward.go
+++ b/io/entry/forward.go
@@ -30,7 +30,7 @@
 	// maxForwardedInFlight limits the concurrent requests of other VMs: with more, all of them
 	// would wait for the processor.
 	maxForwardedInFlight = 256
-	// homePacePrefix separates the latency statistics of gathers on other VMs from those of
+	// homeLatencyPrefix separates the latency statistics of gathers on other VMs from those of
 	// requests to single servers.
 	homeLatencyPrefix = "home "
 )
--- a/io/entry/latency.go
+++ b/io/entry/latency.go
@@ -84,7 +84,7 @@
 // usualLatency returns the latency of a request at most servers.
 func (rl *routeLatency) usualLatency() time.Duration { return time.Duration(rl.usual.Load()) }
 
-// Extra limits the attempts beyond the first, for all VMs together.
+// ExtraAttempts limits the attempts beyond the first, for all VMs together.
 type ExtraAttempts struct {
 	// Share is the ratio of extra attempts to a service's requests. Burst is a number of extra
 	// attempts in addition, within each Window.
--- a/io/entry/names.go
+++ b/io/entry/names.go
@@ -1,6 +1,6 @@
 package entry
 
-// Names are the names of the headers that clients and servers use.
+// HeaderNames are the names of the headers that clients and servers use.
 type HeaderNames struct {
 	// RequestID identifies one attempt of a client.
 	RequestID string
--- a/io/entry/poison.go
+++ b/io/entry/poison.go
@@ -28,7 +28,7 @@
 }
 
 // refuseBlocked refuses a request that crashes servers. It is not sent to any server as long as
-// arrivals of it continue; it is tried again after none came for poison.BlockFor.
+// arrivals of it continue; it is tried again after none came for poison.BlockDuration.
 func (en *Entry) refuseBlocked(rq *request) *response {
 	rs := refusalResponse(consts.StatusServiceUnavailable, fanout.ReasonCrashes, "servers that run this request crash")
 	rs.setRetryAfter(poison.BlockDuration)
--- a/io/node/members_riders.go
+++ b/io/node/members_riders.go
@@ -11,7 +11,7 @@
 	"laburnumvane/io/meter"
 )
 
-// riderBytes bounds the data piggybacked on one heartbeat or reply, besides the membership.
+// piggybackBytes bounds the data piggybacked on one heartbeat or reply, besides the membership.
 // A VM sends about eight of these messages a second, so this is 1.5 kB/s of the 8 kB/s that a VM
 // may spend on control traffic.
 const piggybackBytes = 192
--- a/io/node/members_service.go
+++ b/io/node/members_service.go
@@ -46,11 +46,11 @@
 	ct.members.request(
 		func(tag uint64) member.Event { return member.HelpRequested{Tag: tag, Target: target} },
 		func(ac member.Action) {
-			he := ac.(member.HelpReply)
-			rp := &inner.ProbeReply{Version: inner.Version, Reached: he.Reached}
-			if he.Reached {
-				rp.Incarnation = he.Target.Incarnation
-				rp.Member = memberToWire(he.Target)
+			hr := ac.(member.HelpReply)
+			rp := &inner.ProbeReply{Version: inner.Version, Reached: hr.Reached}
+			if hr.Reached {
+				rp.Incarnation = hr.Target.Incarnation
+				rp.Member = memberToWire(hr.Target)
 			}
 			ev.answered <- rp
 		},
--- a/io/node/members_wire.go
+++ b/io/node/members_wire.go
@@ -57,24 +57,24 @@
 	return out
 }
 
-func placeToWire(pl member.Cursor) *inner.Place {
-	if pl.DataCentre == "" {
+func placeToWire(cu member.Cursor) *inner.Place {
+	if cu.DataCentre == "" {
 		return nil
 	}
-	return &inner.Place{DataCentre: pl.DataCentre, After: pl.After}
+	return &inner.Place{DataCentre: cu.DataCentre, After: cu.After}
 }
 
 func placeFromWire(pl *inner.Place) member.Cursor {
 	return member.Cursor{DataCentre: pl.GetDataCentre(), After: pl.GetAfter()}
 }
 
-func linkToWire(li member.DataCentreView) *inner.Link {
-	if li.DataCentre == "" {
+func linkToWire(dv member.DataCentreView) *inner.Link {
+	if dv.DataCentre == "" {
 		return nil
 	}
-	out := &inner.Link{DataCentre: li.DataCentre, Digest: li.Digest}
-	if li.SinceHeard >= 0 {
-		out.SilentMs = li.SinceHeard.Milliseconds() + 1
+	out := &inner.Link{DataCentre: dv.DataCentre, Digest: dv.Digest}
+	if dv.SinceHeard >= 0 {
+		out.SilentMs = dv.SinceHeard.Milliseconds() + 1
 	}
 	return out
 }
--- a/io/node/upstreams.go
+++ b/io/node/upstreams.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// hintBytes is the budget for polling servers' load endpoints, in bytes a second: a quarter
+	// hintBytesPerSecond is the budget for polling servers' load endpoints: a quarter
 	// of the 8 kB/s that a VM may spend on control traffic at the intended size.
 	hintBytesPerSecond = 2 << 10
 	hintBurstBytes     = 256 << 10
--- a/io/node/upstreams_reply.go
+++ b/io/node/upstreams_reply.go
@@ -113,7 +113,7 @@
 	us.polls.PollSoon(us.now(), ev.id)
 }
 
-// Replied processes a server's reply. Refusal is empty for a reply with a result.
+// ObserveReply processes a server's reply. Refusal is empty for a reply with a result.
 func (nd *Node) ObserveReply(id view.ServerID, load wire.UpstreamLoad, refusal wire.Refusal) {
 	up := nd.upstream(id)
 	leaving := load.State == wire.UpstreamDraining || refusal == wire.RefusalDraining
@@ -172,7 +172,7 @@
 	ct.upstreams.step(ev.id, se)
 }
 
-// Failed processes a failed exchange with a server. Kind is the upst.Kind of the error.
+// ObserveFailure processes a failed exchange with a server. Kind is the upst.Kind of the error.
 func (nd *Node) ObserveFailure(id view.ServerID, kind string) {
 	up := nd.upstream(id)
 	if upst.Kind(kind) == upst.KindRefused {
@@ -224,12 +224,12 @@
 	up.tallyPending.Store(false)
 	good, shed, cold, failed := up.good.Swap(0), up.shed.Swap(0), up.cold.Swap(0), up.failed.Swap(0)
 	if good+shed+cold > 0 {
-		says := server.ReportedServing
+		reported := server.ReportedServing
 		if up.reportsCold.Load() {
-			says = server.ReportedCold
+			reported = server.ReportedCold
 		}
 		ct.upstreams.step(ev.id, server.Event{
-			Kind: server.Reply, Incarnation: up.incarnation.Load(), Reported: says,
+			Kind: server.Reply, Incarnation: up.incarnation.Load(), Reported: reported,
 			Good: int(good), Shed: int(shed), Cold: int(cold),
 		})
 	}
--- a/io/remote/carry.go
+++ b/io/remote/remote.go
@@ -1,11 +1,11 @@
-// Package carry has other VMs run requests or send sub-requests in place of this one, over the
+// Package remote has other VMs run requests or send sub-requests in place of this one, over the
 // inner.Home service.
 //
 // # Usage
 //
-//	cl := carry.New(carry.Config{Clock: clock, DataCentre: "east"})
+//	cl := remote.New(remote.Config{Clock: clock, DataCentre: "east"})
 //	rp, addr, err := cl.Carry(ctx, vms, usual, rq)
-//	if err != nil && !carry.MayHaveRun(err) {
+//	if err != nil && !remote.MayHaveRun(err) {
 //		// run it on this VM
 //	}
 //
@@ -79,8 +79,8 @@
 
 // MayHaveRun reports whether a request that ended with an error may have run.
 func MayHaveRun(err error) bool {
-	var ce *Error
-	return errors.As(err, &ce) && ce.Kind == KindLost
+	var re *Error
+	return errors.As(err, &re) && re.Kind == KindLost
 }
 
 // ReasonOtherRoute is the reason with which a VM declines a request if the request's route
--- a/io/wire/decode.go
+++ b/io/wire/decode.go
@@ -20,8 +20,8 @@
 	return sonic.ConfigStd.Unmarshal(raw, out)
 }
 
-// Warm compiles the decoder of the most frequent message, which takes about 10 ms, so that the
-// first search of a new VM does not wait for it.
+// CompileDecoder compiles the decoder of the most frequent message, which takes about 10 ms, so
+// that the first search of a new VM does not wait for it.
 func CompileDecoder() error {
 	var rp ShardReply
 	return Decode([]byte("{}"), &rp)
