--- a/cmd/laburnumvane/story.go
+++ b/cmd/laburnumvane/story.go
@@ -55,13 +55,13 @@
 	if len(args) < 2 || args[0] == "" {
 		return usageError(cmd.FullName(), "an ID and at least one FILE are needed")
 	}
-	st := reqlog.New(reqlog.Config{ID: args[0]})
+	co := reqlog.New(reqlog.Config{ID: args[0]})
 	for _, name := range args[1:] {
-		if err := readStory(cmd, st, name); err != nil {
+		if err := readStory(cmd, co, name); err != nil {
 			return failure(cmd.FullName(), err)
 		}
 	}
-	rep := storyReply{ID: args[0], Lines: st.Lines(), BadLines: st.BadLines, LeftOut: st.LeftOut}
+	rep := storyReply{ID: args[0], Lines: co.Lines(), BadLines: co.BadLines, LeftOut: co.LeftOut}
 	if len(rep.Lines) == 0 {
 		return &Error{Op: cmd.FullName(), Kind: KindFailure, Msg: fmt.Sprintf("no line names %s; %d could not be read", rep.ID, rep.BadLines)}
 	}
@@ -73,9 +73,9 @@
 }
 
 // readStory streams one file, as a log may be larger than memory.
-func readStory(cmd *cli.Command, st *reqlog.Collector, name string) error {
+func readStory(cmd *cli.Command, co *reqlog.Collector, name string) error {
 	if name == "-" {
-		return st.Read("stdin", cmd.Root().Reader)
+		return co.Read("stdin", cmd.Root().Reader)
 	}
 	file, err := os.Open(name) //nolint:gosec // the user names the file
 	if err != nil {
@@ -83,7 +83,7 @@
 	}
 	// The file was only read, so an error of Close does not matter.
 	defer func() { _ = file.Close() }()
-	return st.Read(filepath.Base(name), file)
+	return co.Read(filepath.Base(name), file)
 }
 
 func printStory(cmd *cli.Command, rep storyReply) {
--- a/docs/capacity/page_test.go
+++ b/docs/capacity/page_test.go
@@ -87,7 +87,7 @@
 	}{
 		{"io/node/members_riders.go", "piggybackBytes", piggybackBytes},
 		{"io/node/upstreams.go", "hintBytesPerSecond", pollBytes},
-		{"io/upst/keep.go", "fillsPerTick", connsOpenedPerSecond / ticksPerSecond},
+		{"io/upst/maintain.go", "fillsPerTick", connsOpenedPerSecond / ticksPerSecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -47,8 +47,8 @@
 	is.Equal(len(gls), len(wls)) // number of lines
 }
 
-// Want returns the content of the golden file, for tests that do the comparison themselves. With
-// -update it writes got to the file first.
+// Content returns the content of the golden file, for tests that do the comparison themselves.
+// With -update it writes got to the file first.
 func Content(t testing.TB, name, got string) string {
 	t.Helper()
 	is := is.New(t)
--- a/io/emul/kv.go
+++ b/io/emul/kv.go
@@ -21,7 +21,7 @@
 	Clock Clock
 	// MaxEvents limits the events kept for watches; older ones are compacted.
 	MaxEvents int
-	// Sweep is the interval, in real time, of the search for expired leases.
+	// SweepInterval is the interval, in real time, of the search for expired leases.
 	SweepInterval time.Duration
 	// Addr is the address to listen on; empty means a free loopback port.
 	Addr string
@@ -41,7 +41,7 @@
 	// SilentWatches leaves all watches unanswered: the connection of each stays open but
 	// goes silent permanently, also after the fault is removed.
 	SilentWatches bool
-	// Past answers reads from the state that Remember saved, as a lagging replica does.
+	// StaleReads answers reads from the state that SaveState saved, as a lagging replica does.
 	// Swaps use the current state.
 	StaleReads bool
 }
@@ -134,15 +134,15 @@
 	return kv.counts
 }
 
-// Remember saves the current state for the fault Past and for Restore.
+// SaveState saves the current state for the fault StaleReads and for Restore.
 func (kv *KV) SaveState() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.remembered = kv.current.clone()
 }
 
-// Restore replaces the current state by the one that Remember saved, as a restored backup does.
-// All events and leases are lost.
+// Restore replaces the current state by the one that SaveState saved, as a restored backup
+// does. All events and leases are lost.
 func (kv *KV) Restore() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
--- a/io/emul/load.go
+++ b/io/emul/load.go
@@ -42,8 +42,8 @@
 	Targets []string
 	// Rate is the mean number of arrivals a second.
 	Rate float64
-	// Count and For end the load: after Count arrivals or after the time For, whichever
-	// comes first.
+	// Count and Duration end the load: after Count arrivals or after the time Duration,
+	// whichever comes first.
 	Count    int
 	Duration time.Duration
 	// Request makes the searches.
--- a/io/emul/tally.go
+++ b/io/emul/tally.go
@@ -22,7 +22,7 @@
 	Arrivals uint64
 	// Dropped counts the arrivals that were not sent because MaxInFlight was reached.
 	Dropped uint64
-	// Failed counts the searches that got no answer in time or an invalid one. FirstFail is
+	// Failed counts the searches that got no answer in time or an invalid one. FirstError is
 	// the error of the first.
 	Failed     uint64
 	FirstError string
@@ -30,7 +30,7 @@
 	Reasons    map[string]uint64
 	// Latency is the latency of all answers, in microseconds from the scheduled arrival.
 	Latency *hdrhistogram.Histogram
-	// Whole is the latency of complete answers only: refusals are fast, and many of them
+	// CompleteLatency is the latency of complete answers only: refusals are fast, and many of them
 	// would hide the latency of the other answers.
 	CompleteLatency *hdrhistogram.Histogram
 	// Coverage is the mean share over the complete and partial answers.
@@ -47,7 +47,7 @@
 	return time.Duration(lr.Latency.ValueAtQuantile(percentile)) * time.Microsecond
 }
 
-// Extra returns the number of hedges and retries as a fraction of the primaries.
+// ExtraWorkShare returns the number of hedges and retries as a fraction of the primaries.
 func (lr LoadReport) ExtraWorkShare() float64 {
 	if lr.Work.Primaries == 0 {
 		return 0
--- a/io/emul/upstream.go
+++ b/io/emul/upstream.go
@@ -33,7 +33,7 @@
 	Queue int
 	// Connections is the limit of open connections; 0 means no limit.
 	Connections int
-	// Setup is the delay before a new connection is read.
+	// ConnSetupTime is the delay before a new connection is read.
 	ConnSetupTime time.Duration
 	// Service draws service times; nil means that sub-requests take no time.
 	Service ServiceTime
@@ -68,7 +68,7 @@
 	// StatusLag is how long the load and health endpoints repeat a status before they
 	// update it.
 	StatusLag time.Duration
-	// Claim is a false state that those endpoints report, with no load; empty means the
+	// ClaimedState is a false state that those endpoints report, with no load; empty means the
 	// actual state. Replies to sub-requests always report the actual state.
 	ClaimedState wire.UpstreamState
 }
--- a/io/follow/boot.go
+++ b/io/follow/boot.go
@@ -50,8 +50,8 @@
 		sleep(ctx, st.Wait)
 		return
 	}
-	if rp, err := fo.bootCallPeer(ctx, st); err != nil {
-		bo.Failed(fo.cfg.Clock(), st, rp)
+	if oc, err := fo.bootCallPeer(ctx, st); err != nil {
+		bo.Failed(fo.cfg.Clock(), st, oc)
 	}
 }
 
@@ -85,11 +85,11 @@
 func (fo *Follower) bootCallPeer(ctx context.Context, st mirror.Step) (mirror.Outcome, error) {
 	bounded, cancel := context.WithTimeout(ctx, st.Wait)
 	defer cancel()
-	rp, err := fo.updateFromPeer(bounded, st.Addr)
+	oc, err := fo.updateFromPeer(bounded, st.Addr)
 	if err == nil {
 		fo.firstSource = st.Addr
 	}
-	return rp, err
+	return oc, err
 }
 
 // firstSourceTime is how long a VM that knows no other one keeps following the VM that sent its
--- a/io/follow/cut.go
+++ b/io/follow/cut.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TellCut reports this VM's finding to the VM of this data centre that it follows, and waits for
+// ReportCut reports this VM's finding to the VM of this data centre that it follows, and waits for
 // the answer. It does nothing on the first VM of a data centre, which follows none there.
 func (fo *Follower) ReportCut(ctx context.Context) {
 	fo.mu.Lock()
@@ -53,14 +53,14 @@
 	}
 }
 
-// ToldCut reports whether another VM of this data centre reported a cut recently.
+// CutReported reports whether another VM of this data centre reported a cut recently.
 func (fo *Follower) CutReported() bool {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
 	return fo.cutReported(fo.cfg.Clock())
 }
 
-// cutReported is ToldCut for callers that hold the lock.
+// cutReported is CutReported for callers that hold the lock.
 func (fo *Follower) cutReported(now time.Duration) bool {
 	return fo.cut.reported && now-fo.cut.reportedAt <= cutReportLifetime
 }
--- a/io/follow/enlist.go
+++ b/io/follow/enlist.go
@@ -27,7 +27,7 @@
 // them.
 const enlistTimeout = 1500 * time.Millisecond
 
-// AskEnlist asks another VM to write this VM's entry, and returns the entry's lease. An error
+// RequestEnlist asks another VM to write this VM's entry, and returns the entry's lease. An error
 // with the code Unavailable means that the store did not serve that VM.
 func (fo *Follower) RequestEnlist(ctx context.Context, addr string, en enlist.Entry) (uint64, error) {
 	bounded, cancel := context.WithTimeout(ctx, enlistTimeout)
--- a/io/follow/follow.go
+++ b/io/follow/follow.go
@@ -80,9 +80,9 @@
 	FirstStart bool
 	Clock      func() time.Duration
 	Rand       *rand.Rand
-	// Changed is called for each change, on Run's goroutine.
+	// OnChange is called for each change, on Run's goroutine.
 	OnChange func(Change)
-	// Switched is called when the source of updates changes, with the error that caused it, if
+	// OnSourceChange is called when the source of updates changes, with the error that caused it, if
 	// one did.
 	OnSourceChange func(to mirror.Step, age time.Duration, err error)
 	// Count, if not nil, is called with the name of each step.
@@ -91,7 +91,7 @@
 	// List must be set too and return the VMs that the store lists.
 	LinkMbps float64
 	List     func(ctx context.Context) ([]mirror.Member, error)
-	// Hinted is called for each hint from another VM and must not block. If it is nil, hints are
+	// OnHint is called for each hint from another VM and must not block. If it is nil, hints are
 	// dropped.
 	OnHint func(word string)
 	// Enlist writes another VM's entry and returns its lease. If it is nil, such calls are
@@ -102,12 +102,13 @@
 // Follower keeps a copy of the store up to date.
 type Follower struct {
 	cfg         Config
-	guide       *mirror.Selector
+	selector    *mirror.Selector
 	peers       *stubs.Pool[inner.Feed]
 	valuePacker packer
-	// copyPacker compresses copies for VMs that have none, and giver limits how many are sent.
-	copyPacker copyPacker
-	giver      mirror.CopyLimiter
+	// copyPacker compresses copies for VMs that have none, and copyLimiter limits how many are
+	// sent.
+	copyPacker  copyPacker
+	copyLimiter mirror.CopyLimiter
 	// dataCentres maps the address of each VM to its data centre; only Run uses it.
 	dataCentres map[string]string
 	// calls tracks calls that run in the background.
@@ -119,7 +120,7 @@
 
 	mu      sync.Mutex
 	replica *mirror.Replica
-	absence mirror.Outage
+	outage  mirror.Outage
 	// remoteAnswerAt is when the store or a VM of another data centre last answered, with
 	// updates or without.
 	remoteAnswerAt time.Duration
@@ -159,7 +160,7 @@
 	}
 	return &Follower{
 		cfg:           cfg,
-		guide:         mirror.NewSelector(mirror.SelectorConfig{Self: cfg.Self, Rand: cfg.Rand}),
+		selector:      mirror.NewSelector(mirror.SelectorConfig{Self: cfg.Self, Rand: cfg.Rand}),
 		peers:         newStubs(),
 		replica:       mirror.NewReplica(mirror.DefaultHistory),
 		storeCalledAt: -storeInterval,
@@ -177,7 +178,7 @@
 	fo.newPeers = vms
 }
 
-// Leave reports to callers from now on that this VM is about to exit.
+// AnnounceExit reports to callers from now on that this VM is about to exit.
 func (fo *Follower) AnnounceExit() {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
@@ -193,15 +194,15 @@
 	return fo.age(fo.cfg.Clock())
 }
 
-// Silence returns the time since this VM last got anything from outside its data centre: an
+// RemoteSilence returns the time since this VM last got anything from outside its data centre: an
 // update that originates from the store, by whatever path, or an answer of a VM there.
 func (fo *Follower) RemoteSilence() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.cfg.Clock() - max(fo.remoteAnswerAt, fo.absence.LastContact())
+	return fo.cfg.Clock() - max(fo.remoteAnswerAt, fo.outage.LastContact())
 }
 
-// Touch records that a VM of another data centre answered just now.
+// RecordRemoteAnswer records that a VM of another data centre answered just now.
 func (fo *Follower) RecordRemoteAnswer() {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
@@ -216,10 +217,10 @@
 }
 
 func (fo *Follower) age(now time.Duration) time.Duration {
-	if !fo.absence.Contacted() {
+	if !fo.outage.Contacted() {
 		return unknownAge
 	}
-	return now - fo.absence.LastContact()
+	return now - fo.outage.LastContact()
 }
 
 // Run keeps the copy up to date until the context ends.
@@ -232,16 +233,16 @@
 	for ctx.Err() == nil {
 		fo.applyPeers()
 		if as := fo.takeFreshCaller(); as.addr != "" {
-			fo.guide.Suggest(as.addr, fo.cfg.Clock()-as.currentAt)
+			fo.selector.Suggest(as.addr, fo.cfg.Clock()-as.currentAt)
 		}
-		st := fo.guide.Next(fo.cfg.Clock(), fo.Age())
+		st := fo.selector.Next(fo.cfg.Clock(), fo.Age())
 		if st.From != mirror.FromNone && (st.From != last.From || st.Addr != last.Addr) {
 			fo.cfg.OnSourceChange(st, fo.Age(), nil)
 			last = st
 		}
 		fo.setFollows(st)
-		rp, err := fo.step(ctx, st)
-		fo.guide.Done(fo.cfg.Clock(), st, rp)
+		oc, err := fo.step(ctx, st)
+		fo.selector.Done(fo.cfg.Clock(), st, oc)
 		if err != nil && ctx.Err() == nil {
 			fo.cfg.OnSourceChange(st, fo.Age(), err)
 			last = mirror.Step{}
@@ -260,7 +261,7 @@
 	if vms == nil {
 		return
 	}
-	fo.guide.SetPeers(vms)
+	fo.selector.SetPeers(vms)
 	fo.dataCentres = make(map[string]string, len(vms))
 	for _, vm := range vms {
 		fo.dataCentres[vm.Addr] = vm.DataCentre
@@ -399,7 +400,7 @@
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	fo.absence.RecordFailure(now)
+	fo.outage.RecordFailure(now)
 }
 
 // source describes where an update comes from.
@@ -424,16 +425,16 @@
 	ch.Events = fo.replica.Apply(up)
 	// An update that is older than this VM's copy does not show that the copy is current.
 	if fo.replica.Loaded() && up.AsOf >= before {
-		if so.currentAt > fo.absence.LastContact() {
+		if so.currentAt > fo.outage.LastContact() {
 			fo.origin = so.origin
 		}
-		fo.absence.RecordContact(so.currentAt)
+		fo.outage.RecordContact(so.currentAt)
 	}
-	fo.absence.RecordRecovery(so.returned)
-	ch.Returned = fo.absence.Recovered()
+	fo.outage.RecordRecovery(so.returned)
+	ch.Returned = fo.outage.Recovered()
 	fo.wakeAll()
 	fo.mu.Unlock()
-	// Changed is also called when an old copy becomes current again without changes: the next
+	// OnChange is also called when an old copy becomes current again without changes: the next
 	// leases to expire may have been due while the store was unavailable.
 	returned := ch.Age > mirror.StaleAfter && ch.Age < unknownAge && fo.Age() < ch.Age
 	if len(ch.Events) > 0 || returned {
--- a/io/follow/hint.go
+++ b/io/follow/hint.go
@@ -10,7 +10,7 @@
 // sendHintTimeout limits the call that sends hints to the followed VM.
 const sendHintTimeout = 300 * time.Millisecond
 
-// TellHint sends a hint to the other VMs at once: to those that follow this VM, to the VM that
+// SendHint sends a hint to the other VMs at once: to those that follow this VM, to the VM that
 // it follows, and from these on to theirs.
 func (fo *Follower) SendHint(ctx context.Context, hint string) {
 	if fresh := fo.storeHints([]string{hint}); len(fresh) > 0 {
@@ -37,7 +37,7 @@
 	return fresh
 }
 
-// acceptHints stores other VMs' hints, calls Hinted with the new ones and returns these.
+// acceptHints stores other VMs' hints, calls OnHint with the new ones and returns these.
 func (fo *Follower) acceptHints(hints []string) (fresh []string) {
 	fresh = fo.storeHints(hints)
 	for _, hint := range fresh {
--- a/io/follow/heard.go
+++ b/io/follow/lastseen.go
@@ -14,7 +14,7 @@
 	return fo.leader
 }
 
-// Leads reports whether this VM gets its updates from the store or from another data centre, so
+// IsLeader reports whether this VM gets its updates from the store or from another data centre, so
 // that the other VMs of its own data centre follow it.
 func (fo *Follower) IsLeader() bool {
 	fo.mu.Lock()
@@ -22,7 +22,7 @@
 	return fo.replica.Loaded() && fo.leader == ""
 }
 
-// Note records a sign of life of another VM.
+// RecordAlive records a sign of life of another VM.
 func (fo *Follower) RecordAlive(addr string) {
 	now := fo.cfg.Clock()
 	fo.mu.Lock()
@@ -30,7 +30,7 @@
 	fo.lastSeen[addr] = now
 }
 
-// Heard returns when another VM last called this one or gave another sign of life; 0 if it never
+// LastSeen returns when another VM last called this one or gave another sign of life; 0 if it never
 // did.
 func (fo *Follower) LastSeen(addr string) time.Duration {
 	fo.mu.Lock()
--- a/io/follow/serve.go
+++ b/io/follow/serve.go
@@ -55,9 +55,9 @@
 		return nil, true
 	}
 	if !fo.replica.Loaded() {
-		return fo.giver.Holders(fo.cfg.Clock(), rq.GetFrom()), false
+		return fo.copyLimiter.Holders(fo.cfg.Clock(), rq.GetFrom()), false
 	}
-	give, others = fo.giver.Allow(fo.cfg.Clock(), rq.GetFrom())
+	give, others = fo.copyLimiter.Allow(fo.cfg.Clock(), rq.GetFrom())
 	return others, give
 }
 
@@ -76,7 +76,7 @@
 		fo.noteCutProof(now)
 	}
 	if age <= mirror.StaleAfter && rq.GetAfter() > 0 {
-		fo.giver.AddHolder(now, rq.GetFrom())
+		fo.copyLimiter.AddHolder(now, rq.GetFrom())
 	}
 	if age < fo.age(now) {
 		fo.freshCaller = freshCaller{addr: rq.GetFrom(), currentAt: now - age}
@@ -86,7 +86,7 @@
 func (fo *Follower) lastCurrent() time.Duration {
 	fo.mu.Lock()
 	defer fo.mu.Unlock()
-	return fo.absence.LastContact()
+	return fo.outage.LastContact()
 }
 
 // replyNow returns the reply as of now, and whether it should be sent without further waiting.
@@ -124,7 +124,7 @@
 		Origin:  fo.origin,
 		Follows: fo.follows,
 	}
-	if returned := fo.absence.Recovered(); returned > 0 {
+	if returned := fo.outage.Recovered(); returned > 0 {
 		rp.ReturnedMs = uint64((fo.cfg.Clock() - returned).Milliseconds()) + 1
 	}
 	if fo.replica.Loaded() {
--- a/io/guard/framing.go
+++ b/io/guard/framing.go
@@ -29,7 +29,7 @@
 	badLength                       bool
 }
 
-// Fields calls visit for each line of a raw header. It returns false at the first line that is not
+// EachField calls visit for each line of a raw header. It returns false at the first line that is not
 // a valid field.
 func EachField(raw []byte, visit func(name, value string)) bool {
 	for _, line := range bytes.Split(raw, []byte("\n")) {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Note records one header field; fields that do not concern framing are ignored.
+// AddField records one header field; fields that do not concern framing are ignored.
 func (fr *Framing) AddField(name, value string) {
 	switch {
 	case strings.EqualFold(name, consts.HeaderHost):
@@ -62,7 +62,7 @@
 	}
 }
 
-// Framed reports whether the request declares a body, which may be empty.
+// HasBody reports whether the request declares a body, which may be empty.
 func (fr *Framing) HasBody() bool { return fr.lengths > 0 || fr.transferCodings > 0 }
 
 // Check returns what is wrong with the framing, or "" if it is unambiguous.
--- a/io/guard/framing_test.go
+++ b/io/guard/framing_test.go
@@ -43,8 +43,8 @@
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.New(t).NoErr(err)
-	do := guard.NewServer("door", ln, guard.Config{MaxBody: 1 << 10})
-	do.Routes.NoRoute(func(ctx context.Context, rc *app.RequestContext) {
+	sv := guard.NewServer("door", ln, guard.Config{MaxBody: 1 << 10})
+	sv.Routes.NoRoute(func(ctx context.Context, rc *app.RequestContext) {
 		defer accept.BeginRequest(ctx)()
 		rc.SetStatusCode(http.StatusOK)
 		if string(rc.Path()) == "/smuggled" {
@@ -52,9 +52,9 @@
 		}
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- do.Serve() }()
+	go func() { ended <- sv.Serve() }()
 	t.Cleanup(func() {
-		do.Abort()
+		sv.Abort()
 		if err := <-ended; err != nil {
 			t.Log("ended by the abort:", err)
 		}
--- a/io/guard/guard.go
+++ b/io/guard/guard.go
@@ -38,7 +38,7 @@
 	Times func() Times
 	// WriteTime limits each write of an answer.
 	WriteTime time.Duration
-	// OwnFraming is set if the handlers read all headers and check Framing themselves.
+	// HandlersCheckFraming is set if the handlers read all headers and check Framing themselves.
 	HandlersCheckFraming bool
 	// Refused is called for each refusal, with its reason; it may be nil.
 	Refused func(reason string)
--- a/io/logbuf/doc.go
+++ b/io/logbuf/doc.go
@@ -1,9 +1,9 @@
-// Package lines queues log lines and writes them on a goroutine of its own, so that logging
+// Package logbuf queues log lines and writes them on a goroutine of its own, so that logging
 // never blocks a VM.
 //
 // # Usage
 //
-//	qu := lines.New(lines.Config{Writer: &log.IOWriter{Writer: os.Stderr}, Lost: count})
+//	qu := logbuf.New(logbuf.Config{Writer: &log.IOWriter{Writer: os.Stderr}, OnDrop: count})
 //	logger.Writer = qu
 //	defer qu.Close()
 //
--- a/io/logbuf/queue.go
+++ b/io/logbuf/queue.go
@@ -23,7 +23,7 @@
 	Errors int
 	// CloseTime limits how long Close waits for the output.
 	CloseTime time.Duration
-	// Lost, if not nil, is called with the number of lines that were dropped.
+	// OnDrop, if not nil, is called with the number of lines that were dropped.
 	OnDrop func(n int64)
 }
 
--- a/io/reqlog/story.go
+++ b/io/reqlog/collector.go
@@ -17,7 +17,7 @@
 	// maxLineBytes limits the length of a line; a VM's longest lines list some servers of a
 	// request.
 	maxLineBytes = 64 << 10
-	// DefaultLines is the default limit on the lines kept: a request over some hundred shards
+	// DefaultMaxLines is the default limit on the lines kept: a request over some hundred shards
 	// writes a few dozen.
 	DefaultMaxLines = 1000
 )
@@ -56,23 +56,23 @@
 	Fields map[string]json.RawMessage `json:"fields"`
 }
 
-// Config configures a Story.
+// Config configures a Collector.
 type Config struct {
 	// ID is the id of the request.
 	ID string
-	// Lines limits the lines kept; 0 means DefaultLines.
+	// MaxLines limits the lines kept; 0 means DefaultMaxLines.
 	MaxLines int
 }
 
-// Story collects the lines of one request. It is not safe for concurrent use.
+// Collector collects the lines of one request. It is not safe for concurrent use.
 type Collector struct {
 	cfg   Config
 	lines []Line
-	// Bad counts the lines that could not be parsed, LeftOut those beyond the limit.
+	// BadLines counts the lines that could not be parsed, LeftOut those beyond the limit.
 	BadLines, LeftOut int
 }
 
-// New returns a story without lines.
+// New returns a collector without lines.
 func New(cfg Config) *Collector {
 	if cfg.MaxLines <= 0 {
 		cfg.MaxLines = DefaultMaxLines
@@ -81,16 +81,16 @@
 }
 
 // Read reads one log. Its name stands for the VM if a line does not name one.
-func (st *Collector) Read(name string, rd io.Reader) error {
+func (co *Collector) Read(name string, rd io.Reader) error {
 	br := bufio.NewReaderSize(rd, maxLineBytes)
 	for {
 		line, err := br.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			st.BadLines++
+			co.BadLines++
 			err = skipLine(br)
 			line = nil
 		}
-		st.addLine(name, bytes.TrimSpace(line))
+		co.addLine(name, bytes.TrimSpace(line))
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
@@ -111,41 +111,41 @@
 }
 
 // addLine keeps a line if it is about the request.
-func (st *Collector) addLine(name string, line []byte) {
+func (co *Collector) addLine(name string, line []byte) {
 	if len(line) == 0 {
 		return
 	}
 	at := bytes.IndexByte(line, '{')
 	if at < 0 {
-		st.BadLines++
+		co.BadLines++
 		return
 	}
 	// Most lines are about other requests; parsing all of them would take ten times as long.
-	if !bytes.Contains(line, []byte(st.cfg.ID)) {
+	if !bytes.Contains(line, []byte(co.cfg.ID)) {
 		return
 	}
 	var fields map[string]json.RawMessage
 	if json.Unmarshal(line[at:], &fields) != nil {
-		st.BadLines++
+		co.BadLines++
 		return
 	}
-	if textField(fields, "id") != st.cfg.ID {
+	if textField(fields, "id") != co.cfg.ID {
 		return
 	}
 	when, err := time.Parse(time.RFC3339Nano, textField(fields, "time"))
 	if err != nil {
-		st.BadLines++
+		co.BadLines++
 		return
 	}
-	if len(st.lines) >= st.cfg.MaxLines {
-		st.LeftOut++
+	if len(co.lines) >= co.cfg.MaxLines {
+		co.LeftOut++
 		return
 	}
 	ln := Line{Time: when, VM: vmName(name, string(line[:at])), Message: textField(fields, "message"), Fields: fields}
 	for _, known := range [4]string{"id", "time", "message", "level"} {
 		delete(fields, known)
 	}
-	st.lines = append(st.lines, ln)
+	co.lines = append(co.lines, ln)
 }
 
 // vmName returns the last word before a line's JSON, or the log's name if there is none.
@@ -165,7 +165,7 @@
 
 // Lines returns the request's lines sorted by time. The VMs' clocks differ by some milliseconds,
 // so the order may differ from the true one by as much.
-func (st *Collector) Lines() []Line {
-	sort.SliceStable(st.lines, func(i, j int) bool { return st.lines[i].Time.Before(st.lines[j].Time) })
-	return st.lines
+func (co *Collector) Lines() []Line {
+	sort.SliceStable(co.lines, func(i, j int) bool { return co.lines[i].Time.Before(co.lines[j].Time) })
+	return co.lines
 }
--- a/io/reqlog/story_test.go
+++ b/io/reqlog/collector_test.go
@@ -30,12 +30,12 @@
 			`{"message":"names ` + id + ` and is another's"}` + "\n" +
 			strings.Repeat("x", 200<<10) + "\n" + line("05.3", "joined for another VM", "")},
 	}
-	st := reqlog.New(reqlog.Config{ID: id})
+	co := reqlog.New(reqlog.Config{ID: id})
 	for _, lg := range logs {
-		is.NoErr(st.Read(lg.name, strings.NewReader(lg.text)))
+		is.NoErr(co.Read(lg.name, strings.NewReader(lg.text)))
 	}
 	var got []string
-	for _, ln := range st.Lines() {
+	for _, ln := range co.Lines() {
 		got = append(got, ln.VM+": "+ln.Message)
 	}
 	is.Equal(got, []string{
@@ -44,18 +44,18 @@
 		"large.log: answered",
 		"small.log: forwarded",
 	})
-	is.Equal(string(st.Lines()[2].Fields["ms"]), "61.2")
-	is.Equal(st.BadLines, 3)
-	is.Equal(st.LeftOut, 0)
+	is.Equal(string(co.Lines()[2].Fields["ms"]), "61.2")
+	is.Equal(co.BadLines, 3)
+	is.Equal(co.LeftOut, 0)
 }
 
 // A client uses one id for hours: the number of lines kept is limited.
 func TestBounded(t *testing.T) {
 	is := is.New(t)
-	st := reqlog.New(reqlog.Config{ID: id, MaxLines: 10})
-	is.NoErr(st.Read("a", strings.NewReader(strings.Repeat(line("05.1", "answered", ""), 25))))
-	is.Equal(len(st.Lines()), 10)
-	is.Equal(st.LeftOut, 15)
+	co := reqlog.New(reqlog.Config{ID: id, MaxLines: 10})
+	is.NoErr(co.Read("a", strings.NewReader(strings.Repeat(line("05.1", "answered", ""), 25))))
+	is.Equal(len(co.Lines()), 10)
+	is.Equal(co.LeftOut, 15)
 }
 
 type failingReader struct{}
@@ -73,11 +73,11 @@
 	f.Add(line("05.1", "answered", ""))
 	f.Add("x {" + id)
 	f.Fuzz(func(t *testing.T, text string) {
-		st := reqlog.New(reqlog.Config{ID: id, MaxLines: 3})
-		if err := st.Read("a", strings.NewReader(text)); err != nil {
+		co := reqlog.New(reqlog.Config{ID: id, MaxLines: 3})
+		if err := co.Read("a", strings.NewReader(text)); err != nil {
 			t.Fatal(err)
 		}
-		for _, ln := range st.Lines() {
+		for _, ln := range co.Lines() {
 			if ln.Time.IsZero() && ln.VM == "" {
 				t.Fatalf("a line without a VM: %+v", ln)
 			}
--- a/io/reqlog/doc.go
+++ b/io/reqlog/doc.go
@@ -1,13 +1,13 @@
-// Package story collects the log lines that many VMs wrote about one request, and sorts them by
+// Package reqlog collects the log lines that many VMs wrote about one request, and sorts them by
 // time.
 //
 // # Usage
 //
-//	st := story.New(story.Config{ID: "4f7c8f65fcdc5ff2"})
+//	co := reqlog.New(reqlog.Config{ID: "4f7c8f65fcdc5ff2"})
 //	for _, name := range files {
-//		st.Read(name, reader)
+//		co.Read(name, reader)
 //	}
-//	lines := st.Lines()
+//	lines := co.Lines()
 //
 // A request passes through several VMs: the one that the client connected to, the one that it
 // was forwarded to, and those that joined answers for it. With hundreds of VMs their logs cannot
--- a/io/site/site.go
+++ b/io/site/site.go
@@ -162,12 +162,13 @@
 // Config returns the configuration that the site was started with.
 func (st *Site) Config() Config { return st.cfg }
 
-// Boot starts another VM in a data centre and adds it to the VM list.
+// StartVM starts another VM in a data centre and adds it to the VM list.
 func (st *Site) StartVM(dataCentre string) (*node.Node, error) {
 	return st.StartVMWith(st.cfg, dataCentre)
 }
 
-// BootWith is Boot with a configuration other than the site's; only its settings of VMs are used.
+// StartVMWith is StartVM with a configuration other than the site's; only its settings of VMs are
+// used.
 func (st *Site) StartVMWith(cfg Config, dataCentre string) (*node.Node, error) {
 	set := setup.Defaults()
 	set.CallerAddr = "127.0.0.1:0"
@@ -205,7 +206,7 @@
 	st.removeNode(nd)
 }
 
-// Forget removes a stopped VM from the VM list, as the platform does.
+// RemoveFromList removes a stopped VM from the VM list, as the platform does.
 func (st *Site) RemoveFromList(nd *node.Node) {
 	st.vms.Remove(nd.Addrs().Inner)
 	st.removeNode(nd)
@@ -216,7 +217,7 @@
 }
 
 // Nodes returns the VMs in the order in which they were started, without those given to Kill or
-// Forget.
+// RemoveFromList.
 func (st *Site) Nodes() []*node.Node { return st.nodes }
 
 // KV returns the emulated key-value service.
--- a/io/stubs/stubs.go
+++ b/io/stubs/stubs.go
@@ -3,9 +3,9 @@
 //
 // # Usage
 //
-//	po := stubs.New(stubs.Config[inner.Feed]{Make: make, DialTime: dialTime, Idle: 2})
-//	reply, err := po.At(addr).Follow(ctx, request)
-//	po.Drop(addr)
+//	po := stubs.New(stubs.Config[inner.Feed]{NewClient: newClient, DialTimeout: dialTimeout, MaxIdle: 2})
+//	reply, err := po.Client(addr).Follow(ctx, request)
+//	po.Remove(addr)
 //
 // A Pool may be used from many goroutines.
 package stubs
@@ -22,15 +22,15 @@
 
 // Config configures a pool of clients of type T.
 type Config[T any] struct {
-	// Make returns a client of the VM with a base URL such as "http://127.0.0.1:9000".
+	// NewClient returns a client of the VM with a base URL such as "http://127.0.0.1:9000".
 	NewClient func(base string, hc *http.Client) T
-	// DialTime limits the opening of a connection; 0 is no limit.
+	// DialTimeout limits the opening of a connection; 0 is no limit.
 	DialTimeout time.Duration
-	// Idle is the maximum number of idle connections kept to each VM.
+	// MaxIdle is the maximum number of idle connections kept to each VM.
 	MaxIdle int
 }
 
-// Pool holds a client for each VM that was called, until Drop or Close.
+// Pool holds a client for each VM that was called, until Remove or Close.
 type Pool[T any] struct {
 	cfg    Config[T]
 	mu     sync.Mutex
@@ -47,7 +47,7 @@
 	return &Pool[T]{cfg: cfg, byAddr: make(map[string]vmClient[T])}
 }
 
-// At returns the client of the VM with an inner address, and creates it if needed.
+// Client returns the client of the VM with an inner address, and creates it if needed.
 func (po *Pool[T]) Client(addr string) T {
 	po.mu.Lock()
 	defer po.mu.Unlock()
@@ -67,7 +67,7 @@
 	return st.client
 }
 
-// Drop removes a VM's client and closes its idle connections. After a call without an answer its
+// Remove removes a VM's client and closes its idle connections. After a call without an answer its
 // connection may be dead, while a new one may work.
 func (po *Pool[T]) Remove(addr string) {
 	po.mu.Lock()
--- a/io/upst/doc.go
+++ b/io/upst/doc.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	sv := upst.New(upst.Config{Addr: "127.0.0.1:9000", MaxConns: 4})
-//	go upst.Keep(ctx, upst.KeepConfig{Servers: list, Count: count})
+//	go upst.Maintain(ctx, upst.MaintainConfig{Servers: list, Count: count})
 //	reply, err := sv.Search(ctx, req)
 //	var ue *upst.Error
 //	if errors.As(err, &ue) && !ue.Sent {
@@ -19,8 +19,8 @@
 //
 // A request waits for a released or a newly opened connection, whichever comes first. The rate
 // of openings is limited (core/warm), and a new connection is pinged before use, so that no
-// request is lost on a connection that the server closes at once. Keep closes connections that
-// have gone silent (core/stall), pings idle ones, and keeps as many open as were needed
+// request is lost on a connection that the server closes at once. Maintain closes connections
+// that have gone silent (core/stall), pings idle ones, and keeps as many open as were needed
 // recently.
 //
 // If a reply misses its deadline, the connection waits for it a little longer and discards it,
--- a/io/upst/keep.go
+++ b/io/upst/maintain.go
@@ -20,7 +20,7 @@
 	pingsPerTick = 2
 )
 
-// KeepConfig configures the maintenance of all servers' connections.
+// MaintainConfig configures the maintenance of all servers' connections.
 type MaintainConfig struct {
 	// Servers returns the present servers; it is called at each tick.
 	Servers func() []*Server
@@ -28,7 +28,7 @@
 	Count func(reason string, n int64)
 }
 
-// Keep maintains the connections of all servers until the context ends.
+// Maintain maintains the connections of all servers until the context ends.
 func Maintain(ctx context.Context, cfg MaintainConfig) {
 	ma := &maintainer{cfg: cfg}
 	tk := time.NewTicker(tickInterval)
@@ -87,7 +87,7 @@
 	}
 }
 
-// Tick maintains the connections once: it closes silent ones, pings or closes idle ones, and
+// MaintainOnce maintains the connections once: it closes silent ones, pings or closes idle ones, and
 // with fill opens one if too few are open. It reports whether it opened one for that reason.
 func (sv *Server) MaintainOnce(fill bool) bool {
 	return sv.pool.tick(fill)
--- a/io/upst/pool.go
+++ b/io/upst/pool.go
@@ -11,7 +11,7 @@
 	"laburnumvane/core/warm"
 )
 
-// lateReplyTimeout ends the wait for an overdue reply if Tick is not called.
+// lateReplyTimeout ends the wait for an overdue reply if MaintainOnce is not called.
 const lateReplyTimeout = 5 * time.Second
 
 // pool holds the connections to one server. Its mutex guards the connections' state, but is not
@@ -36,7 +36,7 @@
 	// answersVoidUntil is the time up to which an answer no longer counts as a sign that its
 	// connection works.
 	answersVoidUntil time.Duration
-	// silentFound is set when a connection is found silent; Keep reads and clears it.
+	// silentFound is set when a connection is found silent; Maintain reads and clears it.
 	silentFound atomic.Bool
 }
 
--- a/io/upst/pool_test.go
+++ b/io/upst/pool_test.go
@@ -121,8 +121,8 @@
 	})
 }
 
-// After a restart of the server without searches, Tick detects the closed connection and opens
-// another before the next search needs one.
+// After a restart of the server without searches, MaintainOnce detects the closed connection and
+// opens another before the next search needs one.
 func TestRefillAfterRestart(t *testing.T) {
 	fx := newFixture(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2})
 	fx.is.True(fx.sv.MaintainOnce(true))
--- a/io/upst/server.go
+++ b/io/upst/server.go
@@ -38,7 +38,7 @@
 	// MaxConns is the initial limit of this VM's connections to the server; SetLimit changes
 	// it.
 	MaxConns int
-	// Floor is the number of connections kept open without demand.
+	// MinConns is the number of connections kept open without demand.
 	MinConns int
 	// DialTimeout limits the opening of a connection, including its first ping.
 	DialTimeout time.Duration
@@ -86,7 +86,7 @@
 	pool *pool
 }
 
-// New returns a server without connections. They are opened when needed, or by Tick.
+// New returns a server without connections. They are opened when needed, or by MaintainOnce.
 func New(cfg Config) *Server {
 	cfg = cfg.withDefaults()
 	return &Server{cfg: cfg, pool: newPool(cfg)}
--- a/io/upst/silent_test.go
+++ b/io/upst/silent_test.go
@@ -31,9 +31,9 @@
 	fx.is.Equal(fx.sv.Open(), 1)
 }
 
-// A connection goes silent while there are no other searches whose answers could show it. Tick
-// then pings over other connections until there is enough evidence, also if the silent one is the
-// only one allowed.
+// A connection goes silent while there are no other searches whose answers could show it.
+// MaintainOnce then pings over other connections until there is enough evidence, also if the
+// silent one is the only one allowed.
 func TestSilentOnQuietServer(t *testing.T) {
 	for _, limit := range []int{1, 3} {
 		t.Run(fmt.Sprint("connections=", limit), func(t *testing.T) {
@@ -117,8 +117,8 @@
 	fx.is.Equal(fx.up.Runs(), uint64(2))
 }
 
-// Idle connections go silent while no search runs. Tick's pings detect it, and Tick opens others,
-// so that no search uses a silent one.
+// Idle connections go silent while no search runs. MaintainOnce's pings detect it, and MaintainOnce
+// opens others, so that no search uses a silent one.
 func TestSilentIdleReplaced(t *testing.T) {
 	fx := newFixture(t, emul.UpstreamConfig{}, upst.Config{MaxConns: 2, DialTimeout: 200 * time.Millisecond})
 	fx.is.True(fx.sv.MaintainOnce(true))
