--- a/io/edge/cutoff.go
+++ b/io/edge/cutoff.go
@@ -45,10 +45,10 @@
 		ob.ProbesFailed = !eg.set.Off.Off(toggle.Proofs) && time.Duration(eg.probesFailedAt.Load()) > now-ob.Silence
 		ob.LocalInsufficient = !vw.LocalServersSuffice()
 	}
-	if ob.Silence > probeSilence || vw.StaleStateMatters() && eg.ramp.ShouldProbe(now) || eg.cutOff.Load() || eg.cutDetector.ShouldProbe(ob) {
+	if ob.Silence > probeSilence || vw.StaleStateMatters() && eg.warmUp.ShouldProbe(now) || eg.cutOff.Load() || eg.cutDetector.ShouldProbe(ob) {
 		eg.probeRemote(now)
 	}
-	blind := vw.StaleStateMatters() && eg.ramp.Stale(now)
+	blind := vw.StaleStateMatters() && eg.warmUp.Stale(now)
 	off := (eg.cutDetector.Update(now, ob) && !eg.set.Off.Off(toggle.Cuts) || blind) && vw.FleetSize() > 1
 	if eg.cutOff.Swap(off) == off {
 		return
@@ -77,7 +77,7 @@
 		eg.workers.submit(func() {
 			eg.meter.Count(meter.Platform, "probe")
 			alive := eg.homeClient.Alive(vm.Addr, probeTimeout)
-			eg.ramp.RecordProbe(eg.clock(), alive)
+			eg.warmUp.RecordProbe(eg.clock(), alive)
 			if alive {
 				eg.follow.RecordRemoteAnswer()
 				return
--- a/io/edge/edge.go
+++ b/io/edge/edge.go
@@ -66,8 +66,8 @@
 	registrar  *registrar
 	leases     atomic.Pointer[map[string]uint64]
 	homeClient *remote.Client
-	// ramp limits the requests to servers that are warming up.
-	ramp *warmup.Limiter
+	// warmUp limits the requests to servers that are warming up.
+	warmUp *warmup.Limiter
 	// poison holds the requests under which servers crashed; poisonWriter writes them to the
 	// store for other VMs.
 	poison       *poison.Table
@@ -112,7 +112,7 @@
 		steer:        steer.New(steer.Config{DataCentre: cfg.Settings.Self.DataCentre, Off: cfg.Settings.Off}),
 		cutDetector:  reach.New(reach.Config{}),
 		poison:       poison.New(),
-		ramp:         warmup.New(),
+		warmUp:       warmup.New(),
 		changes:      make(chan follow.Change),
 		applied:      make(chan struct{}),
 		controlEnded: make(chan struct{}),
@@ -365,7 +365,7 @@
 		Relay:       eg.pool,
 		Steer:       eg.steer,
 		Load:        eg.cfg.Decoder.Load,
-		Ramp:        eg.ramp,
+		WarmUp:      eg.warmUp,
 		HomeClient:  eg.homeClient,
 		Poison:      eg.poison,
 		SharePoison: eg.poisonWriter.add,
--- a/io/edge/state.go
+++ b/io/edge/state.go
@@ -232,7 +232,7 @@
 func (st *state) observeStore(now time.Duration) {
 	_, listed := st.vms[st.eg.vmKey]
 	_, lapsed := st.lapsed[st.eg.vmKey]
-	st.eg.ramp.ObserveStore(now, st.eg.follow.Age(), listed && !lapsed)
+	st.eg.warmUp.ObserveStore(now, st.eg.follow.Age(), listed && !lapsed)
 }
 
 // tick removes expired state.
@@ -295,7 +295,7 @@
 	st.eg.view.Store(st.view)
 	st.eg.pool.Sync(st.view.Upstreams(), st.limits)
 	st.eg.steer.Retain(st.view.Upstreams())
-	st.eg.ramp.Retain(st.view.Upstreams())
+	st.eg.warmUp.Retain(st.view.Upstreams())
 	st.observeStore(st.eg.clock())
 	st.eg.setExtra(st.view.ExtraShare())
 	if !st.eg.ready.Load() {
--- a/io/emul/kv.go
+++ b/io/emul/kv.go
@@ -72,7 +72,7 @@
 	faults     KVFaults
 	counts     KVCounts
 	current    kvState
-	remembered kvState
+	savedState kvState
 	log        []kvEvent // oldest first
 	changed    chan struct{}
 	leases     map[uint64]*lease
@@ -92,7 +92,7 @@
 	return &KV{
 		cfg:        cfg,
 		current:    newKVState(),
-		remembered: newKVState(),
+		savedState: newKVState(),
 		changed:    make(chan struct{}),
 		leases:     map[uint64]*lease{},
 	}
@@ -138,7 +138,7 @@
 func (kv *KV) SaveState() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.remembered = kv.current.clone()
+	kv.savedState = kv.current.clone()
 }
 
 // Restore replaces the current state by the one that SaveState saved, as a restored backup
@@ -146,7 +146,7 @@
 func (kv *KV) Restore() {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.current = kv.remembered.clone()
+	kv.current = kv.savedState.clone()
 	kv.current.compacted = kv.current.revision
 	kv.log = nil
 	kv.leases = map[uint64]*lease{}
--- a/io/emul/kvroutes.go
+++ b/io/emul/kvroutes.go
@@ -55,7 +55,7 @@
 // readState returns the state that reads see. The caller holds the lock.
 func (kv *KV) readState() kvState {
 	if kv.faults.StaleReads {
-		return kv.remembered
+		return kv.savedState
 	}
 	return kv.current
 }
@@ -175,7 +175,7 @@
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	if kv.faults.StaleReads {
-		return wire.KVWatchReply{Revision: kv.remembered.revision, Events: []wire.KVPair{}}, kv.changed
+		return wire.KVWatchReply{Revision: kv.savedState.revision, Events: []wire.KVPair{}}, kv.changed
 	}
 	ry := wire.KVWatchReply{Revision: kv.current.revision, Events: []wire.KVPair{}}
 	if rq.From < kv.current.compacted {
--- a/io/entry/choose.go
+++ b/io/entry/choose.go
@@ -72,7 +72,7 @@
 // mayMissWarmUp reports whether servers of a service may be warming up without this VM knowing,
 // because its copy of the store is not up to date.
 func (en *Entry) mayMissWarmUp(vw *plan.View, service string) bool {
-	return vw.StaleStateMatters() && en.cfg.Ramp.Stale(en.cfg.Clock()) && vw.LimitsWarmUp(service)
+	return vw.StaleStateMatters() && en.cfg.WarmUp.Stale(en.cfg.Clock()) && vw.LimitsWarmUp(service)
 }
 
 // candidates returns the servers that were candidates when the request arrived, in their
@@ -118,7 +118,7 @@
 	if fl.en.cfg.Off.Off(toggle.Asks) {
 		return false
 	}
-	return fl.rt.Gather != nil && fl.vw.Allows(fl.rt, owner.DataCentre) && fl.en.cfg.Ramp.MayAskOwner(now, up.Process())
+	return fl.rt.Gather != nil && fl.vw.Allows(fl.rt, owner.DataCentre) && fl.en.cfg.WarmUp.MayAskOwner(now, up.Process())
 }
 
 // admitCold reports whether a request may be sent to a server that may be warming up. If the
@@ -128,7 +128,7 @@
 	if !bound {
 		return true
 	}
-	ok := wa.Self && now >= up.ColdKnownFrom && en.cfg.Ramp.Allow(now, up.Process(), wa.MaxPerSecond)
+	ok := wa.Self && now >= up.ColdKnownFrom && en.cfg.WarmUp.Allow(now, up.Process(), wa.MaxPerSecond)
 	if ok {
 		en.cfg.Meter.Count(meter.Sent, "warming")
 	} else {
@@ -176,7 +176,7 @@
 // recordOwnerReply records whether the owner of a server that is warming up sent an attempt.
 func (fl *flight) recordOwnerReply(now time.Duration, up *origin.Upstream, sent bool) {
 	if fl.en.cfg.View().IsWarming(now, up) {
-		fl.en.cfg.Ramp.RecordReply(now, up.Process(), sent)
+		fl.en.cfg.WarmUp.RecordReply(now, up.Process(), sent)
 	}
 }
 
--- a/io/entry/entry.go
+++ b/io/entry/entry.go
@@ -70,8 +70,8 @@
 	Steer      *steer.Table
 	// Load parses a server's load report.
 	Load func(text string) (steer.Load, error)
-	// Ramp limits the requests of this VM to servers that are warming up.
-	Ramp *warmup.Limiter
+	// WarmUp limits the requests of this VM to servers that are warming up.
+	WarmUp *warmup.Limiter
 	// HomeClient forwards requests to other VMs.
 	HomeClient HomeClient
 	// Poison holds the requests under which servers crashed, and SharePoison distributes an
@@ -213,7 +213,7 @@
 	en.inFlight.Add(1)
 	defer en.inFlight.Add(-1)
 	rq, rf := en.read(rc, en.cfg.Clock())
-	rq.transitTime = en.lead.TransitTime(en.clientTrip(ctx))
+	rq.transitTime = en.lead.TransitTime(en.clientPath(ctx))
 	if rf == nil {
 		rf = en.route(ctx, rc, rq)
 	}
@@ -225,8 +225,8 @@
 	}
 }
 
-// clientTrip returns what is known of the network path to the client.
-func (en *Entry) clientTrip(ctx context.Context) lead.Path {
+// clientPath returns what is known of the network path to the client.
+func (en *Entry) clientPath(ctx context.Context) lead.Path {
 	if en.cfg.Off.Off(toggle.Trips) {
 		return lead.Path{}
 	}
@@ -252,7 +252,7 @@
 		en.refuseBlocked(rq).write(rc)
 		return nil
 	}
-	if en.moving.Load() && (!vw.LocalServersSufficeFor(rt) || !vw.ServesWithStaleState(rt) && en.cfg.Ramp.Stale(en.cfg.Clock())) {
+	if en.moving.Load() && (!vw.LocalServersSufficeFor(rt) || !vw.ServesWithStaleState(rt) && en.cfg.WarmUp.Stale(en.cfg.Clock())) {
 		en.refuseCutOff(rq).write(rc)
 		return nil
 	}
--- a/io/node/node.go
+++ b/io/node/node.go
@@ -54,7 +54,7 @@
 	set       setup.Settings
 	addr      string
 	log       *log.Logger
-	lines     *logbuf.Queue
+	logQueue  *logbuf.Queue
 	meter     *meter.Meter
 	view      atomic.Pointer[view.View]
 	pools     atomic.Pointer[[]*upst.Server]
@@ -128,7 +128,7 @@
 	nd.stopping, nd.stop = context.WithCancel(context.Background())
 	if err := nd.build(); err != nil {
 		nd.stop()
-		nd.lines.Close()
+		nd.logQueue.Close()
 		return nil, err
 	}
 	nd.serve()
--- a/io/node/searchlog.go
+++ b/io/node/searchlog.go
@@ -20,7 +20,7 @@
 // initLog sets up this VM's own logger. Its lines are queued, and its level can be changed
 // without affecting other VMs in the process.
 func (nd *Node) initLog(lo *log.Logger) {
-	nd.lines = logbuf.New(logbuf.Config{
+	nd.logQueue = logbuf.New(logbuf.Config{
 		Writer: lo.Writer,
 		OnDrop: func(n int64) { nd.meter.Add(meter.Logged, loggedLost, n) },
 	})
@@ -29,7 +29,7 @@
 		TimeField:  lo.TimeField,
 		TimeFormat: lo.TimeFormat,
 		Context:    lo.Context,
-		Writer:     nd.lines,
+		Writer:     nd.logQueue,
 	}
 }
 
--- a/io/node/searchlog_test.go
+++ b/io/node/searchlog_test.go
@@ -60,7 +60,7 @@
 			for _, an := range tc.answers {
 				nd.logSearch(wire.SearchRequest{Team: "wash", Search: "kiosk"}, an)
 			}
-			nd.lines.Close()
+			nd.logQueue.Close()
 			var ids []string
 			for _, line := range ke.lines {
 				ids = append(ids, line["id"].(string))
@@ -76,7 +76,7 @@
 	nd := &Node{meter: meter.New()}
 	nd.initLog(&log.Logger{Writer: ke})
 	nd.logSearch(wire.SearchRequest{Team: "wash", Search: "history"}, partial)
-	nd.lines.Close()
+	nd.logQueue.Close()
 	line := ke.lines[0]
 	for key, want := range map[string]any{
 		"level": "warn", "outcome": "partial", "reason": "deadline", "snapshot": 7.0,
@@ -92,7 +92,7 @@
 	nd := &Node{meter: meter.New()}
 	given := &log.Logger{Level: log.InfoLevel, Writer: &entryRecorder{}}
 	nd.initLog(given)
-	defer nd.lines.Close()
+	defer nd.logQueue.Close()
 	is.NoErr(nd.SetLogLevel("debug"))
 	is.Equal(nd.log.Level, log.DebugLevel)
 	is.Equal(given.Level, log.InfoLevel) // other VMs in the process keep their level
--- a/io/node/stop.go
+++ b/io/node/stop.go
@@ -80,7 +80,7 @@
 	}
 	nd.release()
 	nd.log.Info().Int("cutOff", sr.exit.Cut).Int("code", sr.exit.Code).Msg("stopped")
-	nd.lines.Close()
+	nd.logQueue.Close()
 	if sr.exit.Code != 0 {
 		return &Error{Op: "node.Stop", Kind: KindCut, Msg: fmt.Sprintf("the grace ended with %d searches in flight; they were cut off", sr.exit.Cut)}
 	}
@@ -179,8 +179,8 @@
 		nd.oper.Abort()
 		nd.inner.Abort()
 		nd.release()
-		nd.lines.Close()
-		nd.lines.Close()
+		nd.logQueue.Close()
+		nd.logQueue.Close()
 	})
 }
 
