--- a/io/meter/source_test.go
+++ b/io/meter/source_test.go
@@ -296,7 +296,7 @@
 			lc.check(name, meter.Operator, reason)
 		case "oper":
 			lc.check(name, meter.Operator, reason)
-		case "carry":
+		case "remote":
 			lc.check(name, meter.Sent, reason)
 		default:
 			t.Errorf("%s: say in this test under which family it is counted", name)
